--- a/src/lib.rs
+++ b/src/lib.rs
@@ -53,6 +53,9 @@
 #[allow(missing_docs)]
 pub mod core;
 pub mod discovery;
+#[cfg(test)]
+#[path = "../tests/fixtures/mod.rs"]
+mod fixtures;
 pub mod fleet;
 mod flow;
 pub mod forwarder;
--- a/src/upgrade/tests.rs
+++ b/src/upgrade/tests.rs
@@ -1,3 +1,5 @@
+mod recorded;
+
 use super::*;
 use crate::Scheduler;
 use std::io::Write;
--- /dev/null
+++ b/src/upgrade/tests/recorded.rs
@@ -0,0 +1,95 @@
+//! Frames as the build before has written them: another process may still write and read these.
+
+use super::*;
+use crate::fixtures::{hex, record, records};
+use std::io::Read;
+
+const FRAMES: &str = include_str!("../../../tests/fixtures/upgrade/frames.hex");
+const STATES: &str = include_str!("../../../tests/fixtures/upgrade/states.hex");
+
+fn frame(bytes: &[u8]) -> Frame {
+    let (head, payload) = bytes.split_at(4);
+    assert_eq!(u32::from_le_bytes(head.try_into().unwrap()) as usize, payload.len());
+    let (frame, rest) = postcard::take_from_bytes(payload).unwrap();
+    assert!(rest.is_empty(), "{} bytes too many", rest.len());
+    frame
+}
+
+/// A greeting and these frames, as a link writes them.
+fn written(frames: &[Frame]) -> Vec<u8> {
+    let (mut link, mut other) = pair();
+    frames.iter().for_each(|frame| link.send(frame, vec![]).unwrap());
+    link.flush().unwrap();
+    drop(link);
+    let mut bytes = Vec::new();
+    other.read_to_end(&mut bytes).unwrap();
+    bytes
+}
+
+#[test]
+fn the_recorded_greeting_is_written_first() {
+    assert_eq!(hex(&written(&[])), hex(&record(FRAMES, "greeting")));
+    assert_eq!(record(FRAMES, "greeting"), b"tpz-upgr\x02\x00");
+}
+
+#[test]
+fn recorded_frames_are_read_and_written_back_unchanged() {
+    let greeting = record(FRAMES, "greeting");
+    let all: Vec<_> = records(FRAMES).into_iter().skip(1).chain(records(STATES)).collect();
+    assert_eq!(all.len(), 13);
+    for (name, bytes) in all {
+        let frame = frame(&bytes);
+        assert_eq!(hex(&written(&[frame])), hex(&[&greeting[..], &bytes].concat()), "{name}");
+    }
+}
+
+#[test]
+fn recorded_frames_come_out_of_a_link() {
+    let (mut link, mut other) = pair();
+    other.write_all(&record(FRAMES, "greeting")).unwrap();
+    for name in ["ask", "take", "ban", "holds", "ends", "state-empty"] {
+        other.write_all(&record(FRAMES, name)).unwrap();
+    }
+    other.write_all(&record(STATES, "state")).unwrap();
+    let mut came = Vec::new();
+    while came.len() < 7 {
+        assert!(link.read().unwrap());
+        while let Some((frame, _)) = link.next().unwrap() {
+            came.push(frame);
+        }
+    }
+    assert!(matches!(came[0], Frame::Ask));
+    assert!(matches!(came[1], Frame::Take { door: false }));
+    assert!(matches!(came[4], Frame::Ends));
+    assert!(matches!(came[6], Frame::State(_)));
+}
+
+#[test]
+fn recorded_frames_mean_what_they_meant() {
+    let frames: Vec<Frame> = records(FRAMES).iter().skip(1).map(|(_, bytes)| frame(bytes)).collect();
+    let [Frame::Ask, Frame::Listeners(places), Frame::Take { door: true }, Frame::Take { door: false }, Frame::Refused, Frame::Client(input), Frame::Ban { name, unix, out: true }, Frame::Ban { out: false, .. }, Frame::Holds(descriptors, bytes), Frame::Ends, Frame::State(empty)] =
+        &frames[..]
+    else {
+        panic!("other frames")
+    };
+    let places: Vec<String> = places.iter().map(|place| format!("{place:?}")).collect();
+    assert_eq!(places, ["Resp(127.0.0.1:6379)", "Iscsi([::1]:3260)", "Control(127.0.0.2:9000)"]);
+    assert_eq!(input, b"*1\r\n$4\r\nPI");
+    assert_eq!((name.as_str(), *unix), ("s-2", Duration::new(1_700_000_000, 5)));
+    assert_eq!((*descriptors, *bytes), (12, 345_678));
+    assert!(!empty.drained && empty.scheduler.is_none() && empty.fleet.is_none() && empty.list.is_none());
+}
+
+/// The names are those that [`frame::SCHEMA`] is checked by. In `state-spread` each number is another one, so that two
+/// fields of one type that change places are seen.
+#[test]
+fn recorded_states_have_each_figure_where_it_was() {
+    for (name, text) in [
+        ("state", include_str!("../../../tests/fixtures/upgrade/state.json")),
+        ("state-spread", include_str!("../../../tests/fixtures/upgrade/state-spread.json")),
+    ] {
+        let recorded: serde_json::Value = serde_json::from_str(text).unwrap();
+        let state = frame(&record(STATES, name));
+        assert_eq!(serde_json::to_value(&state).unwrap(), recorded, "{name}");
+    }
+}
