--- a/src/planner/frame/tests.rs
+++ b/src/planner/frame/tests.rs
@@ -1,5 +1,7 @@
 //! Messages as bytes.
 
+mod recorded;
+
 use super::*;
 
 #[test]
