--- a/src/fleet/frame/tests.rs
+++ b/src/fleet/frame/tests.rs
@@ -1,3 +1,5 @@
+mod recorded;
+
 use super::*;
 use crate::fleet::update::Standing;
 
