--- a/src/revisions/agreement/tests.rs
+++ b/src/revisions/agreement/tests.rs
@@ -1,6 +1,7 @@
 //! Replicas on a network in memory that loses what it is told to lose. Drawn schedules of faults are in the laboratory.
 
 mod messages;
+mod recorded;
 mod state;
 
 use super::*;
