--- a/src/fleet/member/tests.rs
+++ b/src/fleet/member/tests.rs
@@ -61,3 +61,17 @@
     assert!(!member.peers().contains_key("c"));
     assert!(member.peers().contains_key("b"), "its silence alone takes nobody out");
 }
+
+/// Operators' programs read them.
+#[test]
+fn lines_and_json_for_operators_are_written_as_they_were() {
+    use crate::fleet::{report, traffic::Traffic};
+    let (mut member, now) = alone();
+    for (name, port, standing) in [("b", 2, Standing::Alive), ("c", 3, Standing::Leaving)] {
+        member.handle(now, datagram(name, port, standing), &mut Vec::new());
+    }
+    let traffic = Traffic { datagrams_in: 1, datagrams_out: 2, bytes_out: 3, unreadable: 4, not_sent: 5 };
+    let (lines, json) = report::of(&member, traffic, now);
+    assert_eq!(lines.replace('\r', ""), include_str!("../../../tests/fixtures/reports/fleet.txt"));
+    assert_eq!(json + "\n", include_str!("../../../tests/fixtures/reports/fleet.json"));
+}
--- a/src/planner/operator/fleet/tests.rs
+++ b/src/planner/operator/fleet/tests.rs
@@ -90,3 +90,11 @@
     let names: Vec<String> = (0..23).map(|number| format!("f-{number}")).collect();
     assert!(named(&names).ends_with("f-19 and 3 more"), "{}", named(&names));
 }
+
+/// Operators' programs read them.
+#[test]
+fn text_and_json_of_a_fleet_are_written_as_they_were() {
+    let fleet = fleet(vec![(5, vec![initiator("a", true, 5, None), initiator("b", false, 4, Some(5))])]);
+    assert_eq!(fleet.text(), include_str!("../../../../tests/fixtures/reports/planner-fleet.txt"));
+    assert_eq!(fleet.json() + "\n", include_str!("../../../../tests/fixtures/reports/planner-fleet.json"));
+}
--- a/src/vrrp/speaker/tests.rs
+++ b/src/vrrp/speaker/tests.rs
@@ -122,3 +122,29 @@
         assert_eq!(Advertisement::read(&packet[..length], path).unwrap().0.priority, 0);
     });
 }
+
+/// Operators' programs read them.
+#[test]
+fn lines_and_json_for_operators_are_written_as_they_were() {
+    use crate::vrrp::report::{RouterReport, Snapshot};
+    let report = RouterReport {
+        name: "front".into(),
+        vrid: 51,
+        state: "active",
+        priority: 90,
+        configured_priority: 100,
+        addresses: vec!["192.0.2.7".parse().unwrap(), "fe80::7".parse().unwrap()],
+        duty: "serving",
+        open_requests: 6,
+        active_down_ms: None,
+        adver_ms: Some(11),
+        active_interval_ms: 12,
+        interval_ms: 13,
+        skew_us: 14,
+        statistics: crate::vrrp::routers::Statistics::default().counts(),
+    };
+    let (holds, errors) = (vec!["discovery"], crate::vrrp::routers::Errors::default().counts());
+    let snapshot = Snapshot { routers: vec![report], holds, errors, rate_share: 0.25, burst_share: 0.5 };
+    assert_eq!(snapshot.json() + "\n", include_str!("../../../tests/fixtures/reports/vrrp.json"));
+    assert_eq!(snapshot.lines().replace('\r', ""), include_str!("../../../tests/fixtures/reports/vrrp.txt"));
+}
