--- a/lab/src/capacity/meter.rs
+++ b/lab/src/capacity/meter.rs
@@ -20,7 +20,7 @@
 
 /// Resident memory of a process, in bytes.
 pub fn resident(process: u32) -> Result<f64, String> {
-    topazpath::process::resident(process)
+    topazpath::process::resident_memory(process)
         .map(|bytes| bytes as f64)
         .ok_or_else(|| format!("process {process} is gone, or the system doesn't tell its memory"))
 }
@@ -38,7 +38,7 @@
 /// An error if this process may not have as many descriptors as a size asks for.
 pub fn need_descriptors(count: usize) -> Result<(), String> {
     let most =
-        topazpath::process::most_descriptors().ok_or("the system doesn't tell the descriptors allowed")?;
+        topazpath::process::max_descriptors().ok_or("the system doesn't tell the descriptors allowed")?;
     check_descriptors(count, most)
 }
 
--- a/lab/src/hollow/mod.rs
+++ b/lab/src/hollow/mod.rs
@@ -27,7 +27,7 @@
 use serde::Serialize;
 use serde_json::{json, Value};
 use std::sync::atomic::{AtomicUsize, Ordering};
-use topazpath::process::{most_descriptors, resident};
+use topazpath::process::{max_descriptors, resident_memory};
 
 /// Regions of the fleet, and planners, one in each.
 pub const REGIONS: usize = 3;
@@ -188,11 +188,7 @@
             let names: Vec<&str> = scenes::ALL.iter().map(|(name, _)| *name).collect();
             return Err(format!("--only {name}: one of {} is allowed", names.join(", ")));
         }
-        self.fits(
-            most_descriptors().unwrap_or(usize::MAX),
-            megabytes("MemTotal:"),
-            megabytes("MemAvailable:"),
-        )
+        self.fits(max_descriptors().unwrap_or(usize::MAX), megabytes("MemTotal:"), megabytes("MemAvailable:"))
     }
 
     /// Whether the machine has enough descriptors, and memory in all and to spare, for this size.
@@ -401,7 +397,7 @@
 /// Bytes that this process and others use.
 fn memory(processes: impl Iterator<Item = u32>) -> f64 {
     let all = processes.chain([std::process::id()]);
-    all.filter_map(resident).sum::<usize>() as f64 / 1048576.0
+    all.filter_map(resident_memory).sum::<usize>() as f64 / 1048576.0
 }
 
 #[cfg(test)]
--- a/lab/src/hollow/processes.rs
+++ b/lab/src/hollow/processes.rs
@@ -97,7 +97,7 @@
         });
         let mut worker = Worker { process, hollow, empty_bytes: 0, input, seen };
         worker.status()?;
-        worker.empty_bytes = topazpath::process::resident(worker.process.id()).unwrap_or(0);
+        worker.empty_bytes = topazpath::process::resident_memory(worker.process.id()).unwrap_or(0);
         Ok(worker)
     }
 
--- a/lab/src/hollow/scenes/rest.rs
+++ b/lab/src/hollow/scenes/rest.rs
@@ -8,7 +8,7 @@
 use serde_json::{json, Value};
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
-use topazpath::process::resident;
+use topazpath::process::resident_memory;
 
 /// What an initiator may spend on control: part of a core, memory in megabytes, bytes a second.
 const PROCESSOR: f64 = 0.032;
@@ -103,7 +103,7 @@
     let aside = rig.sizes.aside();
     let of_hollow = bytes(&before, &after, &[0], &[HOLLOW_ASIDE], seconds);
     let of_real = bytes(&before, &after, &[aside], &[REAL_ASIDE], seconds);
-    let memory = |process: u32| resident(process).unwrap_or(0) as f64 / MEGABYTE;
+    let memory = |process: u32| resident_memory(process).unwrap_or(0) as f64 / MEGABYTE;
     let in_workers: f64 = rig
         .workers
         .iter()
--- a/lab/src/planners/simulation.rs
+++ b/lab/src/planners/simulation.rs
@@ -318,5 +318,5 @@
 
 /// Megabytes that this process uses.
 fn resident() -> f64 {
-    topazpath::process::resident(std::process::id()).map_or(0.0, |bytes| bytes as f64 / 1_048_576.0)
+    topazpath::process::resident_memory(std::process::id()).map_or(0.0, |bytes| bytes as f64 / 1_048_576.0)
 }
--- a/src/config/iscsi.rs
+++ b/src/config/iscsi.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 /// Bytes of the largest transfer: what a value of the other wire holds.
-const MOST_BYTES: usize = 64 * 1024;
+const MAX_TRANSFER_BYTES: usize = 64 * 1024;
 
 /// The second front as configured.
 #[derive(Clone, Debug, PartialEq)]
@@ -53,7 +53,7 @@
     /// Bytes of a block.
     pub block_bytes: u32,
     /// Most bytes of a transfer.
-    pub most_bytes: usize,
+    pub max_transfer_bytes: usize,
     /// Its number at the storage that holds it.
     pub storage_lun: u16,
     unit_bytes: u32,
@@ -81,7 +81,7 @@
     /// Another size of the largest request, in units.
     pub(crate) fn set_largest(&mut self, largest: f64) {
         for unit in self.exports.iter_mut().flat_map(|export| export.units.values_mut()) {
-            unit.most_bytes = most_bytes(largest, unit.unit_bytes);
+            unit.max_transfer_bytes = max_transfer_bytes(largest, unit.unit_bytes);
         }
     }
 }
@@ -173,7 +173,7 @@
         settings: &mut Settings,
         wire: &mut Wire,
     ) -> Result<Option<Iscsi>, String> {
-        match super::read_if_there(path)? {
+        match super::read_optional(path)? {
             Some(text) => Iscsi::parse(&text, settings, wire),
             None => Ok(None),
         }
@@ -237,7 +237,7 @@
         hosts: unit.hosts.into(),
         blocks: unit.blocks,
         block_bytes: unit.block_bytes,
-        most_bytes: most_bytes(settings.units.largest, unit.unit_bytes),
+        max_transfer_bytes: max_transfer_bytes(settings.units.largest, unit.unit_bytes),
         storage_lun: unit.storage_lun.unwrap_or(unit.lun),
         unit_bytes: unit.unit_bytes,
         names: Names { classes: Vec::new(), plan: unit.plan },
@@ -245,21 +245,26 @@
 }
 
 /// Bytes of the largest transfer, given the units of the largest request and the bytes of one unit.
-fn most_bytes(largest: f64, unit_bytes: u32) -> usize {
-    ((largest * f64::from(unit_bytes)) as usize).min(MOST_BYTES)
+fn max_transfer_bytes(largest: f64, unit_bytes: u32) -> usize {
+    ((largest * f64::from(unit_bytes)) as usize).min(MAX_TRANSFER_BYTES)
 }
 
 /// The class of writes to a storage: that stated, but repeatable only as far as the storage drops repeats.
-fn write_class(stated: usize, storage: &FileStorage, settings: &mut Settings, wire: &mut Wire) -> usize {
+fn write_class(
+    wanted_class: usize,
+    storage: &FileStorage,
+    settings: &mut Settings,
+    wire: &mut Wire,
+) -> usize {
     let window = Duration::from_millis(storage.drops_repeats_ms);
     let effect = if window.is_zero() { Effect::Unsafe } else { Effect::Keyed(Group::Shard) };
-    let wanted = Class { effect, window, ..settings.classes[stated].clone() };
+    let wanted = Class { effect, window, ..settings.classes[wanted_class].clone() };
     // A class of the same name and terms serves all storage alike.
-    let same =
-        |class: usize| settings.classes[class] == wanted && wire.classes[class] == wire.classes[stated];
-    (0..settings.classes.len()).find(|class| same(*class)).unwrap_or_else(|| {
+    let matches =
+        |class: usize| settings.classes[class] == wanted && wire.classes[class] == wire.classes[wanted_class];
+    (0..settings.classes.len()).find(|class| matches(*class)).unwrap_or_else(|| {
         settings.classes.push(wanted);
-        wire.classes.push(wire.classes[stated].clone());
+        wire.classes.push(wire.classes[wanted_class].clone());
         settings.classes.len() - 1
     })
 }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -54,7 +54,7 @@
     /// For the decisions, as in force.
     pub settings: Settings,
     /// For the decisions, as the configuration itself states them.
-    pub stated: Settings,
+    pub configured_settings: Settings,
     /// For the wire.
     pub wire: Wire,
     /// The second front, where it is switched on.
@@ -160,12 +160,12 @@
         }
         config.vrrp =
             vrrp::settings::Settings::read(vrrp).map_err(|why| format!("{}: {why}", vrrp.display()))?;
-        let part = read_if_there(fleet)
+        let fleet_settings = read_optional(fleet)
             .and_then(|text| text.map_or(Ok(None), |text| fleet::settings::Settings::parse(&text)))
             .map_err(|why| format!("{}: {why}", fleet.display()))?;
         if config.wire.peers {
-            config.fleet = part;
-        } else if part.is_some() {
+            config.fleet = fleet_settings;
+        } else if fleet_settings.is_some() {
             tracing::warn!("{}: off, since the settings forbid talk between initiators", fleet.display());
         }
         if config.vrrp.is_some() && !config.planners.is_empty() {
@@ -189,7 +189,7 @@
             ("listen", self.listen != new.listen),
             ("control", self.control != new.control),
             ("limits", (self.cores, self.sockets, self.memory) != (new.cores, new.sockets, new.memory)),
-            ("settings", self.stated != new.stated || self.wire != new.wire),
+            ("settings", self.configured_settings != new.configured_settings || self.wire != new.wire),
             ("the second front", self.iscsi != new.iscsi),
             ("planners", (&self.planners, self.partitions) != (&new.planners, new.partitions)),
             ("live configuration", self.live_configuration != new.live_configuration),
@@ -240,7 +240,7 @@
                 conn_idle: millis("conn_idle_ms", wire.limits.conn_idle_ms)?,
                 peers: wire.limits.peers,
             },
-            stated: settings.clone(),
+            configured_settings: settings.clone(),
             settings,
             iscsi: None,
             planners: Vec::new(),
@@ -275,7 +275,7 @@
 
 impl RemotePlanners {
     fn read(path: &Path) -> Result<Self, String> {
-        let text = read_if_there(path)?;
+        let text = read_optional(path)?;
         text.map_or_else(|| Ok(RemotePlanners::default()), |text| RemotePlanners::parse(&text))
     }
 
@@ -298,7 +298,7 @@
     }
 }
 
-fn read_if_there(path: &Path) -> Result<Option<String>, String> {
+fn read_optional(path: &Path) -> Result<Option<String>, String> {
     match std::fs::read_to_string(path) {
         Err(error) if error.kind() == std::io::ErrorKind::NotFound => Ok(None),
         other => other.map(Some).map_err(|error| error.to_string()),
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -61,12 +61,12 @@
 #[test]
 fn live_configuration_is_off_where_initiators_may_not_talk() {
     let on = format!("{ENABLED}configuration = true");
-    let may = read_files("config-peers", true, &on).unwrap();
-    assert!(may.live_configuration);
-    let may_not = read_files("config-no-peers", false, &on).unwrap();
-    assert!(!may_not.live_configuration);
-    assert_eq!(may.names(), Names { classes: vec!["read".into()], plans: vec!["base".into()] });
+    let with_peers = read_files("config-peers", true, &on).unwrap();
+    assert!(with_peers.live_configuration);
+    let without_peers = read_files("config-no-peers", false, &on).unwrap();
+    assert!(!without_peers.live_configuration);
+    assert_eq!(with_peers.names(), Names { classes: vec!["read".into()], plans: vec!["base".into()] });
     let off = read_files("config-off", true, ENABLED).unwrap();
-    assert_eq!(may.fixed_changes(&off), ["live configuration"]);
-    assert_eq!(off.stated, off.settings);
+    assert_eq!(with_peers.fixed_changes(&off), ["live configuration"]);
+    assert_eq!(off.configured_settings, off.settings);
 }
--- a/src/control/endpoint.rs
+++ b/src/control/endpoint.rs
@@ -1,6 +1,6 @@
 //! The operators' listener and its few connections, one call each.
 
-use super::{parse, reply, Call, LONGEST_LINE};
+use super::{parse, reply, Call, MAX_LINE_BYTES};
 use crate::conn::Conn;
 use crate::listener::{Accepted, Listener, Pending};
 use mio::{Registry, Token};
@@ -9,15 +9,15 @@
 use std::time::{Duration, Instant};
 
 /// Callers at a time. Beyond it the one that has come first makes room: it is the slowest.
-const MOST_CALLERS: usize = 8;
+const MAX_CALLERS: usize = 8;
 /// Callers accepted in one turn of the loop.
-const MOST_ACCEPTED: usize = 64;
+const MAX_ACCEPTED_PER_ITERATION: usize = 64;
 /// A caller that has not said a whole call by then is told so.
-const PATIENCE: Duration = Duration::from_secs(5);
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 /// A caller that does not read its answer, or does not close, is closed after this.
-const LAST_WORDS: Duration = Duration::from_secs(1);
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
 /// Descriptors that the endpoint may take up.
-pub const DESCRIPTORS: usize = MOST_CALLERS + 1;
+pub const DESCRIPTORS: usize = MAX_CALLERS + 1;
 
 struct Caller {
     conn: Conn,
@@ -74,7 +74,7 @@
     /// When [`AdminEndpoint::turn`] has something to do.
     pub fn next_timer(&self, now: Instant) -> Option<Instant> {
         let end = |caller: &Caller| {
-            caller.answered.map_or(caller.since + PATIENCE, |answered| answered + LAST_WORDS)
+            caller.answered.map_or(caller.since + CALL_TIMEOUT, |answered| answered + CLOSE_TIMEOUT)
         };
         let accept_at = self.listener.accept_at(now).filter(|_| self.accepts);
         self.callers.values().map(end).chain(accept_at).min()
@@ -82,14 +82,14 @@
 
     /// Its part of a turn of the loop: lets callers in and closes who is slow. What was called is returned; each is
     /// owed one [`AdminEndpoint::reply`].
-    pub fn turn(
+    pub fn run(
         &mut self,
         now: Instant,
         registry: &Registry,
         mut next: impl FnMut() -> Token,
     ) -> Vec<(usize, Call)> {
         let mut calls = Vec::new();
-        for _ in 0..MOST_ACCEPTED {
+        for _ in 0..MAX_ACCEPTED_PER_ITERATION {
             if !self.accepts || !self.listener.is_due(now) {
                 break;
             }
@@ -102,7 +102,7 @@
                 }
             };
             // Guards callers against those that hold connections and say nothing.
-            while self.callers.len() >= MOST_CALLERS {
+            while self.callers.len() >= MAX_CALLERS {
                 self.callers.pop_first();
             }
             let token = next();
@@ -113,16 +113,16 @@
             }
         }
         let slow: Vec<usize> =
-            self.callers.iter().filter(|(_, it)| now - it.since >= PATIENCE).map(|(id, _)| *id).collect();
+            self.callers.iter().filter(|(_, it)| now - it.since >= CALL_TIMEOUT).map(|(id, _)| *id).collect();
         slow.into_iter().for_each(|id| self.reply(now, id, &Err("no whole line came".into())));
-        self.callers.retain(|_, it| it.answered.is_none_or(|answered| now - answered < LAST_WORDS));
+        self.callers.retain(|_, it| it.answered.is_none_or(|answered| now - answered < CLOSE_TIMEOUT));
         calls
     }
 
     /// Something happened on a caller's connection; it may be a call.
     pub fn ready(&mut self, now: Instant, id: usize) -> Option<Call> {
         let caller = self.callers.get_mut(&id)?;
-        let end = caller.conn.read(LONGEST_LINE);
+        let end = caller.conn.read(MAX_LINE_BYTES);
         if caller.answered.is_some() {
             // Guards the answer: what comes after the call would reset the connection if it was left unread.
             caller.conn.consume(caller.conn.input.len());
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -4,7 +4,7 @@
 pub mod endpoint;
 
 /// A line is not longer, its end included.
-pub const LONGEST_LINE: usize = 256;
+pub const MAX_LINE_BYTES: usize = 256;
 
 /// One call.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -23,10 +23,10 @@
 
 /// Reads what has come so far: nothing while the line has no end.
 pub fn parse(input: &[u8]) -> Option<Result<Call, String>> {
-    let line = match input.iter().take(LONGEST_LINE).position(|byte| *byte == b'\n') {
+    let line = match input.iter().take(MAX_LINE_BYTES).position(|byte| *byte == b'\n') {
         Some(end) => &input[..end],
-        None if input.len() >= LONGEST_LINE => {
-            return Some(Err(format!("the line is longer than {LONGEST_LINE} bytes")));
+        None if input.len() >= MAX_LINE_BYTES => {
+            return Some(Err(format!("the line is longer than {MAX_LINE_BYTES} bytes")));
         }
         None => return None,
     };
--- a/src/control/tests.rs
+++ b/src/control/tests.rs
@@ -14,7 +14,7 @@
         assert!((0..=end).all(|cut| parse(&line.as_bytes()[..cut]).is_none()), "{line:?} cut short");
         assert_eq!(parse(line.as_bytes()), Some(Ok(call)), "{line:?}");
     }
-    let long = [&b"disable-server "[..], &[b'x'; LONGEST_LINE]].concat();
+    let long = [&b"disable-server "[..], &[b'x'; MAX_LINE_BYTES]].concat();
     for bad in [
         &b"\n"[..],
         b"Ready\n",
@@ -33,7 +33,7 @@
 proptest::proptest! {
     #[test]
     fn any_bytes_end_in_an_answer_of_one_line(bytes: Vec<u8>) {
-        let padded = [&bytes[..], &[b'x'; LONGEST_LINE]].concat();
+        let padded = [&bytes[..], &[b'x'; MAX_LINE_BYTES]].concat();
         let answer = reply(&parse(&padded).unwrap().map(|call| format!("{call:?}")));
         proptest::prop_assert!(answer.starts_with(b"200 ") || answer.starts_with(b"400 "));
         proptest::prop_assert_eq!(answer.iter().filter(|byte| **byte == b'\n').count(), 1);
--- a/src/forwarder/configuration/tests.rs
+++ b/src/forwarder/configuration/tests.rs
@@ -149,7 +149,7 @@
     let again = Duration::from_millis(120);
     assert_eq!(forwarder.resp.protocol_mut().retry_after, again);
     let (offered, retry_after) = forwarder.iscsi.as_mut().unwrap().protocol_mut().figures();
-    assert_eq!((offered.exports[0].units[&0].most_bytes, retry_after), (7 * 4096, again));
+    assert_eq!((offered.exports[0].units[&0].max_transfer_bytes, retry_after), (7 * 4096, again));
     let deadline = forwarder.clock.unix(Instant::now()) + Duration::from_secs(1);
     let new = NewRequest { deadline, ..NewRequest::default() };
     forwarder.core.take(Origin { conn: 1, place: 0 }, new, content()).unwrap();
@@ -222,7 +222,7 @@
     let (now, late) = (Instant::now(), Instant::now() + Duration::from_secs(50));
     let attempt = AttemptId { request: RequestId(1), number: 0 };
     let content = std::rc::Rc::new(content());
-    forwarder.carry_out(now, Effect::Start { attempt, node, content, give_up_at: late, begin_by: late });
+    forwarder.apply_effect(now, Effect::Start { attempt, node, content, give_up_at: late, begin_by: late });
     let base = forwarder.config.settings.clone();
     let prepared = prepare(&forwarder, &base, 1, "nodes_out = ['s-1']");
     forwarder.take_over_configuration(now, &prepared).unwrap();
@@ -240,6 +240,6 @@
     let now = Instant::now();
     let registry = forwarder.poll.registry().try_clone().unwrap();
     forwarder.planners.as_mut().unwrap().tick(now, &registry);
-    forwarder.plan(now);
+    forwarder.run_planner(now);
     assert!(forwarder.planners.as_ref().unwrap().next_timer() > now);
 }
--- a/src/forwarder/gather.rs
+++ b/src/forwarder/gather.rs
@@ -2,7 +2,7 @@
 
 use super::readiness::{Readiness, Ready};
 use super::{
-    drained, Forwarder, ADMIN_LISTENER, ADVERTISEMENTS, FLEET, ISCSI_LISTENER, LISTENER, RELOAD, SIGNAL,
+    drain_signal, Forwarder, ADMIN_LISTENER, ADVERTISEMENTS, FLEET, ISCSI_LISTENER, LISTENER, RELOAD, SIGNAL,
     UPGRADE,
 };
 use crate::fleet;
@@ -25,7 +25,7 @@
                 self.gather(now, token, ready);
             }
             for effect in self.core.drain_effects() {
-                self.carry_out(now, effect);
+                self.apply_effect(now, effect);
             }
         }
     }
@@ -45,17 +45,17 @@
             FLEET => self.fleet.iter_mut().for_each(fleet::speaker::Speaker::ready),
             token if ADVERTISEMENTS.contains(&token) => {}
             SIGNAL => {
-                if drained(&mut self.signal) {
+                if drain_signal(&mut self.signal) {
                     tracing::info!("asked to end");
-                    self.with_addresses(|addresses, lent| addresses.end_soon(now, lent));
+                    self.with_addresses(|addresses, context| addresses.resign(now, context));
                     self.fleet.iter_mut().for_each(|fleet| fleet.leave(now));
-                    self.fleet_again = None;
+                    self.rejoin_fleet_at = None;
                     self.state.end(now);
                     self.publish_service_state();
                 }
             }
             RELOAD => {
-                if drained(&mut self.reload) {
+                if drain_signal(&mut self.reload) {
                     self.reload(now);
                 }
             }
@@ -80,10 +80,10 @@
                 (Some(Kind::Operator), _) => {}
                 (Some(Kind::Upgrade), _) => {
                     let heard = self.upgrade.ready(id);
-                    self.hear(now, heard);
+                    self.handle_upgrade_events(now, heard);
                 }
                 (Some(Kind::Discovery), _) => {
-                    if let Some(news) = self.discovery.ready(now, self.came, token) {
+                    if let Some(news) = self.discovery.ready(now, self.arrived_since, token) {
                         let kind = news.message.kind();
                         // A drain's grace runs from its announcement, however late this loop reads it.
                         self.take_list(news, kind);
--- a/src/forwarder/mod.rs
+++ b/src/forwarder/mod.rs
@@ -25,7 +25,7 @@
 use crate::placement::Placement;
 use crate::planner::client::{self, Planners};
 use crate::planner::Planner;
-use crate::service::addresses::{Addresses, Lent, Seen};
+use crate::service::addresses::{Addresses, Conditions, LoopContext};
 use crate::service::State;
 use crate::target::Targets;
 use crate::tokens::{Kind, Tokens};
@@ -35,7 +35,7 @@
 use readiness::Readiness;
 use std::io::Read;
 use std::time::{Duration, Instant};
-use turns::{Turns, Work};
+use turns::{LoopStats, Work};
 
 const LISTENER: Token = Token(0);
 const SIGNAL: Token = Token(1);
@@ -47,18 +47,18 @@
 /// Where advertisements come in, at most one interface for each family.
 const ADVERTISEMENTS: [Token; 2] = [Token(5), Token(6)];
 /// Part of the descriptors that clients may have requests waiting on: three fifths of the third that they hold.
-const HELD_SOCKETS: usize = 5;
+const QUEUED_DESCRIPTOR_DIVISOR: usize = 5;
 /// Part of that which one connection may have waiting, and how many commands at most. Guards against a client that sends
 /// all it has at once: beyond the whole the deepest in need is refused, whoever asked.
-const CONNECTION_PART: usize = 4;
-const MOST_PENDING: usize = 64;
+const PIPELINE_DIVISOR: usize = 4;
+const MAX_PIPELINED: usize = 64;
 /// This long after a request is due in the core its client has given up: no value that is still to be read is worth
 /// anything. Before that one may come in the same turn.
-const WORTHLESS_AFTER: Duration = Duration::from_millis(6);
+const OVERDUE_GRACE: Duration = Duration::from_millis(6);
 /// How soon a fleet is joined again whose address was not free.
-const JOIN_PAUSE: Duration = Duration::from_millis(10);
+const FLEET_RETRY_DELAY: Duration = Duration::from_millis(10);
 /// How often a shutdown looks for clients that have become idle.
-const SHUTDOWN_LOOK: Duration = Duration::from_millis(20);
+const SHUTDOWN_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// One initiator.
 pub struct Forwarder {
@@ -81,26 +81,26 @@
     /// Membership among initiators, where they may talk.
     fleet: Option<fleet::speaker::Speaker>,
     /// When it is to be joined again: the address may still be that of a process that has just died.
-    fleet_again: Option<Instant>,
+    rejoin_fleet_at: Option<Instant>,
     /// Where operators call.
     admin: Option<AdminEndpoint>,
     /// The process that took over has the operators' listener.
-    admin_given: bool,
+    admin_handed_over: bool,
     /// Whether it takes clients.
     state: State,
     /// Other processes of this initiator, while one takes the place of another.
     upgrade: Upgrade,
     /// Descriptors and bytes of memory that the one before still holds.
-    held: (usize, usize),
+    predecessor_usage: (usize, usize),
     files: Files,
     /// What is in force, but for the list known at the start.
     config: Config,
     signal: UnixStream,
     reload: UnixStream,
     tokens: Tokens,
-    turns: Turns,
+    loop_stats: LoopStats,
     /// What is ready in this turn came at this moment at the earliest.
-    came: Instant,
+    arrived_since: Instant,
     next_report: Instant,
 }
 
@@ -108,7 +108,7 @@
     /// Runs until all is answered after a signal to end.
     pub fn run(&mut self) -> std::io::Result<()> {
         let mut ready = Readiness::new();
-        self.plan(Instant::now());
+        self.run_planner(Instant::now());
         let mut pace = Pace::new(self.config.settings.tick, self.config.cores, Instant::now());
         loop {
             let now = Instant::now();
@@ -128,34 +128,34 @@
                 other => other?,
             }
             let now = Instant::now();
-            self.turns.begin(now);
+            self.loop_stats.begin(now);
             let late = pace.woken(now);
             let stopped = pace.may_have_been_stopped(now);
             if stopped {
                 // Guards what has come by now against timers that are due by now: it may have come after the wait.
-                ready.look_again(&mut self.poll)?;
+                ready.poll_again(&mut self.poll)?;
             }
             self.core.is_late_by(late);
-            self.report_turns(now);
-            self.came = now.checked_sub(pace.waited()).unwrap_or(now);
-            self.resp.begin_turn(self.came, stopped);
-            self.iscsi.iter_mut().for_each(|front| front.begin_turn(self.came, stopped));
-            self.answer_what_is_over(now);
-            self.count();
+            self.report_loop(now);
+            self.arrived_since = now.checked_sub(pace.waited()).unwrap_or(now);
+            self.resp.begin_turn(self.arrived_since, stopped);
+            self.iscsi.iter_mut().for_each(|front| front.begin_turn(self.arrived_since, stopped));
+            self.answer_overdue_requests(now);
+            self.update_sizes();
             if let Some(addresses) = &mut self.addresses {
                 // A process that was stopped, or waits for the processor, wakes late.
-                addresses.turned(now.saturating_duration_since(due));
-                self.serve(now, &ready);
+                addresses.record_iteration(now.saturating_duration_since(due));
+                self.run_addresses(now, &ready);
             }
             self.answer_operators(now, &ready);
-            self.turns.spent_on(Work::Upkeep);
+            self.loop_stats.record(Work::Other);
             self.gather_all(now, &ready);
-            self.turns.spent_on(Work::Hearing);
-            self.take_part(now, late.max(now.saturating_duration_since(due)));
-            self.turns.spent_on(Work::Upkeep);
-            self.turn(now);
-            self.turns.spent_on(Work::Hearing);
-            self.hand_over(now);
+            self.loop_stats.record(Work::Input);
+            self.run_fleet(now, late.max(now.saturating_duration_since(due)));
+            self.loop_stats.record(Work::Other);
+            self.run_fronts(now);
+            self.loop_stats.record(Work::Input);
+            self.run_upgrade(now);
             self.core.fire(now);
             self.targets.tick(now);
             self.discovery.tick(now, self.poll.registry());
@@ -166,42 +166,46 @@
                 }
             }
             self.follow_configuration(now);
-            self.turns.spent_on(Work::Upkeep);
-            self.plan(now);
-            self.turns.spent_on(Work::Deciding);
+            self.loop_stats.record(Work::Other);
+            self.run_planner(now);
+            self.loop_stats.record(Work::Decisions);
             if self.state.ending().is_some_and(|since| self.shut_down(now, now - since)) {
                 self.upgrade.end();
                 tracing::info!("ended\n{}", self.core.info());
                 return Ok(());
             }
             if let Some(addresses) = &mut self.addresses {
-                addresses.turned(now.elapsed());
+                addresses.record_iteration(now.elapsed());
             }
-            self.turns.end();
+            self.loop_stats.end();
         }
     }
 
     /// Answers first whose clients' time is over, before anything is read: a loop that is behind is not to be late with
     /// everything.
-    fn answer_what_is_over(&mut self, now: Instant) {
-        self.core.answer_overdue(now.checked_sub(WORTHLESS_AFTER).unwrap_or(now));
+    fn answer_overdue_requests(&mut self, now: Instant) {
+        self.core.answer_overdue(now.checked_sub(OVERDUE_GRACE).unwrap_or(now));
         for effect in self.core.drain_effects() {
-            self.carry_out(now, effect);
+            self.apply_effect(now, effect);
         }
     }
 
     /// Follows the addresses that move, before anything else that is ready.
-    fn serve(&mut self, now: Instant, ready: &Readiness) {
+    fn run_addresses(&mut self, now: Instant, ready: &Readiness) {
         let came: Vec<bool> = ADVERTISEMENTS.iter().map(|token| ready.contains(*token)).collect();
         let discovery = self.discovery.heard();
         let ready_nodes = self.nodes.ready();
-        let (crowded, memory) = (self.resp.is_crowded(now), self.config.memory);
-        self.with_addresses(|addresses, lent| {
+        let (descriptors_used_up, memory) = (self.resp.is_crowded(now), self.config.memory);
+        self.with_addresses(|addresses, context| {
             for (interface, _) in came.iter().enumerate().filter(|(_, came)| **came) {
                 addresses.ready(interface);
             }
-            addresses.turn(now, lent);
-            addresses.look(now, || Seen { discovery, ready_nodes, crowded, memory }, lent);
+            addresses.run(now, context);
+            addresses.check_conditions(
+                now,
+                || Conditions { discovery, ready_nodes, descriptors_used_up, memory },
+                context,
+            );
         });
     }
 
@@ -215,11 +219,11 @@
     }
 
     /// Its part in the fleet. A process that was stopped, or waits for the processor, doubts itself first.
-    fn take_part(&mut self, now: Instant, late: Duration) {
-        if self.fleet_again.take_if(|at| *at <= now).is_some() {
+    fn run_fleet(&mut self, now: Instant, late: Duration) {
+        if self.rejoin_fleet_at.take_if(|at| *at <= now).is_some() {
             if let Err(why) = self.join_fleet(now, None) {
                 tracing::warn!("{why}");
-                self.fleet_again = Some(now + JOIN_PAUSE);
+                self.rejoin_fleet_at = Some(now + FLEET_RETRY_DELAY);
             }
         }
         let Some(fleet) = &mut self.fleet else { return };
@@ -230,15 +234,15 @@
     }
 
     /// Lends the addresses that move what they need of the rest.
-    fn with_addresses(&mut self, act: impl FnOnce(&mut Addresses, &mut Lent)) {
+    fn with_addresses(&mut self, act: impl FnOnce(&mut Addresses, &mut LoopContext)) {
         if let Some(mut addresses) = self.addresses.take() {
-            act(&mut addresses, &mut self.lend());
+            act(&mut addresses, &mut self.loop_context());
             self.addresses = Some(addresses);
         }
     }
 
-    fn lend(&mut self) -> Lent<'_> {
-        Lent {
+    fn loop_context(&mut self) -> LoopContext<'_> {
+        LoopContext {
             registry: self.poll.registry(),
             core: &mut self.core,
             resp: &mut self.resp,
@@ -260,23 +264,23 @@
         next = self.upgrade.next_timer().map_or(next, |at| next.min(at));
         next = self.admin.as_ref().and_then(|admin| admin.next_timer(now)).map_or(next, |at| next.min(at));
         next = self.fleet.as_ref().and_then(|it| it.next_timer(now)).map_or(next, |at| next.min(at));
-        next = self.fleet_again.map_or(next, |at| next.min(at));
+        next = self.rejoin_fleet_at.map_or(next, |at| next.min(at));
         next = self.planners.as_ref().map_or(next, |planners| next.min(planners.next_timer()));
-        if self.core.has_news() || self.targets.has_news() {
+        if self.core.has_news() || self.targets.has_results() {
             // The last turn was long, and left it to this one.
             return now;
         }
         match self.state.ending() {
-            Some(_) => next.min(now + SHUTDOWN_LOOK),
+            Some(_) => next.min(now + SHUTDOWN_CHECK_INTERVAL),
             None => next,
         }
     }
 
     /// Tells the fronts what the state of service means for clients.
     fn publish_service_state(&mut self) {
-        let standing = self.state.standing();
-        self.resp.follow_service_state(standing);
-        self.iscsi.iter_mut().for_each(|front| front.follow_service_state(standing));
+        let policy = self.state.client_policy();
+        self.resp.follow_service_state(policy);
+        self.iscsi.iter_mut().for_each(|front| front.follow_service_state(policy));
     }
 
     /// Reads the configuration again and takes over what can change without a restart. Guards against a file that
@@ -295,7 +299,7 @@
             tracing::warn!("a change of {what} needs a restart");
         }
         if let Some(vrrp) = new.vrrp {
-            self.with_addresses(|addresses, lent| addresses.change(now, vrrp, lent));
+            self.with_addresses(|addresses, context| addresses.reconfigure(now, vrrp, context));
         }
         self.config.discovery = new.discovery;
         let token = self.tokens.next(Kind::Discovery);
@@ -303,7 +307,7 @@
     }
 
     /// What the fronts do in each turn of the loop.
-    fn turn(&mut self, now: Instant) {
+    fn run_fronts(&mut self, now: Instant) {
         let (registry, tokens, core) = (self.poll.registry(), &mut self.tokens, &mut self.core);
         self.resp.turn(now, registry, || tokens.next(Kind::RespClient), core);
         if let Some(front) = &mut self.iscsi {
@@ -313,25 +317,25 @@
 
     /// Takes a list from discovery.
     fn take_list(&mut self, news: News, kind: ListKind) {
-        self.turns.spent_on(Work::Hearing);
+        self.loop_stats.record(Work::Input);
         let (event, gone) = self.nodes.take(news, kind);
         tracing::trace!(?event, "node list");
-        gone.into_iter().for_each(|node| self.targets.leave(node));
+        gone.into_iter().for_each(|node| self.targets.remove_node(node));
         self.close_draining(&event);
         self.core.tell(event);
-        self.turns.spent_on(Work::Lists);
+        self.loop_stats.record(Work::NodeLists);
     }
 
     /// Nothing begins at the draining nodes of a message once their grace is over.
     fn close_draining(&mut self, message: &Event) {
         for (node, closes) in self.nodes.closing(message, self.config.settings.rules.drain_grace) {
-            self.targets.close_at(node, closes);
+            self.targets.forbid_start_after(node, closes);
         }
     }
 }
 
 /// Takes off what signals have written; true if there was any.
-fn drained(signal: &mut UnixStream) -> bool {
+fn drain_signal(signal: &mut UnixStream) -> bool {
     let mut bytes = [0; 64];
     let mut any = false;
     while signal.read(&mut bytes).is_ok_and(|count| count > 0) {
--- a/src/forwarder/operators.rs
+++ b/src/forwarder/operators.rs
@@ -15,14 +15,14 @@
         let mut calls = Vec::new();
         for Token(id) in ready.iter().map(|(token, _)| token) {
             if Token(id) == ADMIN_LISTENER {
-                admin.connections_pending(self.came);
+                admin.connections_pending(self.arrived_since);
             } else if Kind::of(id) == Some(Kind::Operator) {
                 calls.extend(admin.ready(now, id).map(|call| (id, call)));
             }
         }
-        calls.extend(admin.turn(now, self.poll.registry(), || tokens.next(Kind::Operator)));
+        calls.extend(admin.run(now, self.poll.registry(), || tokens.next(Kind::Operator)));
         for (caller, call) in calls {
-            let outcome = self.obey(now, &call);
+            let outcome = self.execute(now, &call);
             match &outcome {
                 Ok(text) => tracing::info!(?call, "{text}"),
                 Err(why) => tracing::warn!(?call, "not done: {why}"),
@@ -33,19 +33,19 @@
     }
 
     /// Carries out one call of an operator: what is so now, or why not.
-    fn obey(&mut self, now: Instant, call: &Call) -> Result<String, String> {
+    fn execute(&mut self, now: Instant, call: &Call) -> Result<String, String> {
         let unix = self.clock.unix(now);
         match call {
             Call::Ready if self.state.phase() == Phase::Serving => return Ok("ready".into()),
             Call::Ready => return Err(format!("it takes no clients: {}", self.state.phase().name())),
             Call::DisableServer(name) => {
-                self.ban(self.came, unix, name, true)?;
-                self.upgrade.tell_ban(name, unix, true);
+                self.ban(self.arrived_since, unix, name, true)?;
+                self.upgrade.send_ban(name, unix, true);
                 return Ok(format!("{name} gets nothing more"));
             }
             Call::EnableServer(name) => {
-                self.ban(self.came, unix, name, false)?;
-                self.upgrade.tell_ban(name, unix, false);
+                self.ban(self.arrived_since, unix, name, false)?;
+                self.upgrade.send_ban(name, unix, false);
                 return Ok(format!("{name} may serve"));
             }
             Call::Drain => self.state.drain(now)?,
--- a/src/forwarder/readiness.rs
+++ b/src/forwarder/readiness.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 /// Connections that one look finds ready: what comes of nodes is read at once, clients are heard in their turn.
-const MOST_EVENTS: usize = 1024;
+const MAX_EVENTS: usize = 1024;
 
 /// What a connection is ready for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -40,7 +40,7 @@
 impl Readiness {
     /// Nothing yet.
     pub fn new() -> Readiness {
-        Readiness { events: Events::with_capacity(MOST_EVENTS), ready: Vec::new() }
+        Readiness { events: Events::with_capacity(MAX_EVENTS), ready: Vec::new() }
     }
 
     /// Waits until something is ready, or for so long.
@@ -60,7 +60,7 @@
     /// # Errors
     ///
     /// The system can't look.
-    pub fn look_again(&mut self, poll: &mut Poll) -> Result<()> {
+    pub fn poll_again(&mut self, poll: &mut Poll) -> Result<()> {
         match poll.poll(&mut self.events, Some(Duration::ZERO)) {
             // What is ready is found in the next turn.
             Err(error) if error.kind() == ErrorKind::Interrupted => return Ok(()),
--- a/src/forwarder/readiness/tests.rs
+++ b/src/forwarder/readiness/tests.rs
@@ -20,7 +20,7 @@
     readiness.wait(&mut poll, Duration::from_secs(20)).unwrap();
     two.write_all(b"x").unwrap();
     assert!(readiness.contains(Token(1)) && !readiness.contains(Token(2)));
-    readiness.look_again(&mut poll).unwrap();
+    readiness.poll_again(&mut poll).unwrap();
     let found: Vec<_> = readiness.iter().collect();
     assert_eq!(found, [(Token(1), Ready::Readable), (Token(2), Ready::Readable)]);
     readiness.wait(&mut poll, Duration::ZERO).unwrap();
--- a/src/forwarder/reports.rs
+++ b/src/forwarder/reports.rs
@@ -5,8 +5,8 @@
 use std::time::{Duration, Instant};
 
 /// The part of `INFO` about turns, and how often it is renewed.
-const TURNS_REPORT: &str = "turns";
-const REPORT_EVERY: Duration = Duration::from_millis(250);
+const LOOP_REPORT: &str = "turns";
+const REPORT_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Names of the figures of an accept queue: its length, its limit, the greatest length seen, dropped handshakes.
 const ACCEPT_QUEUE: [&str; 4] =
@@ -25,9 +25,9 @@
 
 impl Forwarder {
     /// How many there are of what `INFO` shows: a count that only grows would end a long day.
-    pub(super) fn count(&mut self) {
+    pub(super) fn update_sizes(&mut self) {
         let iscsi = self.iscsi.as_ref().map_or((0, 0), |front| (front.len(), front.kept()));
-        self.core.counters.answers_spoilt = self.targets.spoilt;
+        self.core.counters.answers_spoilt = self.targets.unreadable;
         self.core.sizes.clear();
         self.core.sizes.extend([
             ("clients", self.resp.len() + iscsi.0),
@@ -40,11 +40,11 @@
     }
 
     /// What turns took and why requests were answered with no, for `INFO`.
-    pub(super) fn report_turns(&mut self, now: Instant) {
+    pub(super) fn report_loop(&mut self, now: Instant) {
         if now < self.next_report {
             return;
         }
-        self.next_report = now + REPORT_EVERY;
+        self.next_report = now + REPORT_INTERVAL;
         let denials = self.planner.denials();
         let reasons = [
             ("denied_no_time_left", denials.no_time_left),
@@ -56,10 +56,10 @@
             self.iscsi.iter().flat_map(|front| accept_queue_rows(front.accept_queue(), ISCSI_ACCEPT_QUEUE)),
         );
         let figures: Vec<(&str, u64)> =
-            self.turns.figures().into_iter().chain(reasons).chain(queues).collect();
+            self.loop_stats.figures().into_iter().chain(reasons).chain(queues).collect();
         let lines = figures.iter().map(|(name, value)| format!("{name}:{value}\r\n")).collect();
         let json =
             serde_json::Map::from_iter(figures.iter().map(|(name, value)| ((*name).into(), (*value).into())));
-        self.core.set_report(TURNS_REPORT, lines, serde_json::Value::Object(json).to_string());
+        self.core.set_report(LOOP_REPORT, lines, serde_json::Value::Object(json).to_string());
     }
 }
--- a/src/forwarder/start.rs
+++ b/src/forwarder/start.rs
@@ -1,10 +1,10 @@
 //! The start of an initiator: files, addresses, what the process before hands over.
 
-use super::budget::{connection_budget, LONG_PART, MOST_ISCSI};
-use super::turns::Turns;
+use super::budget::{connection_budget, LONG_VALUE_MEMORY_DIVISOR, MAX_ISCSI_SESSIONS};
+use super::turns::LoopStats;
 use super::{
-    Forwarder, ADMIN_LISTENER, ADVERTISEMENTS, CONNECTION_PART, HELD_SOCKETS, ISCSI_LISTENER, LISTENER,
-    MOST_PENDING, RELOAD, SIGNAL, UPGRADE,
+    Forwarder, ADMIN_LISTENER, ADVERTISEMENTS, ISCSI_LISTENER, LISTENER, MAX_PIPELINED, PIPELINE_DIVISOR,
+    QUEUED_DESCRIPTOR_DIVISOR, RELOAD, SIGNAL, UPGRADE,
 };
 use crate::clock::Clock;
 use crate::config::{Config, Files};
@@ -24,8 +24,8 @@
 use crate::service::State;
 use crate::target::Targets;
 use crate::tokens::{Kind, Tokens};
-use crate::upgrade::frame::{Carried, Place};
-use crate::upgrade::{self, Before, Upgrade};
+use crate::upgrade::frame::{HandoverState, ListenerAddress};
+use crate::upgrade::{self, Predecessor, Upgrade};
 use mio::net::UnixStream;
 use mio::{Interest, Poll};
 use std::net::SocketAddr;
@@ -37,12 +37,12 @@
     pub fn new(files: Files, signals: Signals) -> Result<Self, String> {
         let mut config = Config::read(&files)?;
         let known = config.known.take();
-        keep_to_descriptors(&mut config);
+        limit_to_system_descriptors(&mut config);
         // Addresses that move and remote planners' shares belong to one process: no second one takes over beside them.
         let alone = config.vrrp.is_some() || !config.planners.is_empty();
-        let place = if alone { None } else { upgrade::meeting_place(config.listen) };
-        let mut before = place.as_deref().and_then(process_before);
-        let mut listen = |at: Place, address: SocketAddr| {
+        let place = if alone { None } else { upgrade::socket_path(config.listen) };
+        let mut before = place.as_deref().and_then(find_predecessor);
+        let mut listen = |at: ListenerAddress, address: SocketAddr| {
             // A port that the system chooses is another one each time.
             let before = before.as_mut().filter(|_| address.port() != 0);
             let inherited = before.and_then(|before| before.listener(at));
@@ -59,9 +59,9 @@
         let (for_targets, room) = connection_budget(&config, (0, 0));
         // Clients hold a third of the descriptors at most, one for each request: what waits here takes so many from
         // those that come next.
-        let most_held = config.sockets / HELD_SOCKETS;
+        let most_held = config.sockets / QUEUED_DESCRIPTOR_DIVISOR;
         config.settings.limits.most_held = Some(most_held);
-        divide_between_routers(&mut config, &files)?;
+        apply_router_shares(&mut config, &files)?;
         let (wire, settings) = (config.wire.clone(), config.settings.clone());
         let mut nodes = Nodes::new(wire.zones.clone());
         let targets = Targets::new(wire.connect_timeout, wire.conn_idle, for_targets, now);
@@ -69,24 +69,29 @@
         let iscsi = config.iscsi.clone().map(|offered| {
             offered.storage.iter().for_each(|storage| nodes.add_own(storage));
             let patience = settings.classes.iter().map(|class| class.deadline).collect();
-            let room =
-                Room { easy: MOST_ISCSI, clients: MOST_ISCSI, crowd: 0, leaving: MOST_ISCSI / 4, ..room };
+            let room = Room {
+                easy: MAX_ISCSI_SESSIONS,
+                clients: MAX_ISCSI_SESSIONS,
+                crowd: 0,
+                leaving: MAX_ISCSI_SESSIONS / 4,
+                ..room
+            };
             let address = offered.listen;
             let target = iscsi::Target::new(offered, patience, retry_after, config.seed);
-            listen(Place::Iscsi(address), address)
+            listen(ListenerAddress::Iscsi(address), address)
                 .and_then(|listener| {
                     Front::new(target, listener, ISCSI_LISTENER, poll.registry(), clock, room)
                 })
                 .map_err(|error| format!("{address}: {error}"))
         });
-        let budget = Budget::new(config.memory / LONG_PART);
-        let most_pending = (most_held / CONNECTION_PART).clamp(1, MOST_PENDING);
+        let budget = Budget::new(config.memory / LONG_VALUE_MEMORY_DIVISOR);
+        let most_pending = (most_held / PIPELINE_DIVISOR).clamp(1, MAX_PIPELINED);
         let resp = resp::Resp { wire, retry_after, most_pending, budget: budget.clone() };
-        let resp = listen(Place::Resp(config.listen), config.listen)
+        let resp = listen(ListenerAddress::Resp(config.listen), config.listen)
             .and_then(|listener| Front::new(resp, listener, LISTENER, poll.registry(), clock, room))
             .map_err(|error| format!("{}: {error}", config.listen))?;
         let admin = config.control.map(|address| {
-            let admin = listen(Place::Control(address), address)
+            let admin = listen(ListenerAddress::Control(address), address)
                 .and_then(|listener| AdminEndpoint::open(listener, ADMIN_LISTENER, poll.registry()));
             admin.map_err(|error| format!("control {address}: {error}"))
         });
@@ -103,17 +108,17 @@
         core.set_classes(&config.settings.classes);
         let (mut state, mut version) = (State::default(), known.as_ref().map(|known| known.index));
         let mut upgrade = Upgrade::new(place, UPGRADE, now);
-        let mut held = (0, 0);
+        let mut predecessor_usage = (0, 0);
         let (mut loaded, mut identity) = (false, None);
         if let Some(before) = before {
             let carried = upgrade.take_over(before, poll.registry(), &mut tokens, now)?;
             if let Some(carried) = carried {
-                let Carried { drained, nodes: listed, list, scheduler, holds, fleet } = *carried;
+                let HandoverState { drained, nodes: listed, list, scheduler, usage, fleet } = *carried;
                 identity = fleet;
                 if drained {
                     state.drain(now)?;
                 }
-                held = holds;
+                predecessor_usage = usage;
                 if let Some(list_event) = nodes.load(now, listed) {
                     (version, loaded) = (list, true);
                     let learned = scheduler.is_some_and(|scheduler| planner.take_over(scheduler));
@@ -143,19 +148,19 @@
             placement: Placement::default(),
             addresses: None,
             fleet: None,
-            fleet_again: None,
+            rejoin_fleet_at: None,
             admin,
-            admin_given: false,
+            admin_handed_over: false,
             state,
             upgrade,
-            held,
+            predecessor_usage,
             files,
             config,
             signal,
             reload,
             tokens,
-            turns: Turns::new(now),
-            came: now,
+            loop_stats: LoopStats::new(now),
+            arrived_since: now,
             next_report: now,
         };
         if !forwarder.nodes.own().is_empty() {
@@ -167,8 +172,8 @@
         }
         if let Some(vrrp) = forwarder.config.vrrp.clone() {
             let longest = forwarder.longest_deadline();
-            let mut lent = forwarder.lend();
-            let addresses = Addresses::start(vrrp, longest, ADVERTISEMENTS, &mut lent, now)?;
+            let mut context = forwarder.loop_context();
+            let addresses = Addresses::start(vrrp, longest, ADVERTISEMENTS, &mut context, now)?;
             forwarder.addresses = Some(addresses);
         }
         forwarder.join_fleet(now, identity)?;
@@ -176,7 +181,7 @@
         tracing::trace!(settings = ?forwarder.config.settings, "settings");
         let control = forwarder.admin.as_ref().and_then(AdminEndpoint::address);
         forwarder.state.start();
-        forwarder.divide();
+        forwarder.apply_connection_budget();
         forwarder.publish_service_state();
         forwarder.upgrade.listen(forwarder.poll.registry());
         tracing::info!(name = forwarder.config.name, resp = ?forwarder.resp.address(), ?iscsi, ?control, "started");
@@ -185,23 +190,23 @@
 }
 
 /// Guards discovery and nodes against clients that would take up all of fewer descriptors than the settings say.
-fn keep_to_descriptors(config: &mut Config) {
-    if let Some(most) = process::most_descriptors().filter(|most| *most < config.sockets) {
+fn limit_to_system_descriptors(config: &mut Config) {
+    if let Some(most) = process::max_descriptors().filter(|most| *most < config.sockets) {
         tracing::warn!(most, "limits.sockets is {}, and the system allows fewer", config.sockets);
         config.sockets = most;
     }
 }
 
 /// The process of this initiator that still serves, if it can be asked.
-fn process_before(place: &Path) -> Option<Before> {
-    Before::find(place).unwrap_or_else(|why| {
+fn find_predecessor(place: &Path) -> Option<Predecessor> {
+    Predecessor::connect(place).unwrap_or_else(|why| {
         tracing::warn!("a start as ever, though another process may be there: {why}");
         None
     })
 }
 
 /// Limits and cold nodes are divided between the machines of a virtual router.
-fn divide_between_routers(config: &mut Config, files: &Files) -> Result<(), String> {
+fn apply_router_shares(config: &mut Config, files: &Files) -> Result<(), String> {
     let Some(vrrp) = &config.vrrp else { return Ok(()) };
     if let Some(plan) = vrrp.share.too_small(&config.settings) {
         let why = "handover.burst_share leaves no room for the largest request of plan";
--- a/src/front/answers.rs
+++ b/src/front/answers.rs
@@ -108,7 +108,7 @@
         let kept = answers.saturating_sub(granted) + client.conn.input.len();
         self.kept = self.kept + kept - std::mem::replace(&mut client.kept, kept);
         // Guards against a client that goes on asking where it is only sent away.
-        let shed = !self.standing.hands_over && self.standing.shed_from.is_some_and(|from| from <= now);
+        let shed = !self.standing.hand_over && self.standing.shed_from.is_some_and(|from| from <= now);
         let shed = shed && client.conn.input.is_empty() && self.protocol.has_asked(&client.session);
         let asks_on = client.sent_away.is_some_and(|since| now - since > SILENCE);
         if (client.closing.is_some() || asks_on || shed)
--- a/src/front/iscsi.rs
+++ b/src/front/iscsi.rs
@@ -561,7 +561,7 @@
     let end = block.checked_add(blocks.into()).filter(|end| *end <= unit.blocks);
     end.ok_or(scsi::OUT_OF_RANGE)?;
     let bytes = u64::from(blocks) * u64::from(unit.block_bytes);
-    let fits = bytes <= unit.most_bytes as u64 && (!write || bytes == task.expected as u64);
+    let fits = bytes <= unit.max_transfer_bytes as u64 && (!write || bytes == task.expected as u64);
     if fits && task.body.len() <= task.expected {
         Ok(())
     } else {
--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -17,7 +17,7 @@
 use crate::conn::ReadEnd;
 use crate::core::Core;
 use crate::listener::Listener;
-use crate::service::Standing;
+use crate::service::ClientPolicy;
 use client::Client;
 use endpoints::Endpoint;
 use idle::IdleOrder;
@@ -53,7 +53,7 @@
     clock: Clock,
     room: Room,
     /// What the state of service means for clients.
-    standing: Standing,
+    standing: ClientPolicy,
     /// Newcomers at the machine's own address are let in here.
     accepts: bool,
     /// How many of the clients are only connected to be told to come again.
@@ -99,7 +99,7 @@
         listener.register(token, registry)?;
         let (clients, backlog) = (FxHashMap::default(), VecDeque::new());
         let endpoints = vec![Endpoint { listener: Some(listener), retired: false }];
-        let standing = Standing { yes: true, keeps_idle: false, shed_from: None, hands_over: false };
+        let standing = ClientPolicy { ready: true, keep_idle: false, shed_from: None, hand_over: false };
         let (accepts, next_sweep, kept) = (true, Instant::now(), 0);
         Ok(Front {
             protocol,
@@ -149,7 +149,7 @@
 
     /// The state of service has changed. After SIGTERM idle clients are kept, since new connections come to another
     /// process, and those that stay open are still used.
-    pub fn follow_service_state(&mut self, standing: Standing) {
+    pub fn follow_service_state(&mut self, standing: ClientPolicy) {
         self.standing = standing;
         if standing.shed_from.is_none() {
             // Whoever was asked for no more, and is still here.
@@ -300,7 +300,7 @@
             (false, full) => full.then_some(Declined::Full),
         };
         let sheds = self.standing.shed_from.is_some_and(|from| from <= now);
-        let yes = self.standing.yes;
+        let yes = self.standing.ready;
         let unix = self.clock.unix(now);
         // Guards against a client that says more than all others together.
         let mut left = MOST_TAKEN;
--- a/src/front/room.rs
+++ b/src/front/room.rs
@@ -137,7 +137,7 @@
             self.idle.longest(idle).filter(|(since, _)| now.saturating_duration_since(*since) >= pause)
         };
         // Whoever cannot come again stays: after SIGTERM new connections go to another process.
-        let served = waited(Idle::Served, IDLE_BEFORE_ROOM).filter(|_| !self.standing.keeps_idle);
+        let served = waited(Idle::Served, IDLE_BEFORE_ROOM).filter(|_| !self.standing.keep_idle);
         let asked = [waited(Idle::Probed, IDLE_BEFORE_ROOM), served].into_iter().flatten().min();
         if let Some((_, id)) = asked {
             return self.close_in_order(now, id);
--- a/src/front/sweep.rs
+++ b/src/front/sweep.rs
@@ -22,7 +22,7 @@
 impl<P: Protocol> Front<P> {
     /// Whether connections are closed as they become idle.
     pub(super) fn sheds(&self, now: Instant) -> bool {
-        !self.standing.hands_over && self.standing.shed_from.is_some_and(|from| from <= now)
+        !self.standing.hand_over && self.standing.shed_from.is_some_and(|from| from <= now)
     }
 
     /// Closes clients that are silent, do not go on, do not read or were idle for long. Guards against
@@ -50,7 +50,7 @@
                 && written
                 && (away
                     || (sheds && (protocol.has_asked(session) || client.since + SILENT_BEFORE_SHED < now))
-                    || (!self.standing.keeps_idle
+                    || (!self.standing.keep_idle
                         && protocol.has_asked(session)
                         && protocol.makes_room(session)
                         && now - client.used > IDLE))
@@ -64,7 +64,7 @@
         }
         // Guards against clients that each keep a connection and may hold only so many: the next request would find
         // none. Whoever is idle comes back on a new one.
-        while !self.standing.keeps_idle
+        while !self.standing.keep_idle
             && self.in_service() > self.room.easy
             && self.close_an_idle_one(now, false)
         {}
--- a/src/process.rs
+++ b/src/process.rs
@@ -19,7 +19,7 @@
 }
 
 /// Bytes of memory that a process uses, where the system tells.
-pub fn resident(id: u32) -> Option<usize> {
+pub fn resident_memory(id: u32) -> Option<usize> {
     let status = std::fs::read_to_string(format!("/proc/{id}/status")).ok()?;
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"))?;
     let kilobytes: usize = line.trim().trim_end_matches(" kB").parse().ok()?;
@@ -27,10 +27,10 @@
 }
 
 /// Descriptors that the system lets this process have, where it tells.
-pub fn most_descriptors() -> Option<usize> {
+pub fn max_descriptors() -> Option<usize> {
     use nix::sys::resource::{getrlimit, Resource};
-    let (most, _) = getrlimit(Resource::RLIMIT_NOFILE).ok()?;
-    usize::try_from(most).ok()
+    let (limit, _) = getrlimit(Resource::RLIMIT_NOFILE).ok()?;
+    usize::try_from(limit).ok()
 }
 
 /// Streams that become readable when the process is told something.
@@ -44,10 +44,10 @@
 /// Listens for signals from now on.
 pub fn signals() -> Result<Signals, String> {
     use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
-    Ok(Signals { end: stream_of(&[SIGTERM, SIGINT])?, reload: stream_of(&[SIGHUP])? })
+    Ok(Signals { end: signal_stream(&[SIGTERM, SIGINT])?, reload: signal_stream(&[SIGHUP])? })
 }
 
-fn stream_of(kinds: &[i32]) -> Result<UnixStream, String> {
+fn signal_stream(kinds: &[i32]) -> Result<UnixStream, String> {
     let (signal, wake) = UnixStream::pair().map_err(|error| format!("signal pipe: {error}"))?;
     signal.set_nonblocking(true).map_err(|error| format!("signal pipe: {error}"))?;
     for kind in kinds {
--- a/src/service/addresses.rs
+++ b/src/service/addresses.rs
@@ -6,7 +6,7 @@
 use crate::core::Core;
 use crate::front::{iscsi, resp, Front};
 use crate::handover::{Duty, Event, Handover, Order};
-use crate::process::resident;
+use crate::process::resident_memory;
 use crate::tokens::{Kind, Tokens};
 use crate::vrrp::address::{address, Address, Progress, PAUSE};
 use crate::vrrp::machine::{Role, Transition};
@@ -21,7 +21,7 @@
 pub const REPORT: &str = "vrrp";
 
 /// What the loop lends for a moment.
-pub struct Lent<'a> {
+pub struct LoopContext<'a> {
     pub registry: &'a Registry,
     pub core: &'a mut Core,
     pub resp: &'a mut Front<resp::Resp>,
@@ -37,18 +37,18 @@
 }
 
 /// What the loop sees of the conditions.
-pub struct Seen {
+pub struct Conditions {
     /// When discovery said something last.
     pub discovery: Option<Instant>,
     pub ready_nodes: usize,
     /// Descriptors for clients are used up.
-    pub crowded: bool,
+    pub descriptors_used_up: bool,
     /// Bytes that the process may use.
     pub memory: usize,
 }
 
 /// One address on this machine.
-struct Place {
+struct ServedAddress {
     address: Box<dyn Address>,
     /// Endpoints of the fronts, in the order of the address's listeners.
     endpoints: Vec<(Wire, usize)>,
@@ -62,13 +62,13 @@
     settings: Settings,
     speaker: Speaker,
     handover: Handover,
-    places: Vec<Place>,
+    addresses: Vec<ServedAddress>,
     started: Instant,
-    next_look: Instant,
+    next_check: Instant,
     /// When addresses, and duties that end, are turned to again.
-    next_turn: Option<Instant>,
+    next_progress: Option<Instant>,
     /// The slowest turn of the loop since the last look.
-    slowest: Duration,
+    longest_iteration: Duration,
 }
 
 impl Addresses {
@@ -77,41 +77,42 @@
         settings: Settings,
         finish: Duration,
         interfaces: impl IntoIterator<Item = Token>,
-        lent: &mut Lent,
+        context: &mut LoopContext,
         now: Instant,
     ) -> Result<Self, String> {
-        let mut places = Vec::new();
+        let mut addresses = Vec::new();
         for service in &settings.services {
-            let owner = service.router.priority == crate::vrrp::packet::PRIORITY_OWNER;
-            let taken = service.accept || owner;
+            let is_owner = service.router.priority == crate::vrrp::packet::PRIORITY_OWNER;
+            let accepts_clients = service.accept || is_owner;
             let (mut listen, mut endpoints) = (Vec::new(), Vec::new());
-            if let Some(at) = service.listen.filter(|_| taken) {
+            if let Some(at) = service.listen.filter(|_| accepts_clients) {
                 listen.push(at);
-                endpoints.push((Wire::Resp, lent.resp.add_endpoint()));
+                endpoints.push((Wire::Resp, context.resp.add_endpoint()));
             }
-            if let Some(at) = service.listen_iscsi.filter(|_| taken) {
-                let front = lent.iscsi.as_mut().ok_or_else(|| {
+            if let Some(at) = service.listen_iscsi.filter(|_| accepts_clients) {
+                let front = context.iscsi.as_mut().ok_or_else(|| {
                     format!("router {:?}: listen_iscsi: the second front is off", service.router.name)
                 })?;
                 listen.push(at);
                 endpoints.push((Wire::Iscsi, front.add_endpoint()));
             }
             let address = address(&settings.means, &service.router, listen);
-            places.push(Place { address, endpoints, pending: false, failing: false });
+            addresses.push(ServedAddress { address, endpoints, pending: false, failing: false });
         }
         let (routers, rules) = (settings.routers(), &settings.tracking.rules);
-        let speaker = Speaker::start(&settings.interfaces, routers, rules, interfaces, lent.registry, now)?;
-        let handover = Handover::new(places.len(), finish);
-        let (next_look, slowest) = (now, Duration::ZERO);
+        let speaker =
+            Speaker::start(&settings.interfaces, routers, rules, interfaces, context.registry, now)?;
+        let handover = Handover::new(addresses.len(), finish);
+        let (next_check, longest_iteration) = (now, Duration::ZERO);
         Ok(Addresses {
             settings,
             speaker,
             handover,
-            places,
+            addresses,
             started: now,
-            next_look,
-            next_turn: None,
-            slowest,
+            next_check,
+            next_progress: None,
+            longest_iteration,
         })
     }
 
@@ -122,54 +123,60 @@
 
     /// When [`Addresses::turn`] or [`Addresses::look`] has something to do.
     pub fn next_timer(&self, now: Instant) -> Instant {
-        let next = self.speaker.next_timer(now).map_or(self.next_look, |at| at.min(self.next_look));
-        self.next_turn.map_or(next, |at| at.min(next))
+        let next = self.speaker.next_timer(now).map_or(self.next_check, |at| at.min(self.next_check));
+        self.next_progress.map_or(next, |at| at.min(next))
     }
 
     /// What comes first in each turn of the loop: a process that was stopped learns here, before it takes or sends
     /// anything, that another may serve its addresses.
-    pub fn turn(&mut self, now: Instant, lent: &mut Lent) {
+    pub fn run(&mut self, now: Instant, context: &mut LoopContext) {
         let changes = self.speaker.turn(now);
-        self.follow(now, changes, lent);
-        if self.next_turn.is_some_and(|at| at <= now) {
-            self.turn_to_places(now, lent);
+        self.apply_transitions(now, changes, context);
+        if self.next_progress.is_some_and(|at| at <= now) {
+            self.progress_addresses(now, context);
         }
     }
 
     /// The time that a turn of the loop took, or came late.
-    pub fn turned(&mut self, took: Duration) {
-        self.slowest = self.slowest.max(took);
+    pub fn record_iteration(&mut self, took: Duration) {
+        self.longest_iteration = self.longest_iteration.max(took);
     }
 
     /// Looks at the conditions when that is due.
-    pub fn look(&mut self, now: Instant, seen: impl FnOnce() -> Seen, lent: &mut Lent) {
-        if self.next_look > now {
+    pub fn check_conditions(
+        &mut self,
+        now: Instant,
+        conditions: impl FnOnce() -> Conditions,
+        context: &mut LoopContext,
+    ) {
+        if self.next_check > now {
             return;
         }
-        self.next_look = now + self.settings.tracking.every;
-        let (seen, slowest) = (seen(), std::mem::take(&mut self.slowest));
+        self.next_check = now + self.settings.tracking.every;
+        let (conditions, longest_iteration) = (conditions(), std::mem::take(&mut self.longest_iteration));
         let tracking = self.settings.tracking.clone();
         for rule in &tracking.rules {
             let found = match rule.condition {
                 Condition::DiscoverySilent => {
-                    now - seen.discovery.unwrap_or(self.started) > tracking.discovery_silent
+                    now - conditions.discovery.unwrap_or(self.started) > tracking.discovery_silent
                 }
-                Condition::NoReadyNode => seen.ready_nodes == 0,
-                Condition::LoopLate => slowest > tracking.loop_late,
-                Condition::Descriptors => seen.crowded,
-                Condition::Memory => resident(std::process::id())
-                    .is_some_and(|used| used > seen.memory / 100 * usize::from(tracking.memory_percent)),
+                Condition::NoReadyNode => conditions.ready_nodes == 0,
+                Condition::LoopLate => longest_iteration > tracking.loop_late,
+                Condition::Descriptors => conditions.descriptors_used_up,
+                Condition::Memory => resident_memory(std::process::id()).is_some_and(|used| {
+                    used > conditions.memory / 100 * usize::from(tracking.memory_percent)
+                }),
                 Condition::File => tracking.file.as_ref().is_some_and(|file| file.exists()),
-                Condition::Address => self.places.iter().any(|place| place.failing),
+                Condition::Address => self.addresses.iter().any(|served| served.failing),
             };
             let changes = self.speaker.look(now, rule.condition, found);
-            self.follow(now, changes, lent);
+            self.apply_transitions(now, changes, context);
         }
-        self.report(now, lent);
+        self.report(now, context);
     }
 
     /// Goes by another file as far as that needs no restart.
-    pub fn change(&mut self, now: Instant, new: Settings, lent: &mut Lent) {
+    pub fn reconfigure(&mut self, now: Instant, new: Settings, context: &mut LoopContext) {
         for what in self.settings.fixed_changes(&new) {
             tracing::warn!("a change of {what} in the VRRP file needs a restart");
         }
@@ -180,21 +187,26 @@
             }
         }
         self.settings.tracking = new.tracking;
-        self.follow(now, changes, lent);
+        self.apply_transitions(now, changes, context);
     }
 
     /// The process is to end: the routers resign, and what was taken is finished.
-    pub fn end_soon(&mut self, now: Instant, lent: &mut Lent) {
+    pub fn resign(&mut self, now: Instant, context: &mut LoopContext) {
         let changes = self.speaker.shut_down(now);
-        self.follow(now, changes, lent);
+        self.apply_transitions(now, changes, context);
     }
 
     /// Whether all addresses are let go.
-    pub fn is_idle(&self) -> bool {
-        self.places.iter().all(|place| !place.pending)
+    pub fn all_released(&self) -> bool {
+        self.addresses.iter().all(|served| !served.pending)
     }
 
-    fn follow(&mut self, now: Instant, changes: Vec<(usize, Transition)>, lent: &mut Lent) {
+    fn apply_transitions(
+        &mut self,
+        now: Instant,
+        changes: Vec<(usize, Transition)>,
+        context: &mut LoopContext,
+    ) {
         if changes.is_empty() {
             return;
         }
@@ -204,107 +216,113 @@
                 (Role::Active, _) => Event::Withdrawn,
                 _ => continue,
             };
-            self.step(now, router, event, lent);
+            self.step(now, router, event, context);
         }
-        self.turn_to_places(now, lent);
-        self.report(now, lent);
+        self.progress_addresses(now, context);
+        self.report(now, context);
     }
 
-    fn step(&mut self, now: Instant, router: usize, event: Event, lent: &mut Lent) {
+    fn step(&mut self, now: Instant, router: usize, event: Event, context: &mut LoopContext) {
         let order = self.handover.step(self.speaker.scale(now), router, event);
-        let place = &mut self.places[router];
+        let served = &mut self.addresses[router];
         match order {
             None => {}
             Some(Order::Take) => {
-                place.address.take(now);
-                place.pending = true;
+                served.address.take(now);
+                served.pending = true;
             }
             Some(Order::Release) => {
-                for (wire, endpoint) in &place.endpoints {
-                    match (wire, &mut lent.iscsi) {
+                for (wire, endpoint) in &served.endpoints {
+                    match (wire, &mut context.iscsi) {
                         (Wire::Iscsi, Some(front)) => {
-                            let next = || lent.tokens.next(Kind::IscsiClient);
-                            front.retire_endpoint(*endpoint, lent.registry, next, now);
+                            let next = || context.tokens.next(Kind::IscsiClient);
+                            front.retire_endpoint(*endpoint, context.registry, next, now);
                         }
                         _ => {
-                            let next = || lent.tokens.next(Kind::RespClient);
-                            lent.resp.retire_endpoint(*endpoint, lent.registry, next, now);
+                            let next = || context.tokens.next(Kind::RespClient);
+                            context.resp.retire_endpoint(*endpoint, context.registry, next, now);
                         }
                     }
                 }
-                place.address.release(now);
-                (place.pending, place.failing) = (true, false);
+                served.address.release(now);
+                (served.pending, served.failing) = (true, false);
             }
             Some(Order::End) => {
-                for request in open_at(&place.endpoints, lent) {
-                    lent.core.end(request);
+                for request in open_requests_at(&served.endpoints, context) {
+                    context.core.end(request);
                 }
             }
         }
     }
 
     /// Goes on with addresses that come or go, and with duties that end.
-    fn turn_to_places(&mut self, now: Instant, lent: &mut Lent) {
-        for router in 0..self.places.len() {
-            let place = &mut self.places[router];
-            if place.pending {
-                match place.address.turn(now) {
+    fn progress_addresses(&mut self, now: Instant, context: &mut LoopContext) {
+        for router in 0..self.addresses.len() {
+            let served = &mut self.addresses[router];
+            if served.pending {
+                match served.address.turn(now) {
                     Progress::Pending => {}
                     // Guards the priority against an address that nobody wants any more.
-                    Progress::Gone => (place.pending, place.failing) = (false, false),
+                    Progress::Gone => (served.pending, served.failing) = (false, false),
                     Progress::Failing(why) => {
-                        if !std::mem::replace(&mut place.failing, true) {
+                        if !std::mem::replace(&mut served.failing, true) {
                             tracing::warn!("an address cannot be had, and is tried on: {why}");
                         }
                     }
                     Progress::Here(listeners) => {
-                        (place.pending, place.failing) = (false, false);
-                        let endpoints = place.endpoints.clone();
+                        (served.pending, served.failing) = (false, false);
+                        let endpoints = served.endpoints.clone();
                         for ((wire, endpoint), listener) in endpoints.into_iter().zip(listeners) {
                             let kind =
                                 if wire == Wire::Resp { Kind::RespListener } else { Kind::IscsiListener };
-                            let token = lent.tokens.next(kind);
-                            let opened = match (wire, &mut lent.iscsi) {
+                            let token = context.tokens.next(kind);
+                            let opened = match (wire, &mut context.iscsi) {
                                 (Wire::Iscsi, Some(front)) => {
-                                    front.open_endpoint(endpoint, listener, token, lent.registry, now)
+                                    front.open_endpoint(endpoint, listener, token, context.registry, now)
                                 }
-                                _ => lent.resp.open_endpoint(endpoint, listener, token, lent.registry, now),
+                                _ => context.resp.open_endpoint(
+                                    endpoint,
+                                    listener,
+                                    token,
+                                    context.registry,
+                                    now,
+                                ),
                             };
                             if let Err(error) = opened {
                                 tracing::error!("a listener cannot be watched: {error}");
                             }
                         }
-                        self.step(now, router, Event::Opened, lent);
+                        self.step(now, router, Event::Opened, context);
                     }
                 }
             }
             if matches!(self.handover.duty(router), Duty::Retired { .. }) {
-                let open = open_at(&self.places[router].endpoints, lent).len();
-                self.step(now, router, Event::Looked { open }, lent);
+                let open = open_requests_at(&self.addresses[router].endpoints, context).len();
+                self.step(now, router, Event::Looked { open }, context);
             }
         }
         let finishes = |router| matches!(self.handover.duty(router), Duty::Retired { .. });
-        let busy = (0..self.places.len()).any(|router| self.places[router].pending || finishes(router));
-        self.next_turn = busy.then_some(now + PAUSE);
+        let busy = (0..self.addresses.len()).any(|router| self.addresses[router].pending || finishes(router));
+        self.next_progress = busy.then_some(now + PAUSE);
     }
 
-    fn report(&mut self, now: Instant, lent: &mut Lent) {
+    fn report(&mut self, now: Instant, context: &mut LoopContext) {
         let served = |router: usize| Served {
             duty: self.handover.duty(router).name(),
-            open_requests: open_at(&self.places[router].endpoints, lent).len(),
+            open_requests: open_requests_at(&self.addresses[router].endpoints, context).len(),
         };
         let snapshot = Snapshot::take(&self.speaker, now, self.settings.share, served);
-        lent.core.set_report(REPORT, snapshot.lines(), snapshot.json());
+        context.core.set_report(REPORT, snapshot.lines(), snapshot.json());
     }
 }
 
 /// Requests open that came in by these endpoints.
-fn open_at(endpoints: &[(Wire, usize)], lent: &Lent) -> Vec<crate::interface::RequestId> {
+fn open_requests_at(endpoints: &[(Wire, usize)], context: &LoopContext) -> Vec<crate::interface::RequestId> {
     let mut open = Vec::new();
     for (wire, endpoint) in endpoints {
-        match (wire, &lent.iscsi) {
+        match (wire, &context.iscsi) {
             (Wire::Iscsi, Some(front)) => open.extend(front.open_at(*endpoint)),
-            _ => open.extend(lent.resp.open_at(*endpoint)),
+            _ => open.extend(context.resp.open_at(*endpoint)),
         }
     }
     open
--- a/src/service/mod.rs
+++ b/src/service/mod.rs
@@ -7,7 +7,7 @@
 
 /// From the call to drain until clients are sent away. Whoever distributes clients asks ten times a second whether
 /// this process takes them, and sends none any more 0.2 s after a no: who is sent away earlier comes back.
-const SHED_AFTER: Duration = Duration::from_millis(400);
+const SHED_DELAY: Duration = Duration::from_millis(400);
 
 /// Where a process stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -39,15 +39,15 @@
 
 /// What the fronts are to do about clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Standing {
+pub struct ClientPolicy {
     /// Whether PING is answered with a yes.
-    pub yes: bool,
+    pub ready: bool,
     /// Whether idle clients are kept, since they could not come again.
-    pub keeps_idle: bool,
+    pub keep_idle: bool,
     /// From when on clients leave as they become idle, and are asked for no more before.
     pub shed_from: Option<Instant>,
     /// They go to another process with their connections; else these are closed.
-    pub hands_over: bool,
+    pub hand_over: bool,
 }
 
 /// The state of service.
@@ -74,12 +74,12 @@
     /// For the fronts. A process that was replaced says yes for the one in its place: who asks it on an open
     /// connection asks about the address. One that is to end takes whoever still comes: each connection that is open by
     /// then is served for as long as the process lasts.
-    pub fn standing(&self) -> Standing {
-        Standing {
-            yes: self.drained.is_none(),
-            keeps_idle: self.ending.is_some() && self.drained.is_none() && !self.is_replaced(),
-            shed_from: self.replaced.or(self.drained.map(|since| since + SHED_AFTER)),
-            hands_over: self.is_replaced(),
+    pub fn client_policy(&self) -> ClientPolicy {
+        ClientPolicy {
+            ready: self.drained.is_none(),
+            keep_idle: self.ending.is_some() && self.drained.is_none() && !self.is_replaced(),
+            shed_from: self.replaced.or(self.drained.map(|since| since + SHED_DELAY)),
+            hand_over: self.is_replaced(),
         }
     }
 
@@ -116,7 +116,7 @@
     }
 
     /// The other process is gone: clients are this one's again.
-    pub fn take_back(&mut self) {
+    pub fn undo_replace(&mut self) {
         self.replaced = None;
     }
 
--- a/src/service/tests.rs
+++ b/src/service/tests.rs
@@ -29,16 +29,16 @@
     let mut state = State::default();
     assert_eq!(state.phase(), Phase::Starting);
     state.start();
-    assert_eq!((state.phase(), state.standing().yes), (Phase::Serving, true));
+    assert_eq!((state.phase(), state.client_policy().ready), (Phase::Serving, true));
     state.drain(now).unwrap();
     state.drain(now + Duration::from_secs(1)).unwrap();
-    let shed = state.standing().shed_from.unwrap();
-    assert_eq!((state.phase(), state.standing().yes), (Phase::Drained, false));
+    let shed = state.client_policy().shed_from.unwrap();
+    assert_eq!((state.phase(), state.client_policy().ready), (Phase::Drained, false));
     assert!(shed > now + Duration::from_millis(300) && shed < now + Duration::from_secs(1));
     state.resume().unwrap();
     assert_eq!(
-        state.standing(),
-        Standing { yes: true, keeps_idle: false, shed_from: None, hands_over: false }
+        state.client_policy(),
+        ClientPolicy { ready: true, keep_idle: false, shed_from: None, hand_over: false }
     );
 }
 
@@ -53,14 +53,14 @@
                 Step::Drain => prop_assert_eq!(state.drain(now).is_ok(), !replaced),
                 Step::Resume => prop_assert_eq!(state.resume().is_ok(), !ended && !replaced),
                 Step::Replace => { state.replace(now); replaced = true; }
-                Step::TakeBack => { state.take_back(); replaced = false; }
+                Step::TakeBack => { state.undo_replace(); replaced = false; }
                 Step::End => { state.end(now); ended = true; }
             }
-            let (phase, standing) = (state.phase(), state.standing());
+            let (phase, client_policy) = (state.phase(), state.client_policy());
             prop_assert_eq!(phase == Phase::Ending, ended);
-            prop_assert!(standing.yes != state.is_drained() && (phase != Phase::Drained || !standing.yes));
-            prop_assert!(!standing.keeps_idle || (ended && !replaced), "only a plain end keeps idle clients");
-            prop_assert_eq!(standing.hands_over, replaced);
+            prop_assert!(client_policy.ready != state.is_drained() && (phase != Phase::Drained || !client_policy.ready));
+            prop_assert!(!client_policy.keep_idle || (ended && !replaced), "only a plain end keeps idle clients");
+            prop_assert_eq!(client_policy.hand_over, replaced);
         }
     }
 }
--- a/src/target/iscsi.rs
+++ b/src/target/iscsi.rs
@@ -8,17 +8,17 @@
 use crate::iscsi::{text, Opcode, Pdu};
 use std::time::Duration;
 
-const INITIATOR: &str = "iqn.2026-12.topazpath:initiator";
+const INITIATOR_NAME: &str = "iqn.2026-12.topazpath:initiator";
 /// Largest data segment accepted, and the most put into one.
-const MOST_DATA: usize = 64 * 1024;
+const MAX_DATA_BYTES: usize = 64 * 1024;
 /// What a target accepts unless it says otherwise (RFC 7143, 13.12 and 13.14).
 const DEFAULT_SEGMENT: usize = 8192;
 /// From the operational stage straight to full feature phase.
 const LOGIN_FLAGS: u8 = FINAL | 1 << 2 | 3;
 /// Flags of a SCSI Command beside the final one: it reads, it writes, simple queuing.
-const READS: u8 = 0x40;
-const WRITES: u8 = 0x20;
-const SIMPLE: u8 = 0x01;
+const READ_FLAG: u8 = 0x40;
+const WRITE_FLAG: u8 = 0x20;
+const SIMPLE_QUEUE: u8 = 0x01;
 
 /// One session of one connection.
 pub struct Session {
@@ -28,7 +28,7 @@
     cmd_sn: u32,
     expected_stat_sn: u32,
     /// Largest data segment that the target accepts.
-    segment: usize,
+    max_segment: usize,
     first_burst: usize,
     immediate: bool,
     task: Option<Task>,
@@ -54,22 +54,23 @@
             logged_in: false,
             cmd_sn: 1,
             expected_stat_sn: 0,
-            segment: DEFAULT_SEGMENT,
-            first_burst: MOST_DATA,
+            max_segment: DEFAULT_SEGMENT,
+            first_burst: MAX_DATA_BYTES,
             immediate: true,
             task: None,
             last_tag: 0,
         }
     }
 
-    fn take_login(&mut self, pdu: &Pdu) -> Result<Step, String> {
+    fn handle_login(&mut self, pdu: &Pdu) -> Result<Step, String> {
         let (class, detail) = (pdu.header[36], pdu.header[37]);
         if pdu.opcode() != Some(Opcode::LoginResponse) || class != 0 {
             return Err(format!("login declined: status {class}.{detail}"));
         }
         let keys = text::read(&pdu.data)?;
         let number = |name: &str| text::get(&keys, name).and_then(|value| value.parse::<usize>().ok());
-        self.segment = number("MaxRecvDataSegmentLength").unwrap_or(self.segment).clamp(512, MOST_DATA);
+        self.max_segment =
+            number("MaxRecvDataSegmentLength").unwrap_or(self.max_segment).clamp(512, MAX_DATA_BYTES);
         self.first_burst = number("FirstBurstLength").unwrap_or(self.first_burst);
         self.immediate &= text::get(&keys, "ImmediateData") != Some("No");
         if pdu.flags() & FINAL == 0 || pdu.flags() & 3 != 3 {
@@ -79,8 +80,8 @@
         Ok(Step::Ready)
     }
 
-    fn take(&mut self, pdu: Pdu, output: &mut Vec<u8>) -> Result<Step, String> {
-        let own = self.task.as_ref().is_some_and(|task| task.tag == pdu.task_tag());
+    fn handle(&mut self, pdu: Pdu, output: &mut Vec<u8>) -> Result<Step, String> {
+        let current = self.task.as_ref().is_some_and(|task| task.tag == pdu.task_tag());
         match pdu.opcode() {
             Some(Opcode::NopIn) => {
                 if pdu.u32(20) != NO_TAG {
@@ -89,12 +90,12 @@
                     nop.header[0] |= 0x40;
                     nop.with(28, self.expected_stat_sn).with_data(pdu.data).write(output);
                 }
-                Ok(Step::Waiting)
+                Ok(Step::Incomplete)
             }
-            Some(Opcode::AsyncMessage) => Ok(Step::Leaving),
-            Some(Opcode::DataIn) if own => self.take_data(&pdu),
-            Some(Opcode::R2t) if own => self.send_data(&pdu, output),
-            Some(Opcode::ScsiResponse) if own => {
+            Some(Opcode::AsyncMessage) => Ok(Step::Closing),
+            Some(Opcode::DataIn) if current => self.handle_data(&pdu),
+            Some(Opcode::R2t) if current => self.handle_r2t(&pdu, output),
+            Some(Opcode::ScsiResponse) if current => {
                 // A target that could not complete the command says so in the response byte.
                 let status = if pdu.header[2] == 0 { pdu.header[3] } else { scsi::CHECK_CONDITION };
                 Ok(self.finish(status, pdu.flags()))
@@ -104,44 +105,45 @@
         }
     }
 
-    fn take_data(&mut self, pdu: &Pdu) -> Result<Step, String> {
-        let Some(task) = &mut self.task else { return Ok(Step::Waiting) };
+    fn handle_data(&mut self, pdu: &Pdu) -> Result<Step, String> {
+        let Some(task) = &mut self.task else { return Ok(Step::Incomplete) };
         let in_order = pdu.u32(40) as usize == task.value.len();
         if !in_order || task.value.len() + pdu.data.len() > task.expected {
             return Err("data out of order or too much".into());
         }
         task.value.extend_from_slice(&pdu.data);
         let with_status = pdu.flags() & 0x01 != 0;
-        Ok(if with_status { self.finish(pdu.header[3], pdu.flags()) } else { Step::Waiting })
+        Ok(if with_status { self.finish(pdu.header[3], pdu.flags()) } else { Step::Incomplete })
     }
 
     /// Answers an R2T with the data that it asks for.
-    fn send_data(&mut self, r2t: &Pdu, output: &mut Vec<u8>) -> Result<Step, String> {
-        let Some(task) = &mut self.task else { return Ok(Step::Waiting) };
+    fn handle_r2t(&mut self, r2t: &Pdu, output: &mut Vec<u8>) -> Result<Step, String> {
+        let Some(task) = &mut self.task else { return Ok(Step::Incomplete) };
         let (start, length) = (r2t.u32(40) as usize, r2t.u32(44) as usize);
-        let wanted = start.checked_add(length).and_then(|end| task.body.get(start..end));
-        let wanted = wanted.filter(|wanted| !wanted.is_empty()).ok_or("an R2T beyond the data")?;
-        let count = wanted.len().div_ceil(self.segment);
-        for (number, piece) in wanted.chunks(self.segment).enumerate() {
+        let requested = start.checked_add(length).and_then(|end| task.body.get(start..end));
+        let requested =
+            requested.filter(|requested| !requested.is_empty()).ok_or("an R2T beyond the data")?;
+        let count = requested.len().div_ceil(self.max_segment);
+        for (number, piece) in requested.chunks(self.max_segment).enumerate() {
             let mut pdu = Pdu::new(Opcode::DataOut, task.tag)
                 .with_flags(if number + 1 == count { FINAL } else { 0 })
                 .with(20, r2t.u32(20))
                 .with(28, self.expected_stat_sn)
                 .with(36, number as u32)
-                .with(40, (start + number * self.segment) as u32)
+                .with(40, (start + number * self.max_segment) as u32)
                 .with_data(piece);
             pdu.header[8..16].copy_from_slice(&task.lun);
             pdu.write(output);
         }
         task.sent = task.sent.max(start + length);
-        Ok(Step::Waiting)
+        Ok(Step::Incomplete)
     }
 
     fn finish(&mut self, status: u8, flags: u8) -> Step {
-        let Some(task) = self.task.take() else { return Step::Waiting };
-        let short = task.value.len() < task.expected && flags & 0x02 == 0;
+        let Some(task) = self.task.take() else { return Step::Incomplete };
+        let incomplete = task.value.len() < task.expected && flags & 0x02 == 0;
         Step::Ended(match status {
-            scsi::GOOD if !short => Ended { value: task.value, ..Ended::bare(Outcome::Served) },
+            scsi::GOOD if !incomplete => Ended { value: task.value, ..Ended::bare(Outcome::Served) },
             // Both say that the command was not begun (SAM-5, 5.3.1).
             scsi::BUSY | scsi::TASK_SET_FULL => Ended::bare(Outcome::Full),
             _ => Ended::bare(Outcome::Error),
@@ -151,9 +153,9 @@
 
 impl super::Session for Session {
     fn open(&mut self, output: &mut Vec<u8>) -> bool {
-        let data = MOST_DATA.to_string();
+        let data = MAX_DATA_BYTES.to_string();
         let keys = [
-            ("InitiatorName", INITIATOR),
+            ("InitiatorName", INITIATOR_NAME),
             ("SessionType", "Normal"),
             ("TargetName", &self.target),
             ("HeaderDigest", "None"),
@@ -191,24 +193,25 @@
         let write = content.operation == Operation::Write;
         let length = extent.blocks as usize * extent.block_bytes as usize;
         let lun = scsi::lun_field(extent.lun);
-        let at_once =
-            if self.immediate { self.first_burst.min(self.segment).min(content.body.len()) } else { 0 };
+        let immediate_length =
+            if self.immediate { self.first_burst.min(self.max_segment).min(content.body.len()) } else { 0 };
         let mut command = Pdu::new(Opcode::ScsiCommand, self.last_tag)
-            .with_flags(FINAL | SIMPLE | if write { WRITES } else { READS })
+            .with_flags(FINAL | SIMPLE_QUEUE | if write { WRITE_FLAG } else { READ_FLAG })
             .with(20, length as u32)
             .with(24, self.cmd_sn)
             .with(28, self.expected_stat_sn)
-            .with_data(&content.body[..at_once]);
+            .with_data(&content.body[..immediate_length]);
         command.header[8..16].copy_from_slice(&lun);
         command.header[32..48].copy_from_slice(&Cdb::transfer(write, extent.block, extent.blocks));
         command.write(output);
         self.cmd_sn = self.cmd_sn.wrapping_add(1);
         let (body, expected) = (content.body.clone(), if write { 0 } else { length });
-        self.task = Some(Task { tag: self.last_tag, lun, body, sent: at_once, value: Vec::new(), expected });
+        self.task =
+            Some(Task { tag: self.last_tag, lun, body, sent: immediate_length, value: Vec::new(), expected });
         true
     }
 
-    fn rest(&self) -> Duration {
+    fn reuse_delay(&self) -> Duration {
         // Each PDU names its task.
         Duration::ZERO
     }
@@ -218,16 +221,16 @@
     }
 
     fn input(&mut self, input: &mut Vec<u8>, output: &mut Vec<u8>) -> Result<Step, String> {
-        while let Some((pdu, length)) = Pdu::parse(input, MOST_DATA)? {
+        while let Some((pdu, length)) = Pdu::parse(input, MAX_DATA_BYTES)? {
             input.drain(..length);
             if !matches!(pdu.opcode(), Some(Opcode::R2t)) && pdu.u32(24) != 0 {
                 self.expected_stat_sn = pdu.u32(24).wrapping_add(1);
             }
-            let step = if self.logged_in { self.take(pdu, output)? } else { self.take_login(&pdu)? };
-            if step != Step::Waiting {
+            let step = if self.logged_in { self.handle(pdu, output)? } else { self.handle_login(&pdu)? };
+            if step != Step::Incomplete {
                 return Ok(step);
             }
         }
-        Ok(Step::Waiting)
+        Ok(Step::Incomplete)
     }
 }
--- a/src/target/resp/tests.rs
+++ b/src/target/resp/tests.rs
@@ -41,13 +41,13 @@
     resp::bulk(&mut answer, &value);
     answer.extend(b"$14\r\nused=37,cost=4\r\n$-1\r\n");
     for size in [1, 7, 4096, answer.len()] {
-        let mut session = Session { left: None, long: true };
+        let mut session = Session { value_left: None, may_stream: true };
         let (mut input, mut steps) = (Vec::new(), Vec::new());
         for piece in answer.chunks(size) {
             input.extend(piece);
             loop {
                 match super::super::Session::input(&mut session, &mut input, &mut Vec::new()).unwrap() {
-                    Step::Waiting => break,
+                    Step::Incomplete => break,
                     step => {
                         let ended = matches!(step, Step::Ended(_));
                         steps.push(step);
@@ -59,11 +59,11 @@
             }
         }
         assert!(input.is_empty());
-        assert_eq!(steps.remove(0), Step::Begun(value.len()));
+        assert_eq!(steps.remove(0), Step::LongAnswer(value.len()));
         let Some(Step::Ended(ended)) = steps.pop() else { panic!("no end") };
         assert_eq!((ended.outcome, ended.used, ended.elsewhere), (Outcome::Served, Some(0.37), 4.0));
         let came = steps.into_iter().map(|step| match step {
-            Step::Piece(piece) => piece,
+            Step::Data(piece) => piece,
             other => panic!("{other:?}"),
         });
         assert_eq!(came.flatten().collect::<Vec<_>>(), value);
@@ -81,7 +81,7 @@
         flow: None,
         extent: None,
     };
-    let words: [&[u8]; 5] =
+    let arguments: [&[u8]; 5] =
         [b"OBJ.PUT", b"7f3a9c21e0b4d655", b"9b1f03aa5c7e2d41", b"c=write,k=5c,d=470", b"\r\n"];
-    assert_eq!(encode(&content, Duration::from_micros(470_900)), resp::command(&words));
+    assert_eq!(encode(&content, Duration::from_micros(470_900)), resp::command(&arguments));
 }
--- a/src/target/tests.rs
+++ b/src/target/tests.rs
@@ -5,32 +5,32 @@
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Connections to one node, which answers when told.
-struct Bench {
+struct Harness {
     poll: Poll,
     targets: Targets,
     node: TcpListener,
-    begun: u64,
+    started: u64,
 }
 
-impl Bench {
-    fn new(now: Instant) -> Bench {
+impl Harness {
+    fn new(now: Instant) -> Harness {
         let node = TcpListener::bind("127.0.0.1:0").unwrap();
-        let targets = Targets::new(PATIENCE, PATIENCE, 8, now);
-        Bench { poll: Poll::new().unwrap(), targets, node, begun: 0 }
+        let targets = Targets::new(TIMEOUT, TIMEOUT, 8, now);
+        Harness { poll: Poll::new().unwrap(), targets, node, started: 0 }
     }
 
     /// Begins an attempt.
     fn start(&mut self, now: Instant) -> AttemptId {
-        self.start_by(now, Vec::new(), now + PATIENCE)
+        self.start_with_body(now, Vec::new(), now + TIMEOUT)
     }
 
     /// Begins an attempt with a body that may begin until then.
-    fn start_by(&mut self, now: Instant, body: Vec<u8>, begin_by: Instant) -> AttemptId {
-        self.begun += 1;
-        let attempt = AttemptId { request: RequestId(self.begun), number: 0 };
+    fn start_with_body(&mut self, now: Instant, body: Vec<u8>, begin_by: Instant) -> AttemptId {
+        self.started += 1;
+        let attempt = AttemptId { request: RequestId(self.started), number: 0 };
         let content = Rc::new(Content {
             operation: if body.is_empty() { Operation::Read } else { Operation::Write },
             object: String::new(),
@@ -41,9 +41,9 @@
             extent: None,
         });
         let endpoint = Endpoint { address: self.node.local_addr().unwrap(), wire: Wire::Resp };
-        let give_up_at = now + PATIENCE;
+        let give_up_at = now + TIMEOUT;
         let start = Start { attempt, node: NodeId(1), content, give_up_at, begin_by };
-        let token = Token(self.begun as usize);
+        let token = Token(self.started as usize);
         self.targets.start(now, start, &endpoint, token, self.poll.registry());
         attempt
     }
@@ -51,14 +51,14 @@
     /// The node's end of a connection that was just made, once a command has come on it.
     fn accept(&mut self, now: Instant) -> TcpStream {
         let (mut stream, _) = self.node.accept().unwrap();
-        self.turn(now);
+        self.poll_once(now);
         assert!(stream.read(&mut [0; 512]).unwrap() > 0);
         stream
     }
 
-    fn turn(&mut self, now: Instant) {
+    fn poll_once(&mut self, now: Instant) {
         let mut events = Events::with_capacity(8);
-        self.poll.poll(&mut events, Some(PATIENCE)).unwrap();
+        self.poll.poll(&mut events, Some(TIMEOUT)).unwrap();
         events.iter().for_each(|event| self.targets.ready(now, event.token().0));
     }
 
@@ -66,7 +66,7 @@
         let before = self.targets.ended.len();
         stream.write_all(b"*3\r\n$0\r\n\r\n$-1\r\n$-1\r\n").unwrap();
         while self.targets.ended.len() == before {
-            self.turn(now);
+            self.poll_once(now);
         }
     }
 }
@@ -76,28 +76,28 @@
     let start = Instant::now();
     let at = |millis| start + Duration::from_millis(millis);
     for (answered, left) in [(30, 1), (50, 0)] {
-        let mut bench = Bench::new(start);
-        bench.start(start);
-        let mut first = bench.accept(start);
-        bench.start(start);
-        let mut second = bench.accept(start);
-        bench.answer(at(10), &mut first);
+        let mut harness = Harness::new(start);
+        harness.start(start);
+        let mut first = harness.accept(start);
+        harness.start(start);
+        let mut second = harness.accept(start);
+        harness.answer(at(10), &mut first);
         if answered > 40 {
             // The node was last heard of before the attempt that times out was begun.
-            bench.answer(at(20), &mut second);
+            harness.answer(at(20), &mut second);
         }
-        let silent = bench.start(at(40));
+        let silent = harness.start(at(40));
         if answered < 40 {
-            bench.answer(at(60), &mut second);
+            harness.answer(at(60), &mut second);
         }
-        bench.targets.stop(silent, Outcome::TimedOut);
-        assert_eq!(bench.targets.len(), left, "answered at {answered}");
+        harness.targets.stop(silent, Outcome::TimedOut);
+        assert_eq!(harness.targets.len(), left, "answered at {answered}");
     }
 }
 
 /// All that comes on a connection, to its end.
-fn all_of(mut stream: TcpStream) -> usize {
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+fn received_bytes(mut stream: TcpStream) -> usize {
+    stream.set_read_timeout(Some(TIMEOUT)).unwrap();
     let (mut bytes, mut all) = ([0; 65536], 0);
     loop {
         match stream.read(&mut bytes) {
@@ -110,7 +110,7 @@
 }
 
 /// A body that no socket takes at once.
-fn large() -> Vec<u8> {
+fn large_body() -> Vec<u8> {
     vec![b'x'; 32 << 20]
 }
 
@@ -119,15 +119,15 @@
     let start = Instant::now();
     let at = |millis| start + Duration::from_millis(millis);
     for (up, begins) in [(99, true), (100, false)] {
-        let mut bench = Bench::new(start);
-        bench.start_by(start, vec![b'x'], at(100));
+        let mut harness = Harness::new(start);
+        harness.start_with_body(start, vec![b'x'], at(100));
         // The connection is up, and this process hears of it then.
-        let (node, _) = bench.node.accept().unwrap();
-        bench.turn(at(up));
-        assert_eq!(bench.targets.ended.is_empty(), begins, "up after {up} ms");
-        let ended: Vec<_> = bench.targets.ended.drain(..).map(|(_, ended)| ended.outcome).collect();
-        bench.targets.end(1, Outcome::Reset);
-        assert_eq!(all_of(node) > 0, begins);
+        let (node, _) = harness.node.accept().unwrap();
+        harness.poll_once(at(up));
+        assert_eq!(harness.targets.ended.is_empty(), begins, "up after {up} ms");
+        let ended: Vec<_> = harness.targets.ended.drain(..).map(|(_, ended)| ended.outcome).collect();
+        harness.targets.end(1, Outcome::Reset);
+        assert_eq!(received_bytes(node) > 0, begins);
         assert!(begins || ended == [Outcome::NotConnected]);
     }
 }
@@ -138,48 +138,48 @@
     let end = start + Duration::from_millis(100);
     // Whichever comes first: its timer, or the node that reads on.
     for by_timer in [true, false] {
-        let mut bench = Bench::new(start);
-        bench.start_by(start, large(), end);
-        let (mut node, _) = bench.node.accept().unwrap();
-        bench.turn(start);
-        assert!(bench.targets.next_timer() <= end);
-        assert!(bench.targets.ended.is_empty());
-        let mut came = 0;
+        let mut harness = Harness::new(start);
+        harness.start_with_body(start, large_body(), end);
+        let (mut node, _) = harness.node.accept().unwrap();
+        harness.poll_once(start);
+        assert!(harness.targets.next_timer() <= end);
+        assert!(harness.targets.ended.is_empty());
+        let mut received = 0;
         if by_timer {
-            bench.targets.tick(end);
+            harness.targets.tick(end);
         } else {
             // Reads until there is room, which this process hears of too late.
             let mut bytes = vec![0; 1 << 20];
-            while bench.targets.ended.is_empty() {
+            while harness.targets.ended.is_empty() {
                 let count = node.read(&mut bytes).unwrap();
-                assert!(came + count < large().len(), "the last byte came");
-                came += count;
+                assert!(received + count < large_body().len(), "the last byte received");
+                received += count;
                 let mut events = Events::with_capacity(8);
-                bench.poll.poll(&mut events, Some(Duration::ZERO)).unwrap();
-                events.iter().for_each(|event| bench.targets.ready(end, event.token().0));
+                harness.poll.poll(&mut events, Some(Duration::ZERO)).unwrap();
+                events.iter().for_each(|event| harness.targets.ready(end, event.token().0));
             }
         }
-        assert_eq!(bench.targets.ended[0].1.outcome, Outcome::NotConnected, "by timer {by_timer}");
-        assert!(came + all_of(node) < large().len());
+        assert_eq!(harness.targets.ended[0].1.outcome, Outcome::NotConnected, "by timer {by_timer}");
+        assert!(received + received_bytes(node) < large_body().len());
     }
 }
 
 #[test]
 fn an_attempt_whose_client_has_gone_does_not_begin_and_one_that_has_goes_on() {
     let start = Instant::now();
-    for (body, begun) in [(Vec::new(), false), (large(), false), (vec![b'x'], true)] {
-        let mut bench = Bench::new(start);
+    for (body, begun) in [(Vec::new(), false), (large_body(), false), (vec![b'x'], true)] {
+        let mut harness = Harness::new(start);
         let whole = body.len();
-        let attempt = bench.start_by(start, body, start + PATIENCE);
-        let (node, _) = bench.node.accept().unwrap();
+        let attempt = harness.start_with_body(start, body, start + TIMEOUT);
+        let (node, _) = harness.node.accept().unwrap();
         if whole > 0 {
-            bench.turn(start);
+            harness.poll_once(start);
         }
-        bench.targets.withdraw(attempt);
-        let ended: Vec<_> = bench.targets.ended.drain(..).map(|(_, ended)| ended.outcome).collect();
+        harness.targets.cancel_unsent(attempt);
+        let ended: Vec<_> = harness.targets.ended.drain(..).map(|(_, ended)| ended.outcome).collect();
         assert_eq!(ended, if begun { vec![] } else { vec![Outcome::NotConnected] }, "{whole} bytes");
-        bench.targets.end(1, Outcome::Reset);
-        assert_eq!(all_of(node) > whole, begun);
+        harness.targets.end(1, Outcome::Reset);
+        assert_eq!(received_bytes(node) > whole, begun);
     }
 }
 
@@ -187,15 +187,15 @@
 fn a_drain_told_while_a_connection_is_made_ends_what_would_begin_after_its_grace() {
     let start = Instant::now();
     let closes = start + Duration::from_millis(100);
-    let mut bench = Bench::new(start);
-    bench.start(start);
-    bench.targets.close_at(NodeId(2), start);
-    bench.targets.close_at(NodeId(1), closes);
-    assert_eq!(bench.targets.next_timer(), start, "the sweep");
-    bench.targets.tick(start);
-    assert!(bench.targets.ended.is_empty() && bench.targets.next_timer() <= closes);
-    let (node, _) = bench.node.accept().unwrap();
-    bench.turn(closes);
-    assert_eq!(bench.targets.ended[0].1.outcome, Outcome::NotConnected);
-    assert_eq!(all_of(node), 0);
+    let mut harness = Harness::new(start);
+    harness.start(start);
+    harness.targets.forbid_start_after(NodeId(2), start);
+    harness.targets.forbid_start_after(NodeId(1), closes);
+    assert_eq!(harness.targets.next_timer(), start, "the sweep");
+    harness.targets.tick(start);
+    assert!(harness.targets.ended.is_empty() && harness.targets.next_timer() <= closes);
+    let (node, _) = harness.node.accept().unwrap();
+    harness.poll_once(closes);
+    assert_eq!(harness.targets.ended[0].1.outcome, Outcome::NotConnected);
+    assert_eq!(received_bytes(node), 0);
 }
--- a/src/upgrade/frame.rs
+++ b/src/upgrade/frame.rs
@@ -12,11 +12,11 @@
 /// Changes whenever a frame, or anything in one, gets another shape.
 pub const SCHEMA: u16 = 2;
 /// A frame is not longer.
-pub const MOST_BYTES: usize = 4 * 1024 * 1024;
+pub const MAX_FRAME_BYTES: usize = 4 * 1024 * 1024;
 
 /// What is listened at.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Place {
+pub enum ListenerAddress {
     /// By clients.
     Resp(SocketAddr),
     /// By clients of the second front.
@@ -27,7 +27,7 @@
 
 /// What the process before has learned and promised.
 #[derive(Default, Serialize, Deserialize)]
-pub struct Carried {
+pub struct HandoverState {
     /// An operator has drained it.
     pub drained: bool,
     /// Nodes, and those that operators have taken out.
@@ -37,7 +37,8 @@
     /// What its scheduler has learned, unless that is too much.
     pub scheduler: Option<carry::Carried>,
     /// Descriptors and bytes of memory that it holds.
-    pub holds: (usize, usize),
+    #[serde(rename = "holds")]
+    pub usage: (usize, usize),
     /// Its part in a fleet, where it has one: from here on it says nothing there.
     pub fleet: Option<Identity>,
 }
@@ -46,18 +47,18 @@
 #[derive(Serialize, Deserialize)]
 pub enum Frame {
     /// The newer process asks for the listeners.
-    Ask,
+    RequestListeners,
     /// The older one gives them, a descriptor each.
-    Listeners(Vec<Place>),
+    Listeners(Vec<ListenerAddress>),
     /// The newer one is built up and takes over; whether it has the operators' listener too.
-    Take {
+    TakeOver {
         /// It has.
-        door: bool,
+        admin: bool,
     },
     /// Another process is taking over already.
     Refused,
     /// The older one takes no more clients.
-    State(Box<Carried>),
+    State(Box<HandoverState>),
     /// A client's connection, with what was read of it and not taken.
     Client(Vec<u8>),
     /// An operator has taken a target out at this Unix time, or called it back.
@@ -70,16 +71,16 @@
         out: bool,
     },
     /// Descriptors and bytes of memory that the older one still holds.
-    Holds(usize, usize),
+    Usage(usize, usize),
     /// This process ends in order: nothing is to be taken up for it.
-    Ends,
+    Closing,
 }
 
 impl Frame {
     /// Descriptors that come with it.
     pub fn descriptors(&self) -> usize {
         match self {
-            Frame::Listeners(places) => places.len(),
+            Frame::Listeners(addresses) => addresses.len(),
             Frame::Client(_) => 1,
             _ => 0,
         }
--- a/src/upgrade/link.rs
+++ b/src/upgrade/link.rs
@@ -1,6 +1,6 @@
 //! A Unix connection between two processes of one initiator: whole frames, some with descriptors.
 
-use super::frame::{Frame, MAGIC, MOST_BYTES, SCHEMA};
+use super::frame::{Frame, MAGIC, MAX_FRAME_BYTES, SCHEMA};
 use mio::net::UnixStream;
 use nix::cmsg_space;
 use nix::errno::Errno;
@@ -14,14 +14,14 @@
 /// Room that a read asks for at once.
 const READ_BYTES: usize = 64 * 1024;
 /// Descriptors that come with one message, and that may wait for their frame.
-const MOST_WITH_ONE: usize = 8;
-const MOST_WAITING: usize = 256;
+const MAX_DESCRIPTORS_PER_MESSAGE: usize = 8;
+const MAX_PENDING_DESCRIPTORS: usize = 256;
 /// Frames that may wait to go out before clients are kept back.
-const MOST_QUEUED: usize = 64;
+const MAX_QUEUED_FRAMES: usize = 64;
 /// Length of a frame, before it.
-const HEAD: usize = 4;
+const LENGTH_BYTES: usize = 4;
 
-struct Out {
+struct Outgoing {
     bytes: Vec<u8>,
     written: usize,
     descriptors: Vec<OwnedFd>,
@@ -32,8 +32,8 @@
     stream: UnixStream,
     input: Vec<u8>,
     descriptors: VecDeque<OwnedFd>,
-    output: VecDeque<Out>,
-    greeted: bool,
+    output: VecDeque<Outgoing>,
+    greeting_received: bool,
 }
 
 impl Link {
@@ -46,13 +46,13 @@
         }
         let mut greeting = MAGIC.to_vec();
         greeting.extend(SCHEMA.to_le_bytes());
-        let first = Out { bytes: greeting, written: 0, descriptors: Vec::new() };
+        let first = Outgoing { bytes: greeting, written: 0, descriptors: Vec::new() };
         Ok(Link {
             stream,
             input: Vec::new(),
             descriptors: VecDeque::new(),
             output: [first].into(),
-            greeted: false,
+            greeting_received: false,
         })
     }
 
@@ -62,19 +62,19 @@
     }
 
     /// Whether more can be queued.
-    pub fn has_room(&self) -> bool {
-        self.output.len() < MOST_QUEUED
+    pub fn can_queue(&self) -> bool {
+        self.output.len() < MAX_QUEUED_FRAMES
     }
 
     /// Adds to what is to be written.
     pub fn send(&mut self, frame: &Frame, descriptors: Vec<OwnedFd>) -> Result<(), String> {
         let payload = postcard::to_stdvec(frame).map_err(|error| error.to_string())?;
-        if payload.len() > MOST_BYTES {
+        if payload.len() > MAX_FRAME_BYTES {
             return Err(format!("{} bytes are too many for a frame", payload.len()));
         }
         let mut bytes = (payload.len() as u32).to_le_bytes().to_vec();
         bytes.extend(payload);
-        self.output.push_back(Out { bytes, written: 0, descriptors });
+        self.output.push_back(Outgoing { bytes, written: 0, descriptors });
         Ok(())
     }
 
@@ -107,32 +107,35 @@
     pub fn read(&mut self) -> Result<bool, String> {
         let mut bytes = vec![0; READ_BYTES];
         loop {
-            let mut space = cmsg_space!([RawFd; MOST_WITH_ONE]);
+            let mut space = cmsg_space!([RawFd; MAX_DESCRIPTORS_PER_MESSAGE]);
             let mut room = [IoSliceMut::new(&mut bytes)];
             let flags = MsgFlags::MSG_CMSG_CLOEXEC;
-            let (count, came) =
+            let (count, received) =
                 match recvmsg::<()>(self.stream.as_raw_fd(), &mut room, Some(&mut space), flags) {
                     Ok(message) => {
-                        let mut came = Vec::new();
+                        let mut received = Vec::new();
                         for control in message.cmsgs().map_err(|error| error.to_string())? {
                             if let ControlMessageOwned::ScmRights(raw) = control {
                                 // SAFETY: the kernel has just made these descriptors for this process; nobody else owns them.
-                                came.extend(raw.into_iter().map(|raw| unsafe { OwnedFd::from_raw_fd(raw) }));
+                                received
+                                    .extend(raw.into_iter().map(|raw| unsafe { OwnedFd::from_raw_fd(raw) }));
                             }
                         }
-                        (message.bytes, came)
+                        (message.bytes, received)
                     }
                     Err(Errno::EINTR) => continue,
                     Err(Errno::EAGAIN) => return Ok(true),
                     Err(error) => return Err(error.to_string()),
                 };
-            self.descriptors.extend(came);
+            self.descriptors.extend(received);
             if count == 0 {
                 return Ok(false);
             }
             self.input.extend_from_slice(&bytes[..count]);
-            if self.descriptors.len() > MOST_WAITING || self.input.len() > HEAD + MOST_BYTES + READ_BYTES {
-                return Err("more came than a frame holds".into());
+            if self.descriptors.len() > MAX_PENDING_DESCRIPTORS
+                || self.input.len() > LENGTH_BYTES + MAX_FRAME_BYTES + READ_BYTES
+            {
+                return Err("more received than a frame holds".into());
             }
             if count < READ_BYTES {
                 // Frames are taken before more is read.
@@ -143,7 +146,7 @@
 
     /// The next whole frame of what was read, with its descriptors.
     pub fn next(&mut self) -> Result<Option<(Frame, Vec<OwnedFd>)>, String> {
-        if !self.greeted {
+        if !self.greeting_received {
             let length = MAGIC.len() + 2;
             let Some(greeting) = self.input.get(..length) else { return Ok(None) };
             let schema = u16::from_le_bytes([greeting[length - 2], greeting[length - 1]]);
@@ -154,16 +157,16 @@
                 return Err(format!("the other process speaks schema {schema}, this one {SCHEMA}"));
             }
             self.input.drain(..length);
-            self.greeted = true;
+            self.greeting_received = true;
         }
-        let Some(head) = self.input.first_chunk::<HEAD>() else { return Ok(None) };
+        let Some(head) = self.input.first_chunk::<LENGTH_BYTES>() else { return Ok(None) };
         let length = u32::from_le_bytes(*head) as usize;
-        if length > MOST_BYTES {
+        if length > MAX_FRAME_BYTES {
             return Err(format!("a frame of {length} bytes"));
         }
-        let Some(payload) = self.input.get(HEAD..HEAD + length) else { return Ok(None) };
+        let Some(payload) = self.input.get(LENGTH_BYTES..LENGTH_BYTES + length) else { return Ok(None) };
         let frame: Frame = postcard::from_bytes(payload).map_err(|error| error.to_string())?;
-        self.input.drain(..HEAD + length);
+        self.input.drain(..LENGTH_BYTES + length);
         let count = frame.descriptors();
         if self.descriptors.len() < count {
             return Err("a frame without its descriptors".into());
--- a/src/upgrade/mod.rs
+++ b/src/upgrade/mod.rs
@@ -8,7 +8,7 @@
 pub mod link;
 
 use crate::tokens::{Kind, Tokens};
-use frame::{Carried, Frame, Place};
+use frame::{Frame, HandoverState, ListenerAddress};
 use link::Link;
 use mio::net::{TcpListener, TcpStream, UnixListener, UnixStream};
 use mio::{Interest, Registry, Token};
@@ -19,14 +19,14 @@
 use std::time::{Duration, Instant};
 
 /// The process before has so long for each answer at the start.
-const PATIENCE: Duration = Duration::from_secs(1);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 /// How often the older process says what it holds, and looks for clients that have become idle.
-const LOOKS: Duration = Duration::from_millis(20);
+const USAGE_INTERVAL: Duration = Duration::from_millis(20);
 /// Peers at a time that have not taken over.
-const MOST_PEERS: usize = 4;
+const MAX_CANDIDATES: usize = 4;
 
 /// Where processes of the initiator at an address meet.
-pub fn meeting_place(listen: SocketAddr) -> Option<PathBuf> {
+pub fn socket_path(listen: SocketAddr) -> Option<PathBuf> {
     let folder = std::env::var_os("TMPDIR").filter(|folder| !folder.is_empty())?;
     Some(
         Path::new(&folder)
@@ -35,19 +35,19 @@
 }
 
 /// The process that ran before, from the newer one's side, until that is built up.
-pub struct Before {
+pub struct Predecessor {
     link: Link,
     /// The same connection, for its settings.
     stream: std::os::unix::net::UnixStream,
-    listeners: Vec<(Place, OwnedFd)>,
+    listeners: Vec<(ListenerAddress, OwnedFd)>,
     /// The operators' listener was taken.
     admin: bool,
 }
 
-impl Before {
+impl Predecessor {
     /// Asks for the listeners; nothing if no process runs there.
-    pub fn find(place: &Path) -> Result<Option<Before>, String> {
-        let stream = match std::os::unix::net::UnixStream::connect(place) {
+    pub fn connect(path: &Path) -> Result<Option<Predecessor>, String> {
+        let stream = match std::os::unix::net::UnixStream::connect(path) {
             Ok(stream) => stream,
             // Whatever is there is left over from a process that is gone, or nothing ever was.
             Err(error) => {
@@ -57,22 +57,22 @@
             }
         };
         // Guards the start against a process that is there and says nothing.
-        stream.set_read_timeout(Some(PATIENCE)).map_err(|error| error.to_string())?;
-        stream.set_write_timeout(Some(PATIENCE)).map_err(|error| error.to_string())?;
+        stream.set_read_timeout(Some(RESPONSE_TIMEOUT)).map_err(|error| error.to_string())?;
+        stream.set_write_timeout(Some(RESPONSE_TIMEOUT)).map_err(|error| error.to_string())?;
         let other = stream.try_clone().map_err(|error| error.to_string())?;
         let mut link = Link::new(UnixStream::from_std(other))?;
-        link.send(&Frame::Ask, Vec::new())?;
-        let mut before = Before { link, stream, listeners: Vec::new(), admin: false };
-        match before.answer()? {
-            (Frame::Listeners(places), descriptors) => {
-                before.listeners = places.into_iter().zip(descriptors).collect();
-                Ok(Some(before))
+        link.send(&Frame::RequestListeners, Vec::new())?;
+        let mut predecessor = Predecessor { link, stream, listeners: Vec::new(), admin: false };
+        match predecessor.receive()? {
+            (Frame::Listeners(addresses), descriptors) => {
+                predecessor.listeners = addresses.into_iter().zip(descriptors).collect();
+                Ok(Some(predecessor))
             }
             _ => Err("the other process does not give its listeners".into()),
         }
     }
 
-    fn answer(&mut self) -> Result<(Frame, Vec<OwnedFd>), String> {
+    fn receive(&mut self) -> Result<(Frame, Vec<OwnedFd>), String> {
         let start = Instant::now();
         self.link.flush()?;
         loop {
@@ -80,7 +80,7 @@
                 return Ok(frame);
             }
             // A frame in many small pieces takes no longer than a silent one.
-            if start.elapsed() >= PATIENCE {
+            if start.elapsed() >= RESPONSE_TIMEOUT {
                 return Err("the other process is silent".into());
             }
             if !self.link.read()? {
@@ -90,20 +90,20 @@
     }
 
     /// The listener at a place, if it has one.
-    pub fn listener(&mut self, place: Place) -> Option<TcpListener> {
-        let at = self.listeners.iter().position(|(one, _)| *one == place)?;
-        self.admin |= matches!(place, Place::Control(_));
+    pub fn listener(&mut self, path: ListenerAddress) -> Option<TcpListener> {
+        let at = self.listeners.iter().position(|(one, _)| *one == path)?;
+        self.admin |= matches!(path, ListenerAddress::Control(_));
         let listener = std::net::TcpListener::from(self.listeners.remove(at).1);
         listener.set_nonblocking(true).ok()?;
         Some(TcpListener::from_std(listener))
     }
 
     /// Takes over: from here on the other process lets nobody in. Its state, unless it does not answer.
-    fn take(&mut self) -> Result<Option<Box<Carried>>, String> {
+    fn take_over(&mut self) -> Result<Option<Box<HandoverState>>, String> {
         let answer =
-            self.link.send(&Frame::Take { door: self.admin }, Vec::new()).and_then(|()| self.answer());
+            self.link.send(&Frame::TakeOver { admin: self.admin }, Vec::new()).and_then(|()| self.receive());
         match answer {
-            Ok((Frame::State(carried), _)) => Ok(Some(carried)),
+            Ok((Frame::State(state), _)) => Ok(Some(state)),
             Ok((Frame::Refused, _)) => Err("another process is taking over already".into()),
             Ok(_) => Err("the other process speaks out of turn".into()),
             Err(why) => {
@@ -117,11 +117,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Role {
     /// It has said nothing yet, or has the listeners.
-    Caller,
+    Candidate,
     /// It took over.
-    Newer,
+    Successor,
     /// This process took over from it.
-    Older,
+    Predecessor,
 }
 
 struct Peer {
@@ -129,89 +129,97 @@
     role: Role,
     since: Instant,
     /// It has said that it ends.
-    ends: bool,
+    closing: bool,
 }
 
 /// What the loop hears of other processes.
-pub enum Heard {
+pub enum UpgradeEvent {
     /// One wants the listeners.
-    Asked(usize),
+    ListenersRequested(usize),
     /// One takes over, and the operators' listener too or not.
-    Take { peer: usize, admin: bool },
+    TakeOver { peer: usize, admin: bool },
     /// A client comes over.
     Client(TcpStream, Vec<u8>),
     /// An operator has taken a target out there, or called it back.
     Ban { name: String, unix: Duration, out: bool },
     /// What the older one holds.
-    Holds(usize, usize),
+    Usage(usize, usize),
     /// The older one is gone.
-    OlderGone,
+    PredecessorGone,
     /// The newer one died: clients are this process's again.
-    NewerGone,
+    SuccessorGone,
 }
 
 /// The other processes of this initiator, as seen from this one.
 pub struct Upgrade {
-    place: Option<PathBuf>,
+    path: Option<PathBuf>,
     listener: Option<UnixListener>,
     token: Token,
     peers: BTreeMap<usize, Peer>,
-    knocked: bool,
-    next_look: Instant,
+    accept_pending: bool,
+    next_check: Instant,
 }
 
 impl Upgrade {
     /// Knows of no other process.
-    pub fn new(place: Option<PathBuf>, token: Token, now: Instant) -> Self {
-        Upgrade { place, listener: None, token, peers: BTreeMap::new(), knocked: false, next_look: now }
+    pub fn new(path: Option<PathBuf>, token: Token, now: Instant) -> Self {
+        Upgrade {
+            path,
+            listener: None,
+            token,
+            peers: BTreeMap::new(),
+            accept_pending: false,
+            next_check: now,
+        }
     }
 
     /// Takes over from the process before; its state, as far as it gives one.
     pub fn take_over(
         &mut self,
-        mut before: Before,
+        mut predecessor: Predecessor,
         registry: &Registry,
         tokens: &mut Tokens,
         now: Instant,
-    ) -> Result<Option<Box<Carried>>, String> {
-        let carried = before.take()?;
+    ) -> Result<Option<Box<HandoverState>>, String> {
+        let state = predecessor.take_over()?;
         let token = tokens.next(Kind::Upgrade);
-        let watched = before.stream.set_nonblocking(true).and_then(|()| {
-            registry.register(before.link.source(), token, Interest::READABLE | Interest::WRITABLE)
+        let watched = predecessor.stream.set_nonblocking(true).and_then(|()| {
+            registry.register(predecessor.link.source(), token, Interest::READABLE | Interest::WRITABLE)
         });
         match watched {
             Ok(()) => {
-                let peer = Peer { link: before.link, role: Role::Older, since: now, ends: false };
+                let peer =
+                    Peer { link: predecessor.link, role: Role::Predecessor, since: now, closing: false };
                 self.peers.insert(token.0, peer);
             }
-            Err(error) => tracing::warn!("the process before is not heard any more: {error}"),
+            Err(error) => tracing::warn!("the process predecessor is not events any more: {error}"),
         }
-        Ok(carried)
+        Ok(state)
     }
 
     /// Listens for the next process. Where that cannot be, there is no upgrade without a gap, and all else goes on.
     pub fn listen(&mut self, registry: &Registry) {
-        let Some(place) = &self.place else { return };
+        let Some(path) = &self.path else { return };
         // What is there is left over, or belongs to the process that this one took over from.
-        let _ = std::fs::remove_file(place);
-        let opened = UnixListener::bind(place).and_then(|mut listener| {
+        let _ = std::fs::remove_file(path);
+        let opened = UnixListener::bind(path).and_then(|mut listener| {
             registry.register(&mut listener, self.token, Interest::READABLE)?;
             Ok(listener)
         });
         match opened {
             Ok(listener) => self.listener = Some(listener),
-            Err(error) => tracing::warn!("{}: no upgrade without a gap: {error}", place.display()),
+            Err(error) => tracing::warn!("{}: no upgrade without a gap: {error}", path.display()),
         }
     }
 
     /// The next process knocks.
     pub fn connections_pending(&mut self) {
-        self.knocked = true;
+        self.accept_pending = true;
     }
 
     /// When [`Upgrade::turn`] has something to do.
     pub fn next_timer(&self) -> Option<Instant> {
-        (!self.peers.is_empty()).then_some(self.next_look)
+        (!self.peers.is_empty()).then_some(self.next_check)
     }
 
     /// Lets other processes in, drops those that are silent, and says to the newer one what this one holds.
@@ -220,43 +228,44 @@
         now: Instant,
         registry: &Registry,
         tokens: &mut Tokens,
-        holds: impl FnOnce() -> (usize, usize),
-    ) -> Vec<Heard> {
-        let mut heard = Vec::new();
-        if std::mem::take(&mut self.knocked) {
+        usage: impl FnOnce() -> (usize, usize),
+    ) -> Vec<UpgradeEvent> {
+        let mut events = Vec::new();
+        if std::mem::take(&mut self.accept_pending) {
             while let Some(Ok((mut stream, _))) = self.listener.as_ref().map(UnixListener::accept) {
-                let callers = self.peers.values().filter(|peer| peer.role == Role::Caller).count();
+                let candidates = self.peers.values().filter(|peer| peer.role == Role::Candidate).count();
                 let token = tokens.next(Kind::Upgrade);
                 let interest = Interest::READABLE | Interest::WRITABLE;
-                if callers >= MOST_PEERS || registry.register(&mut stream, token, interest).is_err() {
+                if candidates >= MAX_CANDIDATES || registry.register(&mut stream, token, interest).is_err() {
                     continue;
                 }
                 match Link::new(stream) {
                     Ok(link) => {
-                        let peer = Peer { link, role: Role::Caller, since: now, ends: false };
+                        let peer = Peer { link, role: Role::Candidate, since: now, closing: false };
                         self.peers.insert(token.0, peer);
-                        heard.extend(self.ready(token.0));
+                        events.extend(self.ready(token.0));
                     }
                     Err(why) => tracing::warn!("a process is not let in: {why}"),
                 }
             }
         }
-        if self.next_look <= now {
-            self.next_look = now + LOOKS;
+        if self.next_check <= now {
+            self.next_check = now + USAGE_INTERVAL;
             // Guards against processes that connect and do not go on; one that is built up takes over within it.
-            self.peers.retain(|_, peer| peer.role != Role::Caller || now - peer.since < 10 * PATIENCE);
-            if self.newer().is_some() {
-                let (descriptors, bytes) = holds();
-                self.tell_newer(&Frame::Holds(descriptors, bytes), Vec::new());
+            self.peers
+                .retain(|_, peer| peer.role != Role::Candidate || now - peer.since < 10 * RESPONSE_TIMEOUT);
+            if self.successor().is_some() {
+                let (descriptors, bytes) = usage();
+                self.send_to_successor(&Frame::Usage(descriptors, bytes), Vec::new());
             }
         }
-        heard
+        events
     }
 
     /// Something happened on a peer's connection.
-    pub fn ready(&mut self, id: usize) -> Vec<Heard> {
-        let mut heard = Vec::new();
-        let Some(peer) = self.peers.get_mut(&id) else { return heard };
+    pub fn ready(&mut self, id: usize) -> Vec<UpgradeEvent> {
+        let mut events = Vec::new();
+        let Some(peer) = self.peers.get_mut(&id) else { return events };
         let open = loop {
             let open = match peer.link.flush().and_then(|()| peer.link.read()) {
                 Ok(open) => open,
@@ -266,22 +275,22 @@
                 }
             };
             let mut any = false;
-            let fault = loop {
+            let failed = loop {
                 match peer.link.next() {
                     Ok(Some((frame, descriptors))) => {
                         any = true;
-                        if !peer.take(id, frame, descriptors, &mut heard) {
+                        if !peer.handle(id, frame, descriptors, &mut events) {
                             break true;
                         }
                     }
                     Ok(None) => break false,
                     Err(why) => {
-                        tracing::warn!("another process is not heard any more: {why}");
+                        tracing::warn!("another process is not events any more: {why}");
                         break true;
                     }
                 }
             };
-            if fault || !open {
+            if failed || !open {
                 break false;
             }
             if !any {
@@ -291,84 +300,84 @@
         if !open {
             if let Some(peer) = self.peers.remove(&id) {
                 match peer.role {
-                    Role::Older => heard.push(Heard::OlderGone),
-                    Role::Newer if !peer.ends => heard.push(Heard::NewerGone),
+                    Role::Predecessor => events.push(UpgradeEvent::PredecessorGone),
+                    Role::Successor if !peer.closing => events.push(UpgradeEvent::SuccessorGone),
                     _ => {}
                 }
             }
         }
-        heard
+        events
     }
 
     /// Gives the listeners to the process that asked.
-    pub fn give_listeners(&mut self, id: usize, listeners: Vec<(Place, &TcpListener)>) {
-        let copies = listeners.into_iter().map(|(place, listener)| {
-            listener.as_fd().try_clone_to_owned().map(|descriptor| (place, descriptor))
+    pub fn send_listeners(&mut self, id: usize, listeners: Vec<(ListenerAddress, &TcpListener)>) {
+        let copies = listeners.into_iter().map(|(path, listener)| {
+            listener.as_fd().try_clone_to_owned().map(|descriptor| (path, descriptor))
         });
         let Ok(copies) = copies.collect::<std::io::Result<Vec<_>>>() else { return self.refuse(id) };
-        let (places, descriptors) = copies.into_iter().unzip();
-        self.tell(id, &Frame::Listeners(places), descriptors);
+        let (addresses, descriptors) = copies.into_iter().unzip();
+        self.send_to(id, &Frame::Listeners(addresses), descriptors);
     }
 
     /// Gives this process's state to the one that takes over; false if another one did before.
-    pub fn give_state(&mut self, id: usize, state: impl FnOnce() -> Carried) -> bool {
-        if self.newer().is_some() {
+    pub fn send_state(&mut self, id: usize, state: impl FnOnce() -> HandoverState) -> bool {
+        if self.successor().is_some() {
             self.refuse(id);
             return false;
         }
         let Some(peer) = self.peers.get_mut(&id) else { return false };
-        peer.role = Role::Newer;
+        peer.role = Role::Successor;
         // The next process is to find the newer one.
         self.listener = None;
         let mut state = state();
-        if postcard::to_stdvec(&state.scheduler).is_ok_and(|bytes| bytes.len() > frame::MOST_BYTES / 2) {
+        if postcard::to_stdvec(&state.scheduler).is_ok_and(|bytes| bytes.len() > frame::MAX_FRAME_BYTES / 2) {
             tracing::warn!("what the scheduler learned is too much to be handed over");
             state.scheduler = None;
         }
-        self.tell(id, &Frame::State(Box::new(state)), Vec::new());
+        self.send_to(id, &Frame::State(Box::new(state)), Vec::new());
         true
     }
 
     fn refuse(&mut self, id: usize) {
-        self.tell(id, &Frame::Refused, Vec::new());
+        self.send_to(id, &Frame::Refused, Vec::new());
     }
 
     /// Clients that the newer process takes now.
-    pub fn room_for_clients(&self) -> bool {
-        self.newer().is_some_and(|id| self.peers[&id].link.has_room())
+    pub fn can_send_client(&self) -> bool {
+        self.successor().is_some_and(|id| self.peers[&id].link.can_queue())
     }
 
     /// Gives a client to the newer process.
-    pub fn give_client(&mut self, stream: TcpStream, input: Vec<u8>) {
-        self.tell_newer(&Frame::Client(input), vec![std::net::TcpStream::from(stream).into()]);
+    pub fn send_client(&mut self, stream: TcpStream, input: Vec<u8>) {
+        self.send_to_successor(&Frame::Client(input), vec![std::net::TcpStream::from(stream).into()]);
     }
 
     /// Tells the other process that an operator has taken a target out, or called it back.
-    pub fn tell_ban(&mut self, name: &str, unix: Duration, out: bool) {
-        let peers = self.peers.iter().filter(|(_, peer)| peer.role != Role::Caller);
+    pub fn send_ban(&mut self, name: &str, unix: Duration, out: bool) {
+        let peers = self.peers.iter().filter(|(_, peer)| peer.role != Role::Candidate);
         for id in peers.map(|(id, _)| *id).collect::<Vec<_>>() {
-            self.tell(id, &Frame::Ban { name: name.to_string(), unix, out }, Vec::new());
+            self.send_to(id, &Frame::Ban { name: name.to_string(), unix, out }, Vec::new());
         }
     }
 
     /// This process ends in order, and the older one is not to take up anything for it.
     pub fn end(&mut self) {
         for id in self.peers.keys().copied().collect::<Vec<_>>() {
-            self.tell(id, &Frame::Ends, Vec::new());
+            self.send_to(id, &Frame::Closing, Vec::new());
         }
     }
 
-    fn newer(&self) -> Option<usize> {
-        self.peers.iter().find(|(_, peer)| peer.role == Role::Newer).map(|(id, _)| *id)
+    fn successor(&self) -> Option<usize> {
+        self.peers.iter().find(|(_, peer)| peer.role == Role::Successor).map(|(id, _)| *id)
     }
 
-    fn tell_newer(&mut self, frame: &Frame, descriptors: Vec<OwnedFd>) {
-        if let Some(id) = self.newer() {
-            self.tell(id, frame, descriptors);
+    fn send_to_successor(&mut self, frame: &Frame, descriptors: Vec<OwnedFd>) {
+        if let Some(id) = self.successor() {
+            self.send_to(id, frame, descriptors);
         }
     }
 
-    fn tell(&mut self, id: usize, frame: &Frame, descriptors: Vec<OwnedFd>) {
+    fn send_to(&mut self, id: usize, frame: &Frame, descriptors: Vec<OwnedFd>) {
         let Some(peer) = self.peers.get_mut(&id) else { return };
         // An end of the connection shows where it is read.
         if let Err(why) = peer.link.send(frame, descriptors).and_then(|()| peer.link.flush()) {
@@ -379,23 +388,33 @@
 
 impl Peer {
     /// Takes one thing said, as far as it is this peer's to say; false if it is not.
-    fn take(&mut self, id: usize, frame: Frame, descriptors: Vec<OwnedFd>, heard: &mut Vec<Heard>) -> bool {
+    fn handle(
+        &mut self,
+        id: usize,
+        frame: Frame,
+        descriptors: Vec<OwnedFd>,
+        events: &mut Vec<UpgradeEvent>,
+    ) -> bool {
         match (self.role, frame) {
-            (Role::Caller, Frame::Ask) => heard.push(Heard::Asked(id)),
-            (Role::Caller, Frame::Take { door }) => heard.push(Heard::Take { peer: id, admin: door }),
-            (Role::Older, Frame::Client(input)) => {
+            (Role::Candidate, Frame::RequestListeners) => events.push(UpgradeEvent::ListenersRequested(id)),
+            (Role::Candidate, Frame::TakeOver { admin }) => {
+                events.push(UpgradeEvent::TakeOver { peer: id, admin: admin })
+            }
+            (Role::Predecessor, Frame::Client(input)) => {
                 for descriptor in descriptors {
                     let stream = std::net::TcpStream::from(descriptor);
-                    heard.push(Heard::Client(TcpStream::from_std(stream), input.clone()));
+                    events.push(UpgradeEvent::Client(TcpStream::from_std(stream), input.clone()));
                 }
             }
-            (Role::Older, Frame::Holds(descriptors, bytes)) => heard.push(Heard::Holds(descriptors, bytes)),
-            (Role::Older | Role::Newer, Frame::Ban { name, unix, out }) => {
-                heard.push(Heard::Ban { name, unix, out });
+            (Role::Predecessor, Frame::Usage(descriptors, bytes)) => {
+                events.push(UpgradeEvent::Usage(descriptors, bytes))
+            }
+            (Role::Predecessor | Role::Successor, Frame::Ban { name, unix, out }) => {
+                events.push(UpgradeEvent::Ban { name, unix, out });
             }
-            (_, Frame::Ends) => self.ends = true,
+            (_, Frame::Closing) => self.closing = true,
             // A state that comes after its time was waited for.
-            (Role::Older, Frame::State(_)) => {}
+            (Role::Predecessor, Frame::State(_)) => {}
             _ => {
                 tracing::warn!("another process speaks out of turn");
                 return false;
--- a/src/upgrade/tests.rs
+++ b/src/upgrade/tests.rs
@@ -17,21 +17,21 @@
     let mut to = Link::new(UnixStream::from_std(to)).unwrap();
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    from.send(&Frame::Ask, vec![]).unwrap();
+    from.send(&Frame::RequestListeners, vec![]).unwrap();
     let input = vec![7; 3 * 64 * 1024];
     from.send(&Frame::Client(input.clone()), vec![listener.try_clone().unwrap().into()]).unwrap();
-    from.send(&Frame::Listeners(vec![Place::Resp(address)]), vec![listener.into()]).unwrap();
-    let mut came = Vec::new();
-    while came.len() < 3 {
+    from.send(&Frame::Listeners(vec![ListenerAddress::Resp(address)]), vec![listener.into()]).unwrap();
+    let mut received = Vec::new();
+    while received.len() < 3 {
         from.flush().unwrap();
         assert!(to.read().unwrap());
         while let Some(frame) = to.next().unwrap() {
-            came.push(frame);
+            received.push(frame);
         }
     }
-    assert!(matches!(&came[0], (Frame::Ask, none) if none.is_empty()));
-    assert!(matches!(&came[1], (Frame::Client(bytes), one) if *bytes == input && one.len() == 1));
-    let (_, descriptors) = came.remove(2);
+    assert!(matches!(&received[0], (Frame::RequestListeners, none) if none.is_empty()));
+    assert!(matches!(&received[1], (Frame::Client(bytes), one) if *bytes == input && one.len() == 1));
+    let (_, descriptors) = received.remove(2);
     let listener = std::net::TcpListener::from(descriptors.into_iter().next().unwrap());
     assert_eq!(listener.local_addr().unwrap(), address);
 }
@@ -98,12 +98,12 @@
 fn the_shape_of_what_is_said_belongs_to_this_schema() {
     use crate::interface::*;
     let class = Class {
-        aim: PATIENCE,
-        deadline: PATIENCE,
+        aim: RESPONSE_TIMEOUT,
+        deadline: RESPONSE_TIMEOUT,
         worth: 1.0,
         late_worth: 0.0,
         effect: crate::interface::Effect::Safe,
-        window: PATIENCE,
+        window: RESPONSE_TIMEOUT,
         in_order: true,
     };
     let limit = Some(Limit { rate: 9.0, burst: 9.0, slack: 1.0 });
@@ -112,7 +112,7 @@
     let limits = Limits { max_attempts: 2, ..Limits::default() };
     let (classes, plans) = (vec![class], vec![plan]);
     let settings =
-        Settings { hosts: 1, tick: PATIENCE, classes, plans, units, limits, ..Settings::default() };
+        Settings { hosts: 1, tick: RESPONSE_TIMEOUT, classes, plans, units, limits, ..Settings::default() };
     let mut scheduler = Scheduler::new(settings, 1);
     let now = Duration::from_secs(9);
     let entries = vec![NodeEntry { started: Some(now), ..NodeEntry::default() }];
@@ -124,8 +124,8 @@
     let file = include_str!("../../deploy/fleet.toml").replace("enabled = false", "enabled = true");
     let fleet = crate::fleet::settings::Settings::parse(&file).unwrap().unwrap();
     let fleet = crate::fleet::member::Member::new(fleet.parameters(now, 1), now).identity();
-    let (list, holds, fleet) = (Some(1), (1, 1), Some(fleet));
-    let state = Carried { drained: true, nodes, list, scheduler, holds, fleet };
+    let (list, usage, fleet) = (Some(1), (1, 1), Some(fleet));
+    let state = HandoverState { drained: true, nodes, list, scheduler, usage, fleet };
     let mut names = std::collections::BTreeSet::new();
     shape(&serde_json::to_value(Frame::State(Box::new(state))).unwrap(), "", &mut names);
     let text = names.into_iter().collect::<Vec<_>>().join("\n");
--- a/src/upgrade/tests/recorded.rs
+++ b/src/upgrade/tests/recorded.rs
@@ -51,29 +51,29 @@
         other.write_all(&record(FRAMES, name)).unwrap();
     }
     other.write_all(&record(STATES, "state")).unwrap();
-    let mut came = Vec::new();
-    while came.len() < 7 {
+    let mut received = Vec::new();
+    while received.len() < 7 {
         assert!(link.read().unwrap());
         while let Some((frame, _)) = link.next().unwrap() {
-            came.push(frame);
+            received.push(frame);
         }
     }
-    assert!(matches!(came[0], Frame::Ask));
-    assert!(matches!(came[1], Frame::Take { door: false }));
-    assert!(matches!(came[4], Frame::Ends));
-    assert!(matches!(came[6], Frame::State(_)));
+    assert!(matches!(received[0], Frame::RequestListeners));
+    assert!(matches!(received[1], Frame::TakeOver { admin: false }));
+    assert!(matches!(received[4], Frame::Closing));
+    assert!(matches!(received[6], Frame::State(_)));
 }
 
 #[test]
 fn recorded_frames_mean_what_they_meant() {
     let frames: Vec<Frame> = records(FRAMES).iter().skip(1).map(|(_, bytes)| frame(bytes)).collect();
-    let [Frame::Ask, Frame::Listeners(places), Frame::Take { door: true }, Frame::Take { door: false }, Frame::Refused, Frame::Client(input), Frame::Ban { name, unix, out: true }, Frame::Ban { out: false, .. }, Frame::Holds(descriptors, bytes), Frame::Ends, Frame::State(empty)] =
+    let [Frame::RequestListeners, Frame::Listeners(addresses), Frame::TakeOver { admin: true }, Frame::TakeOver { admin: false }, Frame::Refused, Frame::Client(input), Frame::Ban { name, unix, out: true }, Frame::Ban { out: false, .. }, Frame::Usage(descriptors, bytes), Frame::Closing, Frame::State(empty)] =
         &frames[..]
     else {
         panic!("other frames")
     };
-    let places: Vec<String> = places.iter().map(|place| format!("{place:?}")).collect();
-    assert_eq!(places, ["Resp(127.0.0.1:6379)", "Iscsi([::1]:3260)", "Control(127.0.0.2:9000)"]);
+    let addresses: Vec<String> = addresses.iter().map(|path| format!("{path:?}")).collect();
+    assert_eq!(addresses, ["Resp(127.0.0.1:6379)", "Iscsi([::1]:3260)", "Control(127.0.0.2:9000)"]);
     assert_eq!(input, b"*1\r\n$4\r\nPI");
     assert_eq!((name.as_str(), *unix), ("s-2", Duration::new(1_700_000_000, 5)));
     assert_eq!((*descriptors, *bytes), (12, 345_678));
--- a/tests/net/helper.rs
+++ b/tests/net/helper.rs
@@ -247,7 +247,7 @@
 
     /// Kilobytes of memory that it uses.
     pub fn memory_kb(&self) -> u64 {
-        topazpath::process::resident(self.child.id()).unwrap() as u64 / 1024
+        topazpath::process::resident_memory(self.child.id()).unwrap() as u64 / 1024
     }
 
     /// Replaces its configuration with one that names this address of discovery, and tells it so.
