--- a/src/target/iscsi.rs
+++ b/src/target/iscsi.rs
@@ -1,4 +1,4 @@
-//! Storage that speaks iSCSI (RFC 7143): here the program is the initiator, with one command out at a time.
+//! Storage nodes that speak iSCSI (RFC 7143). This side is the initiator, with one command in flight at a time.
 
 use super::Step;
 use crate::core::{Content, Ended, Operation};
@@ -9,18 +9,18 @@
 use std::time::Duration;
 
 const INITIATOR_NAME: &str = "iqn.2026-12.topazpath:initiator";
-/// Largest data segment accepted, and the most put into one.
+/// Largest data segment accepted, and largest one sent.
 const MAX_DATA_BYTES: usize = 64 * 1024;
-/// What a target accepts unless it says otherwise (RFC 7143, 13.12 and 13.14).
+/// Limit of a target that declares none (RFC 7143, 13.12 and 13.14).
 const DEFAULT_SEGMENT: usize = 8192;
-/// From the operational stage straight to full feature phase.
+/// Transit from the operational negotiation stage to the full feature phase.
 const LOGIN_FLAGS: u8 = FINAL | 1 << 2 | 3;
-/// Flags of a SCSI Command beside the final one: it reads, it writes, simple queuing.
+/// Flags of a SCSI Command beside the final one: read, write, simple task attribute.
 const READ_FLAG: u8 = 0x40;
 const WRITE_FLAG: u8 = 0x20;
 const SIMPLE_QUEUE: u8 = 0x01;
 
-/// One session of one connection.
+/// The iSCSI session of one connection.
 pub struct Session {
     target: String,
     number: usize,
@@ -39,14 +39,14 @@
     tag: u32,
     lun: [u8; 8],
     body: Vec<u8>,
-    /// How much of the body was put out.
+    /// Bytes of the body sent so far.
     sent: usize,
     value: Vec<u8>,
     expected: usize,
 }
 
 impl Session {
-    /// A session with the target of this name; `number` tells it from others of this initiator.
+    /// A session with the target of this name; `number` distinguishes it from other sessions of this initiator.
     pub fn new(target: &str, number: usize) -> Self {
         Session {
             target: target.to_string(),
@@ -65,7 +65,7 @@
     fn handle_login(&mut self, pdu: &Pdu) -> Result<Step, String> {
         let (class, detail) = (pdu.header[36], pdu.header[37]);
         if pdu.opcode() != Some(Opcode::LoginResponse) || class != 0 {
-            return Err(format!("login declined: status {class}.{detail}"));
+            return Err(format!("login rejected: status {class}.{detail}"));
         }
         let keys = text::read(&pdu.data)?;
         let number = |name: &str| text::get(&keys, name).and_then(|value| value.parse::<usize>().ok());
@@ -74,7 +74,7 @@
         self.first_burst = number("FirstBurstLength").unwrap_or(self.first_burst);
         self.immediate &= text::get(&keys, "ImmediateData") != Some("No");
         if pdu.flags() & FINAL == 0 || pdu.flags() & 3 != 3 {
-            return Err("login does not reach the full feature phase".into());
+            return Err("the login response does not enter the full feature phase".into());
         }
         self.logged_in = true;
         Ok(Step::Ready)
@@ -96,7 +96,7 @@
             Some(Opcode::DataIn) if current => self.handle_data(&pdu),
             Some(Opcode::R2t) if current => self.handle_r2t(&pdu, output),
             Some(Opcode::ScsiResponse) if current => {
-                // A target that could not complete the command says so in the response byte.
+                // A target that could not complete the command reports that in the response byte.
                 let status = if pdu.header[2] == 0 { pdu.header[3] } else { scsi::CHECK_CONDITION };
                 Ok(self.finish(status, pdu.flags()))
             }
@@ -109,20 +109,21 @@
         let Some(task) = &mut self.task else { return Ok(Step::Incomplete) };
         let in_order = pdu.u32(40) as usize == task.value.len();
         if !in_order || task.value.len() + pdu.data.len() > task.expected {
-            return Err("data out of order or too much".into());
+            return Err("Data-In out of order or beyond the expected length".into());
         }
         task.value.extend_from_slice(&pdu.data);
         let with_status = pdu.flags() & 0x01 != 0;
         Ok(if with_status { self.finish(pdu.header[3], pdu.flags()) } else { Step::Incomplete })
     }
 
-    /// Answers an R2T with the data that it asks for.
+    /// Answers an R2T with the requested data.
     fn handle_r2t(&mut self, r2t: &Pdu, output: &mut Vec<u8>) -> Result<Step, String> {
         let Some(task) = &mut self.task else { return Ok(Step::Incomplete) };
         let (start, length) = (r2t.u32(40) as usize, r2t.u32(44) as usize);
         let requested = start.checked_add(length).and_then(|end| task.body.get(start..end));
-        let requested =
-            requested.filter(|requested| !requested.is_empty()).ok_or("an R2T beyond the data")?;
+        let requested = requested
+            .filter(|requested| !requested.is_empty())
+            .ok_or("R2T requests data beyond the end of the body")?;
         let count = requested.len().div_ceil(self.max_segment);
         for (number, piece) in requested.chunks(self.max_segment).enumerate() {
             let mut pdu = Pdu::new(Opcode::DataOut, task.tag)
@@ -144,7 +145,7 @@
         let incomplete = task.value.len() < task.expected && flags & 0x02 == 0;
         Step::Ended(match status {
             scsi::GOOD if !incomplete => Ended { value: task.value, ..Ended::bare(Outcome::Served) },
-            // Both say that the command was not begun (SAM-5, 5.3.1).
+            // Both statuses say that the command was not started (SAM-5, 5.3.1).
             scsi::BUSY | scsi::TASK_SET_FULL => Ended::bare(Outcome::Full),
             _ => Ended::bare(Outcome::Error),
         })
@@ -179,7 +180,7 @@
             .with(24, self.cmd_sn)
             .with_data(text::write(&keys));
         login.header[0] |= 0x40;
-        // An ISID of the random kind; one used twice would end the other session.
+        // An ISID of the random type. Reusing one would end the other session.
         let process = std::process::id().to_be_bytes();
         let number = (self.number as u32).to_be_bytes();
         login.header[8..14].copy_from_slice(&[0x80, process[2], process[3], number[1], number[2], number[3]]);
@@ -212,7 +213,7 @@
     }
 
     fn reuse_delay(&self) -> Duration {
-        // Each PDU names its task.
+        // Each PDU names its task, so a late one cannot be taken for the next command's.
         Duration::ZERO
     }
 
--- a/src/target/mod.rs
+++ b/src/target/mod.rs
@@ -1,8 +1,8 @@
-//! The connections to storage nodes and the attempts on them. What is spoken on a connection is a [`Session`] of
-//! its wire's module; everything else is the same for all wires.
-//!
-//! A connection carries one attempt at a time: a pipelined answer would wait behind those before it, and giving
-//! one up by closing would take the others along.
+//! Connections to storage nodes and the attempts on them. The protocol spoken on a connection is a [`Session`],
+//! implemented once per protocol ([`resp`], [`iscsi`]); connection handling, timeouts and reuse are the same for all.
+//! ||
+//! A connection carries one attempt at a time: a pipelined answer would wait behind earlier answers, and cancelling
+//! one attempt by closing the connection would cancel the others too.
 
 pub mod iscsi;
 pub mod resp;
@@ -18,65 +18,65 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// More than the largest answer takes.
+/// Upper bound of a buffered answer; no valid short answer reaches it.
 const MAX_ANSWER_BYTES: usize = 80 * 1024;
-/// An answer that has begun and does not go on for this long is not going to: its lengths do not fit.
+/// A partial answer that makes no progress for this long is treated as malformed: its lengths do not add up.
 const ANSWER_STALL_TIMEOUT: Duration = Duration::from_millis(150);
-/// The same for a long one, and for what a node takes of a long command: peers may need seconds for a piece.
+/// The same for long answers and long request bodies: a node or client may need seconds between two pieces.
 const TRANSFER_STALL_TIMEOUT: Duration = Duration::from_secs(5);
-/// How often long values are looked through for those that do not go on.
+/// How often long transfers are checked for a stall.
 const TRANSFER_CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// Part of the targets' idle time after which a connection is closed from this side. A request written to a
-/// connection that the far side has just closed would end as a reset.
+/// Fraction of the nodes' own idle timeout after which an idle connection is closed from this side: a request written
+/// to a connection that the node has just closed would end as a reset.
 const IDLE_LIMIT_FRACTION: f64 = 0.5;
 
-/// What is spoken on one connection. It does no I/O.
+/// The protocol state of one connection. It does no I/O.
 pub trait Session {
-    /// Begins the conversation; true if attempts may follow at once.
+    /// Starts the session; true if attempts may follow immediately, without a login.
     fn open(&mut self, output: &mut Vec<u8>) -> bool;
 
-    /// Begins an attempt; false if this wire has no words for it.
+    /// Encodes the start of an attempt; false if this protocol cannot express it.
     fn start(&mut self, content: &Content, time_left: Duration, output: &mut Vec<u8>) -> bool;
 
-    /// How long a connection rests after an answer, before the next attempt.
+    /// How long a connection stays unused after an answer, before the next attempt.
     fn reuse_delay(&self) -> Duration;
 
-    /// Whether the attempt's last byte was put out.
+    /// Whether the session has written the last byte of the attempt to its output.
     fn is_sent(&self) -> bool;
 
-    /// Reads what has come. An error means that the far side does not keep to the wire.
+    /// Reads received bytes. Returns an error if the peer violates the protocol.
     fn input(&mut self, input: &mut Vec<u8>, output: &mut Vec<u8>) -> Result<Step, String>;
 }
 
-/// Where a session stands after some input.
+/// Result of reading some input.
 #[derive(Debug, PartialEq)]
 pub enum Step {
-    /// More has to come.
+    /// The message is incomplete; more input is needed.
     Incomplete,
-    /// Attempts may begin.
+    /// The session is ready for attempts.
     Ready,
-    /// A long value of so many bytes follows, in pieces.
+    /// A long value of this many bytes follows in pieces.
     LongAnswer(usize),
-    /// Some of it.
+    /// The next bytes of the long value.
     Data(Vec<u8>),
     /// The attempt ended.
     Ended(Ended),
-    /// The far side wants the connection to end.
+    /// The peer asks to close the connection.
     Closing,
 }
 
-/// How a node is reached.
+/// Address and protocol of a node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
     pub address: SocketAddr,
     pub wire: Wire,
 }
 
-/// What a node speaks.
+/// Protocol that a node speaks.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Wire {
     Resp,
-    /// As the target of this name.
+    /// iSCSI, with the name of the target to log in to.
     Iscsi(String),
 }
 
@@ -89,25 +89,25 @@
     }
 }
 
-/// What happens to a long value.
+/// Progress of a long value.
 pub enum TransferEvent {
-    /// An answer of so many bytes begins.
+    /// An answer of this many bytes starts.
     AnswerStarted(usize),
-    /// Some of it came.
+    /// The next bytes of the answer.
     AnswerData(Vec<u8>),
-    /// Some of a body went out.
+    /// More of a request body was written.
     BodyProgress,
-    /// A body or an answer does not go through in one go.
+    /// A body or an answer could not be transferred in one step.
     Slow,
 }
 
-/// An attempt to be made.
+/// An attempt to be started.
 pub struct Start {
     pub attempt: AttemptId,
     pub node: NodeId,
     pub content: Rc<Content>,
     pub give_up_at: Instant,
-    /// Its last byte goes out by then, or none does.
+    /// The last byte has to be sent by this time; otherwise the attempt is abandoned.
     pub begin_by: Instant,
 }
 
@@ -115,45 +115,46 @@
     conn: Conn,
     session: Box<dyn Session>,
     node: NodeId,
-    /// It was made to this.
+    /// The endpoint that this connection was opened to.
     endpoint: Endpoint,
-    /// The transport is up.
+    /// The TCP connection is established.
     connected: bool,
     attempt: Option<AttemptId>,
-    /// The attempt's content, until it is begun.
+    /// Content and deadline of an attempt that has not been encoded yet.
     pending: Option<(Rc<Content>, Instant)>,
-    /// Until when the attempt may begin, which is when its last byte goes out.
+    /// Time by which the last byte of the attempt has to be sent.
     begin_by: Instant,
-    /// Since when it is idle.
+    /// Since when the connection is idle.
     idle_since: Instant,
-    /// Since when an answer is begun that has not come any further.
+    /// Since when an incomplete answer has made no progress.
     partial_since: Option<Instant>,
-    /// A long body on its way out, and how much of it was put out.
+    /// A long request body that is being sent, and how many of its bytes were queued for output.
     body: Option<(Flow, usize)>,
-    /// When something of a long body or answer last went on.
+    /// When a long body or answer last made progress.
     last_progress: Instant,
-    /// When the attempt was begun, how long its body took to go out, and when its answer began that was not whole.
+    /// When the attempt was started, how long its body took to send, and when an answer that did not arrive whole
+    /// began.
     started: Instant,
     send_time: Option<Duration>,
     answer_started: Option<Instant>,
-    /// It was told that the attempt takes its time.
+    /// [`TransferEvent::Slow`] was reported for this attempt.
     reported_slow: bool,
-    /// Bytes of a long answer that may still be read, once it has begun.
+    /// Bytes of a long answer that may still be read, once it has started.
     credit: Option<usize>,
 }
 
 impl Connection {
-    /// Whether the attempt's last byte has left.
+    /// Whether the attempt's last byte was handed to the kernel.
     fn all_written(&self) -> bool {
         self.pending.is_none() && self.body.is_none() && self.session.is_sent() && self.conn.unwritten() == 0
     }
 
-    /// Whether no byte of the attempt has left.
+    /// Whether no byte of the attempt was handed to the kernel.
     fn is_unsent(&self) -> bool {
         self.pending.is_some() || (!self.conn.has_begun() && self.conn.unwritten() > 0)
     }
 
-    /// Puts out of a long body what there is of it, a piece at a time; true if any of it went.
+    /// Writes as much of a long body as is available, one piece at a time; true if any bytes were written.
     fn write_body(&mut self, now: Instant) -> std::io::Result<bool> {
         let mut moved = false;
         while let Some((flow, at)) = &mut self.body {
@@ -186,7 +187,7 @@
         Ok(moved)
     }
 
-    /// Begins the attempt that waits for the session to be ready; false if the wire has no words for it.
+    /// Starts the pending attempt, if there is one; false if the protocol cannot express it.
     fn start_pending(&mut self, now: Instant) -> bool {
         let Some((content, give_up_at)) = self.pending.take() else { return true };
         let mut output = Vec::new();
@@ -205,31 +206,31 @@
     by_attempt: FxHashMap<AttemptId, usize>,
     /// Connections by node.
     by_node: FxHashMap<NodeId, FxHashSet<usize>>,
-    /// Idle connections by node, that used last at the end; no list is empty.
+    /// Idle connections by node, most recently used last; no list is empty.
     idle: FxHashMap<NodeId, Vec<usize>>,
-    /// All idle connections, that used longest ago first.
+    /// All idle connections, least recently used first.
     idle_order: BTreeSet<(Instant, usize)>,
-    /// Attempts that have not begun, by when their connections time out or they may not begin any more.
+    /// Attempts that are not fully sent, by the end of their connect timeout or start deadline.
     unsent: BTreeSet<(Instant, usize)>,
-    /// Connections with a part of an answer, by when that is to have gone on.
+    /// Connections with an incomplete answer, by the time at which it counts as stalled.
     partial_answers: VecDeque<(Instant, usize)>,
     connect_timeout: Duration,
     idle_limit: Duration,
     next_sweep: Instant,
     next_transfer_check: Instant,
     max_connections: usize,
-    /// What has come of long answers, and bodies that went on, since last asked.
+    /// Progress of long values since it was last taken.
     pub transfer_events: VecDeque<(AttemptId, TransferEvent)>,
-    /// Long attempts, to be looked at for those that do not go on.
+    /// Attempts with long values, to be checked for a stall.
     long_attempts: Vec<AttemptId>,
-    /// Answers that could not be read.
+    /// Number of answers that could not be read.
     pub unreadable: u64,
-    /// Attempts that ended since last asked.
+    /// Attempts that ended since they were last taken.
     pub ended: Vec<(AttemptId, Ended)>,
 }
 
 impl Targets {
-    /// `most` connections may be held together.
+    /// At most `max_connections` are open at a time.
     pub fn new(connect_timeout: Duration, conn_idle: Duration, max_connections: usize, now: Instant) -> Self {
         Targets {
             conns: FxHashMap::default(),
@@ -251,7 +252,7 @@
         }
     }
 
-    /// Begins an attempt, on an idle connection if there is one.
+    /// Starts an attempt, on an idle connection if there is one.
     pub fn start(
         &mut self,
         now: Instant,
@@ -267,7 +268,7 @@
         let pending = Some((content, give_up_at));
         while let Some(id) = self.take_idle(now, node) {
             let Some(connection) = self.conns.get_mut(&id) else { continue };
-            // What was closed meanwhile, or says something unasked, is not used again.
+            // A connection that was closed in the meantime, or has received unsolicited data, is not reused.
             let reusable = connection.endpoint == *endpoint
                 && connection.conn.read(MAX_ANSWER_BYTES) == ReadEnd::Blocked
                 && connection.conn.input.is_empty();
@@ -323,7 +324,7 @@
         self.unsent.insert((begin_by.min(now + self.connect_timeout), token.0));
     }
 
-    /// The connection to a node that was used last among those that have rested.
+    /// Takes the most recently used idle connection to a node whose reuse delay is over.
     fn take_idle(&mut self, now: Instant, node: NodeId) -> Option<usize> {
         let idle = self.idle.get(&node)?;
         let conns = &self.conns;
@@ -337,7 +338,7 @@
         Some(id)
     }
 
-    /// An idle connection is so no more.
+    /// Removes a connection from the idle lists.
     fn remove_idle(&mut self, node: NodeId, id: usize) {
         let Some(idle) = self.idle.get_mut(&node) else { return };
         idle.retain(|other| *other != id);
@@ -349,7 +350,7 @@
         }
     }
 
-    /// How many there are of what is kept here, by name.
+    /// Sizes of the collections kept here, by metric name.
     pub fn sizes(&self) -> [(&'static str, usize); 3] {
         [
             ("node_connections", self.conns.len()),
@@ -358,12 +359,12 @@
         ]
     }
 
-    /// Stops waiting for an attempt; it ended as said, or never ran if it was not all written.
+    /// Stops waiting for an attempt. Its outcome is `outcome`, or "not connected" if its last byte was not sent.
     pub fn stop(&mut self, attempt: AttemptId, outcome: Outcome) {
         let Some(id) = self.by_attempt.get(&attempt).copied() else { return };
         if outcome == Outcome::TimedOut {
-            // The node may have vanished, and then its idle connections are as silent as this one. Those that it answered
-            // on since are not: the fault is this connection's alone.
+            // The node may have crashed; then its idle connections are dead too. Idle connections that the node
+            // answered on since the attempt started prove that only this connection is at fault, and are kept.
             let (node, begun) = (self.conns[&id].node, self.conns[&id].started);
             let conns = &self.conns;
             let silent = |id: &usize| conns.get(id).is_none_or(|other| other.idle_since < begun);
@@ -375,7 +376,7 @@
         self.end(id, outcome);
     }
 
-    /// Gives up an attempt whose last byte is not out: nobody waits for it any more.
+    /// Cancels an attempt that is not fully sent: its client no longer waits for it.
     pub fn cancel_unsent(&mut self, attempt: AttemptId) {
         if let Some(id) = self.by_attempt.get(&attempt).copied() {
             if self.conns.get(&id).is_some_and(|connection| !connection.all_written()) {
@@ -384,8 +385,8 @@
         }
     }
 
-    /// Nothing that has put out no byte may begin at a node after that: guards a drain against connections that were
-    /// being made when it was told, and come up late.
+    /// From `closes` on, no attempt may start at the node on a connection that has sent nothing yet. Guards a drain
+    /// against connections that were being established when it was announced and come up late.
     pub fn forbid_start_after(&mut self, node: NodeId, closes: Instant) {
         for id in self.by_node.get(&node).into_iter().flatten() {
             let connection = self.conns.get_mut(id);
@@ -398,8 +399,8 @@
         }
     }
 
-    /// Closes the idle connections of a node that is gone, and gives up what was not begun there: guards against a
-    /// first byte that goes out long after that was told.
+    /// Closes the idle connections of a node that was removed, and cancels the attempts that have sent nothing there:
+    /// guards against a first byte that is sent long after the removal was announced.
     pub fn remove_node(&mut self, node: NodeId) {
         self.close_idle(node);
         let on_node = self.by_node.get(&node).into_iter().flatten().copied();
@@ -408,24 +409,24 @@
         }
     }
 
-    /// How many connections may be held together from now on.
+    /// Sets how many connections may be open at a time.
     pub fn set_max_connections(&mut self, max_connections: usize) {
         self.max_connections = max_connections;
     }
 
-    /// Closes all connections that are idle: another process needs the descriptors.
+    /// Closes all idle connections, because another process needs the descriptors.
     pub fn close_all_idle(&mut self) {
         for (_, id) in std::mem::take(&mut self.idle_order) {
             self.close(id);
         }
     }
 
-    /// Whether attempts ended, or long values went on, that nobody has asked for yet.
+    /// Whether ended attempts or progress of long values wait to be taken.
     pub fn has_results(&self) -> bool {
         !self.ended.is_empty() || !self.transfer_events.is_empty()
     }
 
-    /// Connections held.
+    /// Number of open connections.
     pub fn len(&self) -> usize {
         self.conns.len()
     }
@@ -437,17 +438,17 @@
     }
 
     fn close_least_recently_used(&mut self) {
-        // Whoever was used longest ago is the least likely to be used again.
+        // The least recently used connection is the least likely to be needed again.
         if let Some((_, id)) = self.idle_order.first().copied() {
             self.close(id);
         }
     }
 
-    /// Something happened on a connection.
+    /// Handles readiness of a connection.
     pub fn ready(&mut self, now: Instant, id: usize) {
         let Some(connection) = self.conns.get_mut(&id) else { return };
         if connection.attempt.is_some() && connection.begin_by <= now && !connection.all_written() {
-            // The connection comes up late, the node reads slowly, or this process was kept from its work since.
+            // The connection came up late, the node reads slowly, or this process was suspended.
             return self.end(id, Outcome::NotConnected);
         }
         if !connection.connected {
@@ -481,7 +482,7 @@
                 return self.end(id, Outcome::Reset);
             }
             if connection.credit == Some(0) {
-                // Guards the memory against a client that is slower than its node.
+                // Guards the memory against a client that reads more slowly than its node sends.
                 return;
             }
             let more = connection.credit.map_or(MAX_ANSWER_BYTES, |credit| {
@@ -494,13 +495,13 @@
             connection.conn.push(&output);
             match step {
                 Ok(Step::Incomplete) if read.is_over() => return self.end(id, Outcome::Reset),
-                // A session that takes nothing off a full input never will.
+                // A session that consumes nothing of a full input buffer never will.
                 Ok(Step::Incomplete) if connection.conn.input.len() >= MAX_ANSWER_BYTES => {
                     return self.fail_unreadable(id)
                 }
                 Ok(Step::LongAnswer(length)) => {
                     let Some(attempt) = connection.attempt else { return self.close(id) };
-                    // An answer that comes before its command is out belongs to nothing.
+                    // An answer that starts before its command is fully sent cannot belong to it.
                     if !connection.all_written() {
                         return self.fail_unreadable(id);
                     }
@@ -516,7 +517,7 @@
                     connection.last_progress = now;
                     self.transfer_events.push_back((attempt, TransferEvent::AnswerData(piece)));
                 }
-                // What is begun of a long answer is looked after with the long ones.
+                // Stalls of a long answer are detected by the transfer check.
                 Ok(Step::Incomplete) if connection.credit.is_some() && read == ReadEnd::Blocked => return,
                 Ok(Step::Incomplete) if output.is_empty() && read == ReadEnd::Blocked => {
                     let begun = (!connection.conn.input.is_empty()).then_some(now);
@@ -545,21 +546,21 @@
                     return;
                 }
                 Err(why) => {
-                    tracing::warn!("a node does not keep to its wire: {why}");
+                    tracing::warn!("a node violates its protocol: {why}");
                     return self.fail_unreadable(id);
                 }
             }
         }
     }
 
-    /// What came cannot be read: the attempt may have run, and the connection is of no more use.
+    /// Ends an attempt whose answer cannot be read. It may have run, and the connection cannot be used again.
     fn fail_unreadable(&mut self, id: usize) {
         self.unreadable +=
             u64::from(self.conns.get(&id).is_some_and(|connection| connection.attempt.is_some()));
         self.end(id, Outcome::Error);
     }
 
-    /// Goes on with a long body of which more has come.
+    /// Continues sending a long body after more of it has arrived.
     pub fn continue_body(&mut self, now: Instant, attempt: AttemptId) {
         if let Some(id) = self.by_attempt.get(&attempt).copied() {
             if self.conns.get(&id).is_some_and(|connection| connection.connected && connection.body.is_some())
@@ -569,27 +570,27 @@
         }
     }
 
-    /// Attempts whose long answers wait for their clients.
+    /// Attempts whose long answers are paused because their clients have to read first.
     pub fn blocked_on_client(&self) -> Vec<AttemptId> {
         let credit =
             |attempt: &&AttemptId| self.by_attempt.get(*attempt).and_then(|id| self.conns[id].credit);
         self.long_attempts.iter().filter(|attempt| credit(attempt) == Some(0)).copied().collect()
     }
 
-    /// So many bytes of a long answer may be read now.
+    /// Allows this many more bytes of a long answer to be read.
     pub fn grant_credit(&mut self, now: Instant, attempt: AttemptId, bytes: usize) {
         let Some(id) = self.by_attempt.get(&attempt).copied() else { return };
         let Some(connection) = self.conns.get_mut(&id) else { return };
         let waited = connection.credit == Some(0);
         connection.credit = Some(bytes);
         if waited && bytes > 0 {
-            // It was its client that did not go on.
+            // The pause was the client's, so it does not count as a stall of the node.
             connection.last_progress = now;
             self.ready(now, id);
         }
     }
 
-    /// An attempt has its answer; the connection is idle unless something is left over on it.
+    /// Ends an attempt that has its answer. The connection becomes idle, unless unread or unsent bytes remain on it.
     fn finish_answer(&mut self, now: Instant, id: usize, ended: Ended) {
         let Some(connection) = self.conns.get_mut(&id) else { return };
         let clean = connection.all_written() && connection.conn.input.is_empty();
@@ -597,7 +598,7 @@
             (now, None, None, None);
         let answering = connection.answer_started.take().map_or(Duration::ZERO, |since| now - since);
         let ended = Ended { transfer: connection.send_time.take().unwrap_or_default() + answering, ..ended };
-        // An answer that nothing was asked for leaves no attempt to end and no connection to trust.
+        // An unsolicited answer ends no attempt, and its connection cannot be trusted.
         let Some(attempt) = connection.attempt.take() else { return self.close(id) };
         self.by_attempt.remove(&attempt);
         self.ended.push((attempt, ended));
@@ -609,7 +610,7 @@
         }
     }
 
-    /// A connection is over; its attempt never ran if its last byte was not written.
+    /// Closes a connection. Its attempt never ran if its last byte was not sent.
     fn end(&mut self, id: usize, outcome: Outcome) {
         let Some(connection) = self.conns.get(&id) else { return };
         let never_ran = !connection.all_written() && outcome != Outcome::Moot;
@@ -633,7 +634,7 @@
         }
     }
 
-    /// When [`Targets::tick`] has something to do.
+    /// When [`Targets::tick`] is due next.
     pub fn next_timer(&self) -> Instant {
         let queues = [self.unsent.first(), self.partial_answers.front()];
         let first = if self.long_attempts.is_empty() {
@@ -644,13 +645,13 @@
         queues.into_iter().flatten().fold(first, |next, (at, _)| next.min(*at))
     }
 
-    /// Ends what was not ready in time and closes what was idle for long.
+    /// Ends attempts that are past their deadlines and closes connections that were idle for too long.
     pub fn tick(&mut self, now: Instant) {
         while self.unsent.first().is_some_and(|(at, _)| *at <= now) {
             let Some((_, id)) = self.unsent.pop_first() else { break };
             let Some(connection) = self.conns.get(&id) else { continue };
-            // Guards against a node that accepts and then says nothing, and against a command that is half out: an
-            // attempt that has not begun has failed.
+            // Guards against a node that accepts and then stays silent, and against a command that is only partly
+            // sent: an attempt that is not fully sent has failed.
             if connection.pending.is_some() || (!connection.all_written() && connection.begin_by <= now) {
                 self.end(id, Outcome::NotConnected);
             } else if !connection.all_written() {
@@ -661,7 +662,7 @@
             let Some(connection) = self.conns.get_mut(&id) else { continue };
             match connection.partial_since.map(|since| since + ANSWER_STALL_TIMEOUT) {
                 Some(end) if end <= now => {
-                    tracing::warn!("a node does not go on with its answer");
+                    tracing::warn!("a node stalled in the middle of an answer");
                     self.fail_unreadable(id);
                 }
                 Some(end) => self.partial_answers.push_back((end, id)),
@@ -672,7 +673,7 @@
             self.next_transfer_check = now + TRANSFER_CHECK_INTERVAL;
             let (conns, by_attempt) = (&self.conns, &self.by_attempt);
             self.long_attempts.retain(|attempt| by_attempt.contains_key(attempt));
-            // A node that waits for its client, or for the rest of a body, is not the one that does not go on.
+            // A node that waits for its client, or for the rest of a body, has not stalled.
             let stalled = |connection: &Connection| {
                 let waits = match &connection.body {
                     Some((flow, at)) => connection.conn.unwritten() == 0 && flow.came() == *at,
@@ -685,7 +686,7 @@
             let ids = self.long_attempts.iter().filter_map(|attempt| by_attempt.get(attempt)).copied();
             let ids: Vec<usize> = ids.filter(|id| conns.get(id).is_some_and(stalled)).collect();
             for id in ids {
-                tracing::warn!("a node does not go on with a long value");
+                tracing::warn!("a node stalled in the middle of a long value");
                 self.fail_unreadable(id);
             }
         }
--- a/src/target/resp.rs
+++ b/src/target/resp.rs
@@ -7,15 +7,16 @@
 use crate::resp::{self, Value};
 use std::time::Duration;
 
-/// Answers name no request: what a node sends beyond one would be taken for the next one's.
+/// Delay before a connection is reused. Answers do not name their request: surplus bytes that a node sends after an
+/// answer would be read as the answer to the next request.
 const REUSE_DELAY: Duration = Duration::from_millis(10);
 
-/// A short command goes out whole, and one answer comes.
+/// A short command is sent whole and gets one answer.
 #[derive(Default)]
 pub struct Session {
-    /// What is still to come of a long value, once its answer has begun.
+    /// Bytes of a long value that are still to be received, once its answer has started.
     value_left: Option<usize>,
-    /// Answers may be passed on before they are whole.
+    /// Long answers may be passed on before they are complete.
     may_stream: bool,
 }
 
@@ -40,13 +41,14 @@
 
     fn input(&mut self, input: &mut Vec<u8>, _: &mut Vec<u8>) -> Result<Step, String> {
         match self.value_left {
-            // The value is out; what follows it reads as the rest of an array that began with an empty one.
+            // The value was passed on; the bytes after it are parsed as the rest of an array whose first element is
+            // empty.
             Some(0) => {
                 let Some(rest) = input.strip_prefix(b"\r\n") else {
                     return if input.len() < 2 {
                         Ok(Step::Incomplete)
                     } else {
-                        Err("a value ends without CRLF".into())
+                        Err("a long value is not followed by CRLF".into())
                     };
                 };
                 let whole = [&b"*3\r\n$0\r\n\r\n"[..], rest].concat();
@@ -85,7 +87,7 @@
     }
 }
 
-/// The command as the client gave it, with the time that is left.
+/// Encodes the command as the client gave it, with the remaining time added.
 fn encode(content: &Content, time_left: Duration) -> Vec<u8> {
     let word: &[u8] = match content.operation {
         Operation::Read => b"OBJ.GET",
@@ -98,27 +100,29 @@
     }
     let mut command = resp::command(&arguments);
     if let Some(flow) = &content.flow {
-        // The body follows as it comes, in the place of the empty one.
+        // The body is sent in pieces as it arrives, instead of the empty one.
         command.truncate(command.len() - b"$0\r\n\r\n".len());
         command.extend_from_slice(format!("${}\r\n", flow.length()).as_bytes());
     }
     command
 }
 
-/// A figure on use is below this.
+/// Usage figures at or above this value are ignored.
 const MAX_USAGE: f64 = 1e6;
-/// Elements of an answer: the value, the figures on use and the load report.
+/// Elements of an answer: the value, the usage figures and the load report.
 const ANSWER_ELEMENTS: usize = 3;
 
-/// What an answer means. An error says that it is none: whatever it belongs to, nothing more of this connection can
-/// be trusted.
+/// Interprets an answer. An error means that it is not a valid answer, and nothing more on this connection can be
+/// trusted.
 fn outcome(value: Value) -> Result<Ended, String> {
     match value {
         Value::Array(Some(values)) if values.len() == ANSWER_ELEMENTS => {
             let mut values = values.into_iter();
-            let Some(Value::Bulk(Some(value))) = values.next() else { return Err("no value".into()) };
+            let Some(Value::Bulk(Some(value))) = values.next() else {
+                return Err("the first element of an answer is not a value".into());
+            };
             let mut ended = Ended { value, ..Ended::bare(Outcome::Served) };
-            // Whatever else stands in their place is left out alone.
+            // Anything else in place of the usage figures is ignored.
             if let Some(Value::Bulk(Some(figures))) = values.next() {
                 read_figures(&figures, &mut ended);
             }
@@ -128,21 +132,21 @@
             let busy = line == b"BUSY" || line.starts_with(b"BUSY ");
             let known = busy || line == b"ERR" || line.starts_with(b"ERR ");
             if !known {
-                return Err("an unknown error line".into());
+                return Err("unknown error reply".into());
             }
             let mut ended = Ended::bare(if busy { Outcome::Full } else { Outcome::Error });
             line.split(|byte| *byte == b' ').for_each(|word| read_figures(word, &mut ended));
             Ok(ended)
         }
-        _ => Err("no answer to a request".into()),
+        _ => Err("the reply is not an answer to a request".into()),
     }
 }
 
-/// Figures on use, such as `used=37,cost=4`; what is not known is passed over.
+/// Reads usage figures such as `used=37,cost=4`; unknown names are ignored.
 fn read_figures(text: &[u8], ended: &mut Ended) {
     for pair in String::from_utf8_lossy(text).split(',') {
         let Some((name, figure)) = pair.split_once('=') else { continue };
-        // Guards the estimates of use: one figure without sense would count for all that follow.
+        // Guards the usage estimates: a single absurd figure would distort all later ones.
         let Some(figure) = figure.parse().ok().filter(|figure| (0.0..MAX_USAGE).contains(figure)) else {
             continue;
         };
--- a/src/target/resp/tests.rs
+++ b/src/target/resp/tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn the_outcome_table() {
+fn answers_map_to_outcomes_and_other_replies_are_errors() {
     let served = read(b"*3\r\n$2\r\n\r\n\r\n$14\r\nused=37,cost=4\r\n$-1\r\n");
     assert_eq!((served.outcome, served.used, served.elsewhere), (Outcome::Served, Some(0.37), 4.0));
     assert_eq!(served.value, b"\r\n");
@@ -13,11 +13,11 @@
     let failed = read(b"-ERR failed cost=2 inflight=7,util=0.6\r\n");
     assert_eq!((failed.outcome, failed.elsewhere), (Outcome::Error, 2.0));
     assert_eq!(read(b"-BUSY\r\n"), Ended::bare(Outcome::Full));
-    // A figure or a report that cannot be read is left out alone.
-    for odd in
+    // A figure or a report that cannot be read is ignored by itself.
+    for unreadable in
         [&b"*3\r\n$0\r\n\r\n$14\r\nused=-3,cost=x\r\n$3\r\n!!!\r\n"[..], b"*3\r\n$0\r\n\r\n:7\r\n+x\r\n"]
     {
-        assert_eq!(read(odd), Ended::bare(Outcome::Served));
+        assert_eq!(read(unreadable), Ended::bare(Outcome::Served));
     }
     for other in [
         &b"-BUSYGROUP\r\n"[..],
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_long_answer_is_passed_on_as_it_comes_and_read_to_its_end_however_it_is_cut() {
+fn a_long_answer_is_passed_on_in_pieces_and_read_to_its_end_for_any_split() {
     let value: Vec<u8> = (0..LONG + 1).map(|at| at as u8).collect();
     let mut answer = b"*3\r\n".to_vec();
     resp::bulk(&mut answer, &value);
@@ -62,16 +62,16 @@
         assert_eq!(steps.remove(0), Step::LongAnswer(value.len()));
         let Some(Step::Ended(ended)) = steps.pop() else { panic!("no end") };
         assert_eq!((ended.outcome, ended.used, ended.elsewhere), (Outcome::Served, Some(0.37), 4.0));
-        let came = steps.into_iter().map(|step| match step {
+        let received = steps.into_iter().map(|step| match step {
             Step::Data(piece) => piece,
             other => panic!("{other:?}"),
         });
-        assert_eq!(came.flatten().collect::<Vec<_>>(), value);
+        assert_eq!(received.flatten().collect::<Vec<_>>(), value);
     }
 }
 
 #[test]
-fn a_command_passes_unchanged_but_for_the_time_left() {
+fn a_command_is_forwarded_unchanged_except_for_the_remaining_time() {
     let content = Content {
         operation: Operation::Write,
         object: "7f3a9c21e0b4d655".into(),
--- a/src/target/tests.rs
+++ b/src/target/tests.rs
@@ -7,7 +7,7 @@
 
 const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Connections to one node, which answers when told.
+/// Connections to one node, which answers on demand.
 struct Harness {
     poll: Poll,
     targets: Targets,
@@ -22,12 +22,12 @@
         Harness { poll: Poll::new().unwrap(), targets, node, started: 0 }
     }
 
-    /// Begins an attempt.
+    /// Starts an attempt.
     fn start(&mut self, now: Instant) -> AttemptId {
         self.start_with_body(now, Vec::new(), now + TIMEOUT)
     }
 
-    /// Begins an attempt with a body that may begin until then.
+    /// Starts an attempt with a body; the last byte has to be sent by `begin_by`.
     fn start_with_body(&mut self, now: Instant, body: Vec<u8>, begin_by: Instant) -> AttemptId {
         self.started += 1;
         let attempt = AttemptId { request: RequestId(self.started), number: 0 };
@@ -48,7 +48,7 @@
         attempt
     }
 
-    /// The node's end of a connection that was just made, once a command has come on it.
+    /// Accepts a new connection at the node, once a command has arrived on it.
     fn accept(&mut self, now: Instant) -> TcpStream {
         let (mut stream, _) = self.node.accept().unwrap();
         self.poll_once(now);
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_time_out_closes_the_idle_connections_that_were_not_answered_on_since() {
+fn a_timeout_closes_idle_connections_without_an_answer_since_the_attempt_started() {
     let start = Instant::now();
     let at = |millis| start + Duration::from_millis(millis);
     for (answered, left) in [(30, 1), (50, 0)] {
@@ -83,7 +83,7 @@
         let mut second = harness.accept(start);
         harness.answer(at(10), &mut first);
         if answered > 40 {
-            // The node was last heard of before the attempt that times out was begun.
+            // The node's last answer precedes the start of the attempt that times out.
             harness.answer(at(20), &mut second);
         }
         let silent = harness.start(at(40));
@@ -95,7 +95,7 @@
     }
 }
 
-/// All that comes on a connection, to its end.
+/// Counts the bytes received on a connection until it ends.
 fn received_bytes(mut stream: TcpStream) -> usize {
     stream.set_read_timeout(Some(TIMEOUT)).unwrap();
     let (mut bytes, mut all) = ([0; 65536], 0);
@@ -109,34 +109,34 @@
     }
 }
 
-/// A body that no socket takes at once.
+/// A body that is too large for the socket buffers.
 fn large_body() -> Vec<u8> {
     vec![b'x'; 32 << 20]
 }
 
 #[test]
-fn a_connection_that_comes_up_after_the_repeat_window_carries_nothing() {
+fn a_connection_established_after_the_start_deadline_carries_nothing() {
     let start = Instant::now();
     let at = |millis| start + Duration::from_millis(millis);
-    for (up, begins) in [(99, true), (100, false)] {
+    for (connected_at, starts) in [(99, true), (100, false)] {
         let mut harness = Harness::new(start);
         harness.start_with_body(start, vec![b'x'], at(100));
-        // The connection is up, and this process hears of it then.
+        // The connection is established, but this process learns of it only then.
         let (node, _) = harness.node.accept().unwrap();
-        harness.poll_once(at(up));
-        assert_eq!(harness.targets.ended.is_empty(), begins, "up after {up} ms");
+        harness.poll_once(at(connected_at));
+        assert_eq!(harness.targets.ended.is_empty(), starts, "connected after {connected_at} ms");
         let ended: Vec<_> = harness.targets.ended.drain(..).map(|(_, ended)| ended.outcome).collect();
         harness.targets.end(1, Outcome::Reset);
-        assert_eq!(received_bytes(node) > 0, begins);
-        assert!(begins || ended == [Outcome::NotConnected]);
+        assert_eq!(received_bytes(node) > 0, starts);
+        assert!(starts || ended == [Outcome::NotConnected]);
     }
 }
 
 #[test]
-fn a_command_that_is_half_out_when_its_window_ends_never_gets_its_last_byte() {
+fn a_partly_sent_command_is_never_completed_after_its_start_deadline() {
     let start = Instant::now();
     let end = start + Duration::from_millis(100);
-    // Whichever comes first: its timer, or the node that reads on.
+    // Either the timer fires first, or the node reads more.
     for by_timer in [true, false] {
         let mut harness = Harness::new(start);
         harness.start_with_body(start, large_body(), end);
@@ -148,11 +148,11 @@
         if by_timer {
             harness.targets.tick(end);
         } else {
-            // Reads until there is room, which this process hears of too late.
+            // Reads until the socket is writable again, which this process learns of too late.
             let mut bytes = vec![0; 1 << 20];
             while harness.targets.ended.is_empty() {
                 let count = node.read(&mut bytes).unwrap();
-                assert!(received + count < large_body().len(), "the last byte received");
+                assert!(received + count < large_body().len(), "the last byte arrived");
                 received += count;
                 let mut events = Events::with_capacity(8);
                 harness.poll.poll(&mut events, Some(Duration::ZERO)).unwrap();
@@ -165,26 +165,26 @@
 }
 
 #[test]
-fn an_attempt_whose_client_has_gone_does_not_begin_and_one_that_has_goes_on() {
+fn cancelling_ends_an_attempt_unless_it_is_fully_sent() {
     let start = Instant::now();
-    for (body, begun) in [(Vec::new(), false), (large_body(), false), (vec![b'x'], true)] {
+    for (body, fully_sent) in [(Vec::new(), false), (large_body(), false), (vec![b'x'], true)] {
         let mut harness = Harness::new(start);
-        let whole = body.len();
+        let length = body.len();
         let attempt = harness.start_with_body(start, body, start + TIMEOUT);
         let (node, _) = harness.node.accept().unwrap();
-        if whole > 0 {
+        if length > 0 {
             harness.poll_once(start);
         }
         harness.targets.cancel_unsent(attempt);
         let ended: Vec<_> = harness.targets.ended.drain(..).map(|(_, ended)| ended.outcome).collect();
-        assert_eq!(ended, if begun { vec![] } else { vec![Outcome::NotConnected] }, "{whole} bytes");
+        assert_eq!(ended, if fully_sent { vec![] } else { vec![Outcome::NotConnected] }, "{length} bytes");
         harness.targets.end(1, Outcome::Reset);
-        assert_eq!(received_bytes(node) > whole, begun);
+        assert_eq!(received_bytes(node) > length, fully_sent);
     }
 }
 
 #[test]
-fn a_drain_told_while_a_connection_is_made_ends_what_would_begin_after_its_grace() {
+fn a_drain_ends_an_attempt_whose_connection_is_established_after_the_grace() {
     let start = Instant::now();
     let closes = start + Duration::from_millis(100);
     let mut harness = Harness::new(start);
