--- a/src/forwarder/configuration.rs
+++ b/src/forwarder/configuration.rs
@@ -1,5 +1,5 @@
-//! Takes over a revision of the live configuration: every part of the process that holds a figure of the settings since
-//! the start gets the new one, between two rounds of decisions.
+//! Applies a revision of the live configuration: every part of the process that keeps a copy of a setting gets the
+//! new value, between two decision rounds.
 
 use super::Forwarder;
 use crate::config::Wire;
@@ -11,7 +11,7 @@
 use std::time::Instant;
 
 impl Forwarder {
-    /// Takes over the newest revision that planners have sent, if one waits, and tells them what became of it.
+    /// Applies the newest revision received from the planners, if there is one, and reports the result to them.
     pub(super) fn follow_configuration(&mut self, now: Instant) {
         let Some(prepared) = self.planners.as_mut().and_then(Planners::prepared_configuration) else {
             return;
@@ -24,18 +24,18 @@
         }
     }
 
-    /// Works by a revision from now on. What the process itself sets at its start stands: the revision was prepared from
-    /// the settings that were in force then.
+    /// Applies a revision. Values that the process itself set at its start stay, because the revision was prepared
+    /// from the settings that were in force then.
     ///
     /// # Errors
     ///
-    /// The revision's settings differ in what can't change while running. Nothing has changed then.
+    /// The revision changes settings that are fixed while the process runs. Nothing has changed then.
     pub(super) fn take_over_configuration(
         &mut self,
         now: Instant,
         prepared: &Prepared,
     ) -> Result<(), FixedSettings> {
-        // Refuses before anything else has changed.
+        // The only step that can fail comes first, so that a rejected revision changes nothing.
         self.planner.reconfigure(now, prepared.settings.clone())?;
         let before = std::mem::replace(&mut self.config.settings, prepared.settings.clone());
         let retry_after = self.config.settings.limits.max_retry_after;
@@ -52,7 +52,7 @@
         Ok(())
     }
 
-    /// Nodes that are out get nothing new after the grace, as those that drain.
+    /// Drains the nodes that the revision takes out: they get no new attempts after the grace period.
     fn take_nodes_out(&mut self, now: Instant, names: &BTreeSet<String>) {
         let event = self.nodes.configure_out(now, self.clock.unix(now), names);
         if let Some(event) = event {
@@ -62,7 +62,7 @@
     }
 }
 
-/// The sections of a document, and the names in them, whose figures changed.
+/// Names of the document's sections and entries whose values changed.
 fn changes(before: &Settings, after: &Settings, wire: &Wire) -> Vec<String> {
     let classes = before.classes.iter().zip(&after.classes).enumerate();
     let classes = classes.filter(|(_, (old, new))| old != new);
--- a/src/forwarder/configuration/tests.rs
+++ b/src/forwarder/configuration/tests.rs
@@ -46,14 +46,14 @@
 hosts = 1
 "#;
 
-/// The files of a test, and what is left of them in the end.
-struct Folder(PathBuf);
+/// Temporary directory of a test, removed at its end.
+struct TempFolder(PathBuf);
 
-impl Folder {
+impl TempFolder {
     fn new(test: &str) -> Self {
         let path = std::env::temp_dir().join(format!("topazpath-{test}-{}", std::process::id()));
         std::fs::create_dir_all(&path).unwrap();
-        Folder(path)
+        TempFolder(path)
     }
 
     fn file(&self, name: &str, text: &str) -> PathBuf {
@@ -63,13 +63,13 @@
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempFolder {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-fn start(folder: &Folder) -> Forwarder {
+fn start(folder: &TempFolder) -> Forwarder {
     let none = |name: &str| Path::new("/nonexistent").join(name);
     let planners = "enabled = true\nplanners = [\"127.0.0.1:9\"]\nconfiguration = true";
     let files = Files {
@@ -109,8 +109,8 @@
     forwarder.take_list(News { message, fresh: true, came: Instant::now() }, ListKind::Full);
 }
 
-/// The lines of the node list that the scheduler is to be told.
-fn told(forwarder: &mut Forwarder) -> Vec<NodeEntry> {
+/// Takes the node list entries that are queued for the scheduler.
+fn queued_entries(forwarder: &mut Forwarder) -> Vec<NodeEntry> {
     let events = forwarder.core.drain_events();
     let entries = events.into_iter().filter_map(|event| match event {
         Event::List { entries, .. } => Some(entries),
@@ -132,11 +132,11 @@
 }
 
 #[test]
-fn every_part_that_holds_a_figure_gets_the_new_one() {
-    let folder = Folder::new("configuration");
+fn a_revision_changes_every_copy_of_a_setting_and_an_empty_one_restores_them() {
+    let folder = TempFolder::new("configuration");
     let mut forwarder = start(&folder);
     let base = forwarder.config.settings.clone();
-    assert!(base.limits.most_held.is_some(), "set by the process itself");
+    assert!(base.limits.most_held.is_some(), "the process sets it itself");
     let text = "[plans.base]\nceiling_rate = 20\n[classes.read]\nworth = 4\n[limits]\nmax_retry_after_ms = 120\n[costs]\nlargest = 7";
     let prepared = prepare(&forwarder, &base, 1, text);
     let changed = changes(&base, &prepared.settings, &forwarder.config.wire);
@@ -156,7 +156,7 @@
     forwarder.core.end_all();
     let refused = |effect: &Effect| matches!(effect, Effect::Answer { answer: Answer::Refused { retry_after }, .. } if *retry_after == again);
     assert!(forwarder.core.drain_effects().iter().any(refused));
-    // A revision that says nothing of a figure gives it back to the settings.
+    // A revision without a value restores the value of the settings.
     let prepared = prepare(&forwarder, &base, 2, "");
     forwarder.take_over_configuration(Instant::now(), &prepared).unwrap();
     assert_eq!(forwarder.config.settings, base);
@@ -164,8 +164,8 @@
 }
 
 #[test]
-fn a_revision_that_changes_what_is_fixed_changes_nothing() {
-    let folder = Folder::new("configuration-fixed");
+fn a_revision_that_changes_fixed_settings_is_rejected_whole() {
+    let folder = TempFolder::new("configuration-fixed");
     let mut forwarder = start(&folder);
     list_nodes(&mut forwarder, &["s-1"]);
     let base = forwarder.config.settings.clone();
@@ -179,31 +179,35 @@
 }
 
 #[test]
-fn nodes_that_a_revision_takes_out_get_nothing_new_until_one_gives_them_back() {
-    let folder = Folder::new("configuration-nodes");
+fn nodes_out_drain_until_a_later_revision_returns_them() {
+    let folder = TempFolder::new("configuration-nodes");
     let mut forwarder = start(&folder);
     list_nodes(&mut forwarder, &["s-1", "s-2"]);
-    told(&mut forwarder);
+    queued_entries(&mut forwarder);
     let base = forwarder.config.settings.clone();
     let prepared = prepare(&forwarder, &base, 1, "nodes_out = ['s-2', 's-3']");
     forwarder.take_over_configuration(Instant::now(), &prepared).unwrap();
     let states = |lines: Vec<NodeEntry>| lines.iter().map(|line| line.state).collect::<Vec<_>>();
-    assert_eq!(states(told(&mut forwarder)), [NodeState::Draining]);
+    assert_eq!(states(queued_entries(&mut forwarder)), [NodeState::Draining]);
     list_nodes(&mut forwarder, &["s-1", "s-2", "s-3"]);
     let wanted = [NodeState::Ready, NodeState::Draining, NodeState::Draining];
-    assert_eq!(states(told(&mut forwarder)), wanted);
+    assert_eq!(states(queued_entries(&mut forwarder)), wanted);
     let prepared = prepare(&forwarder, &base, 2, "nodes_out = ['s-3']");
     forwarder.take_over_configuration(Instant::now(), &prepared).unwrap();
-    let back = told(&mut forwarder);
-    assert!(back[0].started.is_some_and(|started| started > Duration::from_secs(1)), "cold again");
+    let back = queued_entries(&mut forwarder);
+    assert!(
+        back[0].started.is_some_and(|started| started > Duration::from_secs(1)),
+        "the node starts slowly again"
+    );
     assert_eq!(states(back), [NodeState::Ready]);
     assert_eq!(forwarder.nodes.ready(), 2);
 }
 
-/// Others read the file again on SIGHUP: what a revision has changed is no change of the files.
+/// The configuration files are read again on SIGHUP. Changes made by a revision must not count as changes of the
+/// files.
 #[test]
-fn a_file_that_stays_as_it_was_needs_no_restart() {
-    let folder = Folder::new("configuration-reload");
+fn an_unchanged_file_needs_no_restart_after_a_revision() {
+    let folder = TempFolder::new("configuration-reload");
     let mut forwarder = start(&folder);
     let base = forwarder.config.settings.clone();
     let prepared = prepare(&forwarder, &base, 1, "[classes.read]\nworth = 4");
@@ -212,13 +216,14 @@
     assert_eq!(forwarder.config.fixed_changes(&read), Vec::<&str>::new());
 }
 
-/// An attempt that waits for its connection is not to begin after the grace of a node that was taken out meanwhile.
+/// An attempt that waits for its connection must not start after the grace period of a node that was taken out
+/// meanwhile.
 #[test]
-fn what_has_not_begun_at_a_node_that_is_taken_out_ends_with_its_grace() {
-    let folder = Folder::new("configuration-unsent");
+fn an_unsent_attempt_at_a_node_taken_out_ends_with_the_grace() {
+    let folder = TempFolder::new("configuration-unsent");
     let mut forwarder = start(&folder);
     list_nodes(&mut forwarder, &["s-1"]);
-    let node = told(&mut forwarder).pop().unwrap().node;
+    let node = queued_entries(&mut forwarder).pop().unwrap().node;
     let (now, late) = (Instant::now(), Instant::now() + Duration::from_secs(50));
     let attempt = AttemptId { request: RequestId(1), number: 0 };
     let content = std::rc::Rc::new(content());
@@ -232,10 +237,10 @@
     assert_eq!(forwarder.targets.ended.len(), 1);
 }
 
-/// Guards the processor: what planners may change by themselves is looked at while no request comes.
+/// Without requests, the planners' client must not keep the loop busy.
 #[test]
-fn planners_wake_a_loop_without_requests_only_when_something_is_due() {
-    let folder = Folder::new("idle");
+fn the_planners_client_has_no_timer_due_at_once_without_requests() {
+    let folder = TempFolder::new("idle");
     let mut forwarder = start(&folder);
     let now = Instant::now();
     let registry = forwarder.poll.registry().try_clone().unwrap();
--- a/src/forwarder/effects.rs
+++ b/src/forwarder/effects.rs
@@ -1,4 +1,4 @@
-//! Rounds of the planner, and what comes of its decisions.
+//! Runs the planner and applies the effects of its decisions.
 
 use super::{turns, Forwarder};
 use crate::core::{AttemptId, Effect, Ended};
@@ -9,8 +9,8 @@
 use std::time::Instant;
 
 impl Forwarder {
-    /// Planner rounds until nothing more happens at once, or the turn is long: then those that are due are answered, and
-    /// others heard, before it goes on.
+    /// Runs planner rounds until there is nothing left to do. A long iteration ends early, so that overdue requests
+    /// are answered and new input is read before the next one continues.
     pub(super) fn run_planner(&mut self, now: Instant) {
         let begun = Instant::now();
         for round in 0.. {
@@ -30,7 +30,8 @@
                         new.shard = self.placement.shard(new.key, new.shard);
                     }
                 }
-                // What may be used now comes before what asks for it, and changes also while nobody asks.
+                // Grants of the planners precede the requests that use them. They also change while there are no
+                // requests.
                 let shares = self.planners.as_mut().and_then(|planners| planners.before(now, &events));
                 events.splice(0..0, shares);
                 if events.is_empty() {
@@ -46,7 +47,7 @@
         }
     }
 
-    /// Nodes show where pieces lie by serving them, and by turning them away.
+    /// Learns where pieces are stored: a node holds the pieces that it serves and not those that it turns away.
     pub(super) fn learn_placement(&mut self, attempt: AttemptId, outcome: Outcome) {
         let Some((key, node)) = self.core.piece(attempt) else { return };
         let Some(shard) = self.nodes.shard(node) else { return };
@@ -57,17 +58,17 @@
         }
     }
 
-    /// Passes long values on, as far as there is room on their other side.
+    /// Moves long values between targets and clients, as far as the receiving side has capacity.
     pub(super) fn relay_transfers(&mut self, now: Instant) {
         for attempt in self.targets.blocked_on_client() {
             let Some(origin) = self.core.stream(attempt) else { continue };
             let room = self.resp.room(origin);
-            // Not byte by byte.
+            // Avoids many small reads.
             if room >= WINDOW / 2 {
                 self.targets.grant_credit(now, attempt, room);
             }
         }
-        // What comes of room that was just made belongs before the ends of attempts.
+        // Data read with the new credit has to be relayed before the attempts' ends are handled.
         while let Some((attempt, step)) = self.targets.transfer_events.pop_front() {
             match step {
                 TransferEvent::AnswerStarted(length) => match self.core.stream_begins(attempt) {
--- a/src/forwarder/gather.rs
+++ b/src/forwarder/gather.rs
@@ -1,4 +1,4 @@
-//! What is ready in a turn goes to whom it concerns, in the order in which nothing is missed.
+//! Dispatches the readiness events of one loop iteration in a fixed order.
 
 use super::readiness::{Readiness, Ready};
 use super::{
@@ -11,9 +11,9 @@
 use std::time::Instant;
 
 impl Forwarder {
-    /// Takes what is ready: what discovery says first, then clients, then nodes. Guards against attempts that begin as a
-    /// connection comes up, while a drain, or that their client has gone, waits in the same turn to be read. A process
-    /// that was stopped finds all of it there at once.
+    /// Handles readiness events: discovery first, then clients, then nodes. Otherwise an attempt could start on a
+    /// connection that has just been established although a drain of its node, or the end of its client, waits to be
+    /// read in the same iteration. A process that was suspended finds all of these events at once.
     pub(super) fn gather_all(&mut self, now: Instant, ready: &Readiness) {
         let rank = |token: Token| match Kind::of(token.0) {
             Some(Kind::Discovery) => 0,
@@ -32,21 +32,21 @@
 
     pub(super) fn gather(&mut self, now: Instant, token: Token, ready: Ready) {
         match token {
-            // Connections are accepted once all that is ready was looked at.
+            // Connections are accepted after all events were handled.
             LISTENER => self.resp.connections_pending(),
             ISCSI_LISTENER => {
                 if let Some(front) = &mut self.iscsi {
                     front.connections_pending();
                 }
             }
-            // Read before all else in a turn.
+            // Handled first in every iteration, by `answer_operators`.
             ADMIN_LISTENER => {}
             UPGRADE => self.upgrade.connections_pending(),
             FLEET => self.fleet.iter_mut().for_each(fleet::speaker::Speaker::ready),
             token if ADVERTISEMENTS.contains(&token) => {}
             SIGNAL => {
                 if drain_signal(&mut self.signal) {
-                    tracing::info!("asked to end");
+                    tracing::info!("received a signal to end");
                     self.with_addresses(|addresses, context| addresses.resign(now, context));
                     self.fleet.iter_mut().for_each(|fleet| fleet.leave(now));
                     self.rejoin_fleet_at = None;
@@ -79,13 +79,13 @@
                 (Some(Kind::IscsiListener), Some(front)) => front.connections_pending(),
                 (Some(Kind::Operator), _) => {}
                 (Some(Kind::Upgrade), _) => {
-                    let heard = self.upgrade.ready(id);
-                    self.handle_upgrade_events(now, heard);
+                    let events = self.upgrade.ready(id);
+                    self.handle_upgrade_events(now, events);
                 }
                 (Some(Kind::Discovery), _) => {
                     if let Some(news) = self.discovery.ready(now, self.arrived_since, token) {
                         let kind = news.message.kind();
-                        // A drain's grace runs from its announcement, however late this loop reads it.
+                        // A drain's grace period starts when the message arrived, even if this loop reads it late.
                         self.take_list(news, kind);
                     }
                 }
--- a/src/forwarder/mod.rs
+++ b/src/forwarder/mod.rs
@@ -1,4 +1,4 @@
-//! The loop: gathers what is ready, hands it to the planner in one call, carries out what came back.
+//! The event loop of an initiator: collects events, passes them to the planner in one call and applies its actions.
 
 mod budget;
 mod configuration;
@@ -44,31 +44,32 @@
 const ADMIN_LISTENER: Token = Token(4);
 const UPGRADE: Token = Token(7);
 const FLEET: Token = Token(8);
-/// Where advertisements come in, at most one interface for each family.
+/// VRRP sockets, at most one interface for each address family.
 const ADVERTISEMENTS: [Token; 2] = [Token(5), Token(6)];
-/// Part of the descriptors that clients may have requests waiting on: three fifths of the third that they hold.
+/// Divisor of the descriptors: limit of queued requests. It is three fifths of the third that clients may hold.
 const QUEUED_DESCRIPTOR_DIVISOR: usize = 5;
-/// Part of that which one connection may have waiting, and how many commands at most. Guards against a client that sends
-/// all it has at once: beyond the whole the deepest in need is refused, whoever asked.
+/// Divisor of that limit: commands that one connection may have pending, and their absolute limit. Guards against a
+/// client that sends everything at once: above the limit of queued requests the one with the greatest need is
+/// refused, whichever client it belongs to.
 const PIPELINE_DIVISOR: usize = 4;
 const MAX_PIPELINED: usize = 64;
-/// This long after a request is due in the core its client has given up: no value that is still to be read is worth
-/// anything. Before that one may come in the same turn.
+/// A request that is overdue in the core by this long is answered before any input is read: its client has given up,
+/// so no value that is still unread can be of use. Before that, an answer may arrive in the same iteration.
 const OVERDUE_GRACE: Duration = Duration::from_millis(6);
-/// How soon a fleet is joined again whose address was not free.
+/// Delay before the fleet is joined again after its address was in use.
 const FLEET_RETRY_DELAY: Duration = Duration::from_millis(10);
-/// How often a shutdown looks for clients that have become idle.
+/// How often a shutdown checks for clients that have become idle.
 const SHUTDOWN_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// One initiator.
+/// The event loop and everything it drives.
 pub struct Forwarder {
     poll: Poll,
     clock: Clock,
-    /// Memory for long values.
+    /// Memory budget for long values.
     budget: Budget,
     core: Core,
     planner: Planner,
-    /// Remote planners, where there are any.
+    /// Client of the remote planners, if any are configured.
     planners: Option<Planners>,
     resp: Front<resp::Resp>,
     iscsi: Option<Front<iscsi::Target>>,
@@ -76,36 +77,36 @@
     discovery: Discovery,
     nodes: Nodes,
     placement: Placement,
-    /// Addresses that move between machines.
+    /// Virtual router addresses, if VRRP is on.
     addresses: Option<Addresses>,
-    /// Membership among initiators, where they may talk.
+    /// Fleet membership, if it is on.
     fleet: Option<fleet::speaker::Speaker>,
-    /// When it is to be joined again: the address may still be that of a process that has just died.
+    /// When to join the fleet again: the address may still be in use by a process that has just died.
     rejoin_fleet_at: Option<Instant>,
-    /// Where operators call.
+    /// Admin endpoint for operators.
     admin: Option<AdminEndpoint>,
-    /// The process that took over has the operators' listener.
+    /// The successor has taken over the admin listener.
     admin_handed_over: bool,
-    /// Whether it takes clients.
+    /// Service state: whether this process takes clients.
     state: State,
-    /// Other processes of this initiator, while one takes the place of another.
+    /// Other processes of this initiator during a hot upgrade.
     upgrade: Upgrade,
-    /// Descriptors and bytes of memory that the one before still holds.
+    /// Descriptors and bytes of memory that the predecessor still uses.
     predecessor_usage: (usize, usize),
     files: Files,
-    /// What is in force, but for the list known at the start.
+    /// The configuration in force, without the node list known at the start.
     config: Config,
     signal: UnixStream,
     reload: UnixStream,
     tokens: Tokens,
     loop_stats: LoopStats,
-    /// What is ready in this turn came at this moment at the earliest.
+    /// Earliest time at which the events of this iteration can have arrived.
     arrived_since: Instant,
     next_report: Instant,
 }
 
 impl Forwarder {
-    /// Runs until all is answered after a signal to end.
+    /// Runs the loop. Returns after a signal to end, once all requests are answered or the time for that is over.
     pub fn run(&mut self) -> std::io::Result<()> {
         let mut ready = Readiness::new();
         self.run_planner(Instant::now());
@@ -132,7 +133,8 @@
             let late = pace.woken(now);
             let stopped = pace.may_have_been_stopped(now);
             if stopped {
-                // Guards what has come by now against timers that are due by now: it may have come after the wait.
+                // Events may have arrived after the wait: they have to be handled before the timers that are due by
+                // now.
                 ready.poll_again(&mut self.poll)?;
             }
             self.core.is_late_by(late);
@@ -143,7 +145,7 @@
             self.answer_overdue_requests(now);
             self.update_sizes();
             if let Some(addresses) = &mut self.addresses {
-                // A process that was stopped, or waits for the processor, wakes late.
+                // A process that was suspended or is short of processor time wakes late.
                 addresses.record_iteration(now.saturating_duration_since(due));
                 self.run_addresses(now, &ready);
             }
@@ -181,8 +183,8 @@
         }
     }
 
-    /// Answers first whose clients' time is over, before anything is read: a loop that is behind is not to be late with
-    /// everything.
+    /// Answers overdue requests before any input is read, so that a loop that has fallen behind does not delay all
+    /// its answers.
     fn answer_overdue_requests(&mut self, now: Instant) {
         self.core.answer_overdue(now.checked_sub(OVERDUE_GRACE).unwrap_or(now));
         for effect in self.core.drain_effects() {
@@ -190,14 +192,14 @@
         }
     }
 
-    /// Follows the addresses that move, before anything else that is ready.
+    /// Follows the virtual router addresses before handling any other event.
     fn run_addresses(&mut self, now: Instant, ready: &Readiness) {
-        let came: Vec<bool> = ADVERTISEMENTS.iter().map(|token| ready.contains(*token)).collect();
+        let received: Vec<bool> = ADVERTISEMENTS.iter().map(|token| ready.contains(*token)).collect();
         let discovery = self.discovery.heard();
         let ready_nodes = self.nodes.ready();
         let (descriptors_used_up, memory) = (self.resp.is_crowded(now), self.config.memory);
         self.with_addresses(|addresses, context| {
-            for (interface, _) in came.iter().enumerate().filter(|(_, came)| **came) {
+            for (interface, _) in received.iter().enumerate().filter(|(_, received)| **received) {
                 addresses.ready(interface);
             }
             addresses.run(now, context);
@@ -209,16 +211,16 @@
         });
     }
 
-    /// Takes part in the fleet, if there is one: as another life, or in the place of the process before.
+    /// Joins the fleet, if it is configured: as a new generation, or with the identity of the predecessor.
     fn join_fleet(&mut self, now: Instant, identity: Option<fleet::member::Identity>) -> Result<(), String> {
         let Some(settings) = &self.config.fleet else { return Ok(()) };
         let (unix, registry) = (self.clock.unix(now), self.poll.registry());
-        let drawn = (unix, self.config.seed);
-        self.fleet = Some(fleet::speaker::Speaker::start(settings, drawn, identity, FLEET, registry, now)?);
+        let seeds = (unix, self.config.seed);
+        self.fleet = Some(fleet::speaker::Speaker::start(settings, seeds, identity, FLEET, registry, now)?);
         Ok(())
     }
 
-    /// Its part in the fleet. A process that was stopped, or waits for the processor, doubts itself first.
+    /// Runs fleet membership. A process that was suspended or is short of processor time suspects itself first.
     fn run_fleet(&mut self, now: Instant, late: Duration) {
         if self.rejoin_fleet_at.take_if(|at| *at <= now).is_some() {
             if let Err(why) = self.join_fleet(now, None) {
@@ -233,10 +235,10 @@
         }
     }
 
-    /// Lends the addresses that move what they need of the rest.
-    fn with_addresses(&mut self, act: impl FnOnce(&mut Addresses, &mut LoopContext)) {
+    /// Calls `action` with the virtual router addresses and the parts of the loop that they need.
+    fn with_addresses(&mut self, action: impl FnOnce(&mut Addresses, &mut LoopContext)) {
         if let Some(mut addresses) = self.addresses.take() {
-            act(&mut addresses, &mut self.loop_context());
+            action(&mut addresses, &mut self.loop_context());
             self.addresses = Some(addresses);
         }
     }
@@ -263,11 +265,11 @@
         next = self.addresses.as_ref().map_or(next, |addresses| next.min(addresses.next_timer(now)));
         next = self.upgrade.next_timer().map_or(next, |at| next.min(at));
         next = self.admin.as_ref().and_then(|admin| admin.next_timer(now)).map_or(next, |at| next.min(at));
-        next = self.fleet.as_ref().and_then(|it| it.next_timer(now)).map_or(next, |at| next.min(at));
+        next = self.fleet.as_ref().and_then(|fleet| fleet.next_timer(now)).map_or(next, |at| next.min(at));
         next = self.rejoin_fleet_at.map_or(next, |at| next.min(at));
         next = self.planners.as_ref().map_or(next, |planners| next.min(planners.next_timer()));
         if self.core.has_news() || self.targets.has_results() {
-            // The last turn was long, and left it to this one.
+            // The last iteration was long and left work to this one.
             return now;
         }
         match self.state.ending() {
@@ -276,15 +278,15 @@
         }
     }
 
-    /// Tells the fronts what the state of service means for clients.
+    /// Passes the service state on to the fronts.
     fn publish_service_state(&mut self) {
         let policy = self.state.client_policy();
         self.resp.follow_service_state(policy);
         self.iscsi.iter_mut().for_each(|front| front.follow_service_state(policy));
     }
 
-    /// Reads the configuration again and takes over what can change without a restart. Guards against a file that
-    /// is half written or wrong: nothing is changed before all of it was read and checked.
+    /// Reads the configuration again and applies what can change without a restart. Nothing changes before all files
+    /// were read and checked, which guards against a file that is partly written or invalid.
     fn reload(&mut self, now: Instant) {
         self.core.counters.reloads += 1;
         let new = match Config::read(&self.files) {
@@ -306,7 +308,7 @@
         self.discovery.move_to(new.discovery, token, now);
     }
 
-    /// What the fronts do in each turn of the loop.
+    /// Runs the fronts for one iteration.
     fn run_fronts(&mut self, now: Instant) {
         let (registry, tokens, core) = (self.poll.registry(), &mut self.tokens, &mut self.core);
         self.resp.turn(now, registry, || tokens.next(Kind::RespClient), core);
@@ -315,7 +317,7 @@
         }
     }
 
-    /// Takes a list from discovery.
+    /// Applies a node list message from discovery.
     fn take_list(&mut self, news: News, kind: ListKind) {
         self.loop_stats.record(Work::Input);
         let (event, gone) = self.nodes.take(news, kind);
@@ -326,7 +328,7 @@
         self.loop_stats.record(Work::NodeLists);
     }
 
-    /// Nothing begins at the draining nodes of a message once their grace is over.
+    /// Prevents attempts from starting at the draining nodes of a message after their grace period.
     fn close_draining(&mut self, message: &Event) {
         for (node, closes) in self.nodes.closing(message, self.config.settings.rules.drain_grace) {
             self.targets.forbid_start_after(node, closes);
@@ -334,7 +336,7 @@
     }
 }
 
-/// Takes off what signals have written; true if there was any.
+/// Reads everything from a signal's stream; true if a signal was received.
 fn drain_signal(signal: &mut UnixStream) -> bool {
     let mut bytes = [0; 64];
     let mut any = false;
--- a/src/forwarder/operators.rs
+++ b/src/forwarder/operators.rs
@@ -1,4 +1,4 @@
-//! What operators ask for at the admin endpoint, and what comes of it.
+//! Handles the commands of operators from the admin endpoint.
 
 use super::readiness::Readiness;
 use super::{Forwarder, ADMIN_LISTENER};
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 impl Forwarder {
-    /// What operators ask for, before all other work of a turn: guards their answers against any load.
+    /// Answers operators before any other work of an iteration, so that they get answers under any load.
     pub(super) fn answer_operators(&mut self, now: Instant, ready: &Readiness) {
         let (Some(admin), tokens) = (&mut self.admin, &mut self.tokens) else { return };
         let mut calls = Vec::new();
@@ -25,14 +25,14 @@
             let outcome = self.execute(now, &call);
             match &outcome {
                 Ok(text) => tracing::info!(?call, "{text}"),
-                Err(why) => tracing::warn!(?call, "not done: {why}"),
+                Err(why) => tracing::warn!(?call, "command rejected: {why}"),
             }
             self.core.counters.operator_calls += 1;
             self.admin.iter_mut().for_each(|admin| admin.reply(now, caller, &outcome));
         }
     }
 
-    /// Carries out one call of an operator: what is so now, or why not.
+    /// Executes a command. Returns the resulting state, or the reason why it was not executed.
     fn execute(&mut self, now: Instant, call: &Call) -> Result<String, String> {
         let unix = self.clock.unix(now);
         match call {
@@ -55,7 +55,7 @@
         Ok(self.state.phase().name().into())
     }
 
-    /// Takes a target out, or back.
+    /// Takes a target out of service, or returns it to service.
     pub(super) fn ban(&mut self, now: Instant, unix: Duration, name: &str, out: bool) -> Result<(), String> {
         let event = if out { self.nodes.ban(now, unix, name) } else { self.nodes.call_back(unix, name) };
         if let Some(event) = event? {
--- a/src/forwarder/readiness.rs
+++ b/src/forwarder/readiness.rs
@@ -1,21 +1,21 @@
-//! What is ready in one turn of the loop.
+//! Readiness events of one loop iteration.
 
 use mio::event::Event;
 use mio::{Events, Poll, Token};
 use std::io::{ErrorKind, Result};
 use std::time::Duration;
 
-/// Connections that one look finds ready: what comes of nodes is read at once, clients are heard in their turn.
+/// Events returned by one poll. Data from nodes is read at once; clients are served in turn.
 const MAX_EVENTS: usize = 1024;
 
-/// What a connection is ready for.
+/// Kind of readiness of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Ready {
-    /// There is something to read.
+    /// Data can be read.
     Readable,
-    /// It takes more output, and that is all.
+    /// Only output can be written.
     Writable,
-    /// The far side has ended its sending, or the connection broke.
+    /// The peer has closed its sending side, or the connection broke.
     Ends,
 }
 
@@ -31,23 +31,23 @@
     }
 }
 
-/// All that is ready in one turn, in the order the system gave it.
+/// The readiness events of one iteration, in the order in which the system reported them.
 pub(super) struct Readiness {
     events: Events,
     ready: Vec<(Token, Ready)>,
 }
 
 impl Readiness {
-    /// Nothing yet.
+    /// Creates an empty set.
     pub fn new() -> Readiness {
         Readiness { events: Events::with_capacity(MAX_EVENTS), ready: Vec::new() }
     }
 
-    /// Waits until something is ready, or for so long.
+    /// Waits until something is ready, for at most `timeout`.
     ///
     /// # Errors
     ///
-    /// A signal interrupted the wait, or the system can't wait.
+    /// The wait was interrupted by a signal, or polling failed.
     pub fn wait(&mut self, poll: &mut Poll, timeout: Duration) -> Result<()> {
         self.ready.clear();
         poll.poll(&mut self.events, Some(timeout))?;
@@ -55,14 +55,14 @@
         Ok(())
     }
 
-    /// Adds what has become ready since the wait ended.
+    /// Adds events that occurred after the wait ended.
     ///
     /// # Errors
     ///
-    /// The system can't look.
+    /// Polling failed.
     pub fn poll_again(&mut self, poll: &mut Poll) -> Result<()> {
         match poll.poll(&mut self.events, Some(Duration::ZERO)) {
-            // What is ready is found in the next turn.
+            // The events are found in the next iteration.
             Err(error) if error.kind() == ErrorKind::Interrupted => return Ok(()),
             other => other?,
         }
@@ -74,12 +74,12 @@
         self.ready.extend(self.events.iter().map(|event| (event.token(), Ready::of(event))));
     }
 
-    /// Each connection and what it is ready for.
+    /// Each event's token and kind of readiness.
     pub fn iter(&self) -> impl Iterator<Item = (Token, Ready)> + '_ {
         self.ready.iter().copied()
     }
 
-    /// Whether something happened on a connection.
+    /// Whether there is an event for a token.
     pub fn contains(&self, token: Token) -> bool {
         self.ready.iter().any(|(ready, _)| *ready == token)
     }
--- a/src/forwarder/readiness/tests.rs
+++ b/src/forwarder/readiness/tests.rs
@@ -3,18 +3,19 @@
 use mio::Interest;
 use std::io::Write;
 
-fn watched(poll: &Poll, token: Token) -> (UnixStream, UnixStream) {
+fn registered_stream(poll: &Poll, token: Token) -> (UnixStream, UnixStream) {
     let (mut watched, other) = UnixStream::pair().unwrap();
     poll.registry().register(&mut watched, token, Interest::READABLE).unwrap();
     (watched, other)
 }
 
-/// What comes between the end of a wait and the reading of the clock belongs to that turn: its timers are judged by that clock.
+/// An event that arrives between the end of the wait and the reading of the clock belongs to the same iteration as
+/// the timers judged by that clock.
 #[test]
-fn what_became_ready_after_the_wait_is_found_before_the_timers() {
+fn polling_again_adds_events_that_occurred_after_the_wait() {
     let mut poll = Poll::new().unwrap();
-    let (_first, mut one) = watched(&poll, Token(1));
-    let (_second, mut two) = watched(&poll, Token(2));
+    let (_first, mut one) = registered_stream(&poll, Token(1));
+    let (_second, mut two) = registered_stream(&poll, Token(2));
     let mut readiness = Readiness::new();
     one.write_all(b"x").unwrap();
     readiness.wait(&mut poll, Duration::from_secs(20)).unwrap();
@@ -24,5 +25,5 @@
     let found: Vec<_> = readiness.iter().collect();
     assert_eq!(found, [(Token(1), Ready::Readable), (Token(2), Ready::Readable)]);
     readiness.wait(&mut poll, Duration::ZERO).unwrap();
-    assert_eq!(readiness.iter().count(), 0, "each is told of once");
+    assert_eq!(readiness.iter().count(), 0, "each event is reported once");
 }
--- a/src/forwarder/reports.rs
+++ b/src/forwarder/reports.rs
@@ -1,14 +1,14 @@
-//! What `INFO` shows of the loop: sizes, what turns took, and why requests were answered with no.
+//! The loop's rows of `INFO`: sizes, iteration times, reasons of refusals and accept queues.
 
 use super::Forwarder;
 use crate::listener::QueueFigures;
 use std::time::{Duration, Instant};
 
-/// The part of `INFO` about turns, and how often it is renewed.
+/// Name of the loop's report in `INFO`, and how often it is updated.
 const LOOP_REPORT: &str = "turns";
 const REPORT_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Names of the figures of an accept queue: its length, its limit, the greatest length seen, dropped handshakes.
+/// Row names of an accept queue: current length, limit, longest length seen, dropped handshakes.
 const ACCEPT_QUEUE: [&str; 4] =
     ["accept_queue", "accept_queue_limit", "accept_queue_longest", "accept_queue_drops"];
 const ISCSI_ACCEPT_QUEUE: [&str; 4] = [
@@ -24,7 +24,7 @@
 }
 
 impl Forwarder {
-    /// How many there are of what `INFO` shows: a count that only grows would end a long day.
+    /// Updates the sizes that `INFO` shows. A size that only grows reveals a leak.
     pub(super) fn update_sizes(&mut self) {
         let iscsi = self.iscsi.as_ref().map_or((0, 0), |front| (front.len(), front.kept()));
         self.core.counters.answers_spoilt = self.targets.unreadable;
@@ -39,7 +39,7 @@
         self.core.sizes.extend(self.targets.sizes());
     }
 
-    /// What turns took and why requests were answered with no, for `INFO`.
+    /// Updates the report of iteration times, refusals and accept queues.
     pub(super) fn report_loop(&mut self, now: Instant) {
         if now < self.next_report {
             return;
--- a/src/forwarder/start.rs
+++ b/src/forwarder/start.rs
@@ -1,4 +1,4 @@
-//! The start of an initiator: files, addresses, what the process before hands over.
+//! Starts an initiator: reads files, opens listeners and takes over the state of a predecessor.
 
 use super::budget::{connection_budget, LONG_VALUE_MEMORY_DIVISOR, MAX_ISCSI_SESSIONS};
 use super::turns::LoopStats;
@@ -33,19 +33,20 @@
 use std::time::Instant;
 
 impl Forwarder {
-    /// Reads its files, binds its address and takes its last list.
+    /// Reads the configuration, opens the listeners and applies the last known node list.
     pub fn new(files: Files, signals: Signals) -> Result<Self, String> {
         let mut config = Config::read(&files)?;
         let known = config.known.take();
         limit_to_system_descriptors(&mut config);
-        // Addresses that move and remote planners' shares belong to one process: no second one takes over beside them.
-        let alone = config.vrrp.is_some() || !config.planners.is_empty();
-        let place = if alone { None } else { upgrade::socket_path(config.listen) };
-        let mut before = place.as_deref().and_then(find_predecessor);
-        let mut listen = |at: ListenerAddress, address: SocketAddr| {
-            // A port that the system chooses is another one each time.
-            let before = before.as_mut().filter(|_| address.port() != 0);
-            let inherited = before.and_then(|before| before.listener(at));
+        // Virtual router addresses and shares of remote planners belong to one process, so hot upgrade is off with
+        // either.
+        let exclusive = config.vrrp.is_some() || !config.planners.is_empty();
+        let socket = if exclusive { None } else { upgrade::socket_path(config.listen) };
+        let mut predecessor = socket.as_deref().and_then(find_predecessor);
+        let mut open_listener = |at: ListenerAddress, address: SocketAddr| {
+            // Port 0 is assigned by the system, so the predecessor's listener has another port.
+            let predecessor = predecessor.as_mut().filter(|_| address.port() != 0);
+            let inherited = predecessor.and_then(|predecessor| predecessor.listener(at));
             inherited.map_or_else(|| Listener::open(address), |socket| Ok(Listener::adopt(socket, None)))
         };
         let poll = Poll::new().map_err(|error| format!("poll: {error}"))?;
@@ -57,10 +58,10 @@
         };
         let (signal, reload) = (register(signals.end, SIGNAL)?, register(signals.reload, RELOAD)?);
         let (for_targets, room) = connection_budget(&config, (0, 0));
-        // Clients hold a third of the descriptors at most, one for each request: what waits here takes so many from
-        // those that come next.
-        let most_held = config.sockets / QUEUED_DESCRIPTOR_DIVISOR;
-        config.settings.limits.most_held = Some(most_held);
+        // Clients hold at most a third of the descriptors, one for each request: queued requests take descriptors
+        // from later clients.
+        let max_queued = config.sockets / QUEUED_DESCRIPTOR_DIVISOR;
+        config.settings.limits.most_held = Some(max_queued);
         apply_router_shares(&mut config, &files)?;
         let (wire, settings) = (config.wire.clone(), config.settings.clone());
         let mut nodes = Nodes::new(wire.zones.clone());
@@ -68,7 +69,7 @@
         let retry_after = settings.limits.max_retry_after;
         let iscsi = config.iscsi.clone().map(|offered| {
             offered.storage.iter().for_each(|storage| nodes.add_own(storage));
-            let patience = settings.classes.iter().map(|class| class.deadline).collect();
+            let deadlines = settings.classes.iter().map(|class| class.deadline).collect();
             let room = Room {
                 easy: MAX_ISCSI_SESSIONS,
                 clients: MAX_ISCSI_SESSIONS,
@@ -77,21 +78,21 @@
                 ..room
             };
             let address = offered.listen;
-            let target = iscsi::Target::new(offered, patience, retry_after, config.seed);
-            listen(ListenerAddress::Iscsi(address), address)
+            let target = iscsi::Target::new(offered, deadlines, retry_after, config.seed);
+            open_listener(ListenerAddress::Iscsi(address), address)
                 .and_then(|listener| {
                     Front::new(target, listener, ISCSI_LISTENER, poll.registry(), clock, room)
                 })
                 .map_err(|error| format!("{address}: {error}"))
         });
         let budget = Budget::new(config.memory / LONG_VALUE_MEMORY_DIVISOR);
-        let most_pending = (most_held / PIPELINE_DIVISOR).clamp(1, MAX_PIPELINED);
+        let most_pending = (max_queued / PIPELINE_DIVISOR).clamp(1, MAX_PIPELINED);
         let resp = resp::Resp { wire, retry_after, most_pending, budget: budget.clone() };
-        let resp = listen(ListenerAddress::Resp(config.listen), config.listen)
+        let resp = open_listener(ListenerAddress::Resp(config.listen), config.listen)
             .and_then(|listener| Front::new(resp, listener, LISTENER, poll.registry(), clock, room))
             .map_err(|error| format!("{}: {error}", config.listen))?;
         let admin = config.control.map(|address| {
-            let admin = listen(ListenerAddress::Control(address), address)
+            let admin = open_listener(ListenerAddress::Control(address), address)
                 .and_then(|listener| AdminEndpoint::open(listener, ADMIN_LISTENER, poll.registry()));
             admin.map_err(|error| format!("control {address}: {error}"))
         });
@@ -107,13 +108,13 @@
         let mut core = Core::new(clock, retry_after);
         core.set_classes(&config.settings.classes);
         let (mut state, mut version) = (State::default(), known.as_ref().map(|known| known.index));
-        let mut upgrade = Upgrade::new(place, UPGRADE, now);
+        let mut upgrade = Upgrade::new(socket, UPGRADE, now);
         let mut predecessor_usage = (0, 0);
         let (mut loaded, mut identity) = (false, None);
-        if let Some(before) = before {
-            let carried = upgrade.take_over(before, poll.registry(), &mut tokens, now)?;
-            if let Some(carried) = carried {
-                let HandoverState { drained, nodes: listed, list, scheduler, usage, fleet } = *carried;
+        if let Some(predecessor) = predecessor {
+            let handover = upgrade.take_over(predecessor, poll.registry(), &mut tokens, now)?;
+            if let Some(handover) = handover {
+                let HandoverState { drained, nodes: listed, list, scheduler, usage, fleet } = *handover;
                 identity = fleet;
                 if drained {
                     state.drain(now)?;
@@ -122,7 +123,7 @@
                 if let Some(list_event) = nodes.load(now, listed) {
                     (version, loaded) = (list, true);
                     let learned = scheduler.is_some_and(|scheduler| planner.take_over(scheduler));
-                    tracing::info!(learned, "taken over from the process before");
+                    tracing::info!(learned, "took over the state of the predecessor");
                     core.tell(list_event);
                 }
             }
@@ -189,23 +190,24 @@
     }
 }
 
-/// Guards discovery and nodes against clients that would take up all of fewer descriptors than the settings say.
+/// Lowers the descriptor limit of the settings to that of the system. Otherwise clients could use up all descriptors
+/// and leave none for discovery and nodes.
 fn limit_to_system_descriptors(config: &mut Config) {
     if let Some(most) = process::max_descriptors().filter(|most| *most < config.sockets) {
-        tracing::warn!(most, "limits.sockets is {}, and the system allows fewer", config.sockets);
+        tracing::warn!(most, "limits.sockets is {}, but the system allows fewer", config.sockets);
         config.sockets = most;
     }
 }
 
-/// The process of this initiator that still serves, if it can be asked.
-fn find_predecessor(place: &Path) -> Option<Predecessor> {
-    Predecessor::connect(place).unwrap_or_else(|why| {
-        tracing::warn!("a start as ever, though another process may be there: {why}");
+/// Connects to a running process of this initiator, if there is one.
+fn find_predecessor(socket: &Path) -> Option<Predecessor> {
+    Predecessor::connect(socket).unwrap_or_else(|why| {
+        tracing::warn!("starting without a hot upgrade, although another process may be running: {why}");
         None
     })
 }
 
-/// Limits and cold nodes are divided between the machines of a virtual router.
+/// Divides the limits and the load of cold nodes between the machines of a virtual router.
 fn apply_router_shares(config: &mut Config, files: &Files) -> Result<(), String> {
     let Some(vrrp) = &config.vrrp else { return Ok(()) };
     if let Some(plan) = vrrp.share.too_small(&config.settings) {
--- a/src/forwarder/succession.rs
+++ b/src/forwarder/succession.rs
@@ -1,4 +1,4 @@
-//! One process of this initiator takes the place of another: what it gives, what it hears, and how it ends.
+//! Hot upgrade and shutdown, as seen from the loop: hands clients and state to a successor, and ends the process.
 
 use super::budget::{connection_budget, resource_usage, LONG_VALUE_MEMORY_DIVISOR};
 use super::{Forwarder, ADMIN_LISTENER, ISCSI_LISTENER, LISTENER};
@@ -10,25 +10,26 @@
 use crate::upgrade::UpgradeEvent;
 use std::time::{Duration, Instant};
 
-/// After SIGTERM new connections go on arriving for a while, and are served.
+/// New connections keep arriving for a while after SIGTERM, and are served.
 const ACCEPT_AFTER_SIGTERM: Duration = Duration::from_millis(450);
-/// After SIGTERM clients go on using the connections they have. The platform leaves the longest deadline, of which
-/// no more than this counts, and 700 ms more before it kills.
+/// After SIGTERM clients keep using their open connections. The platform waits for the longest deadline, of which at
+/// most this much counts, and another 700 ms before it kills the process.
 const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
-/// From the end of that time on: nothing new is taken, what is open is answered by then, and the process ends
-/// whoever still does not read. Most requests take less than what is left for those that come last.
+/// Times after the counted deadline: when to stop accepting work, when all open requests are answered, and when the
+/// process exits even if clients have not read their answers. The time between the first two is enough for most of
+/// the requests that arrive last.
 const STOP_ACCEPTING_AFTER: Duration = Duration::from_millis(250);
 const ANSWER_ALL_AFTER: Duration = Duration::from_millis(450);
 const EXIT_AFTER: Duration = Duration::from_millis(550);
 
 impl Forwarder {
-    /// The process that takes the place of this one gets what became idle; what others say is heard.
+    /// Handles messages of other processes, and hands idle clients to the successor.
     pub(super) fn run_upgrade(&mut self, now: Instant) {
         let (clients, targets) = (self.resp.len(), self.targets.len());
-        let heard = self
+        let events = self
             .upgrade
             .turn(now, self.poll.registry(), &mut self.tokens, || resource_usage(clients, targets));
-        self.handle_upgrade_events(now, heard);
+        self.handle_upgrade_events(now, events);
         if self.state.is_replaced() {
             let upgrade = &mut self.upgrade;
             self.resp.hand_over(self.poll.registry(), |client| match client {
@@ -41,10 +42,10 @@
         }
     }
 
-    /// Carries out what other processes of this initiator say.
-    pub(super) fn handle_upgrade_events(&mut self, now: Instant, heard: Vec<UpgradeEvent>) {
-        for heard in heard {
-            match heard {
+    /// Handles the events of the upgrade protocol.
+    pub(super) fn handle_upgrade_events(&mut self, now: Instant, events: Vec<UpgradeEvent>) {
+        for event in events {
+            match event {
                 UpgradeEvent::ListenersRequested(peer) => self.send_listeners(peer),
                 UpgradeEvent::TakeOver { peer, admin } => self.hand_over_to(now, peer, admin),
                 UpgradeEvent::Client(stream, input) => {
@@ -55,7 +56,9 @@
                 }
                 UpgradeEvent::Ban { name, unix, out } => {
                     if let Err(why) = self.ban(now, unix, &name, out) {
-                        tracing::warn!("{name}, as the other process was told: {why}");
+                        tracing::warn!(
+                            "the other process reported a change of {name}, which failed here: {why}"
+                        );
                     }
                 }
                 UpgradeEvent::Usage(descriptors, bytes) => {
@@ -63,13 +66,13 @@
                     self.apply_connection_budget();
                 }
                 UpgradeEvent::PredecessorGone => {
-                    tracing::info!("the process before is gone");
+                    tracing::info!("the predecessor has ended");
                     self.predecessor_usage = (0, 0);
                     self.apply_connection_budget();
                     self.planner.take_all(now);
                 }
                 UpgradeEvent::SuccessorGone if self.state.ending().is_none() => {
-                    tracing::error!("the process that took over died: this one takes clients again");
+                    tracing::error!("the successor died: this process takes clients again");
                     self.state.undo_replace();
                     self.accept_clients(now, true);
                     if let Some(own) =
@@ -78,7 +81,7 @@
                         own.accept_callers(true, ADMIN_LISTENER, self.poll.registry());
                     }
                     self.planner.take_all(now);
-                    // What it promised may be out of date: it comes again as another life.
+                    // The fleet state in this process may be out of date, so it joins again as a new generation.
                     self.rejoin_fleet_at = self.config.fleet.is_some().then_some(now);
                     self.publish_service_state();
                     self.upgrade.listen(self.poll.registry());
@@ -97,22 +100,22 @@
         self.upgrade.send_listeners(peer, [resp, iscsi, admin].into_iter().flatten().collect());
     }
 
-    /// Another process takes the place of this one.
+    /// Hands over to the successor.
     fn hand_over_to(&mut self, now: Instant, peer: usize, admin: bool) {
         let (planner, nodes, targets) = (&mut self.planner, &self.nodes, &mut self.targets);
-        let (fleet, again) = (&mut self.fleet, &mut self.rejoin_fleet_at);
+        let (fleet, rejoin_at) = (&mut self.fleet, &mut self.rejoin_fleet_at);
         let (drained, list, clients) = (self.state.is_drained(), self.discovery.version(), self.resp.len());
-        let given = self.upgrade.send_state(peer, || {
-            // The other one needs the descriptors.
+        let handed_over = self.upgrade.send_state(peer, || {
+            // The successor needs the descriptors.
             targets.close_all_idle();
             let usage = resource_usage(clients, targets.len());
             let scheduler = Some(planner.hand_over(now));
-            *again = None;
+            *rejoin_at = None;
             let fleet = fleet.take().map(Speaker::hand_over);
             HandoverState { drained, nodes: nodes.carry(now), list, scheduler, usage, fleet }
         });
-        if given {
-            tracing::info!("another process takes over");
+        if handed_over {
+            tracing::info!("a successor takes over");
             if self.config.fleet.is_some() {
                 self.core.set_report(REPORT, String::new(), r#"{"phase":"handed over"}"#.into());
             }
@@ -126,15 +129,15 @@
         }
     }
 
-    pub(super) fn accept_clients(&mut self, now: Instant, yes: bool) {
+    pub(super) fn accept_clients(&mut self, now: Instant, accept: bool) {
         let registry = self.poll.registry();
-        self.resp.accept_newcomers(yes, LISTENER, registry, now);
+        self.resp.accept_newcomers(accept, LISTENER, registry, now);
         if let Some(front) = &mut self.iscsi {
-            front.accept_newcomers(yes, ISCSI_LISTENER, registry, now);
+            front.accept_newcomers(accept, ISCSI_LISTENER, registry, now);
         }
     }
 
-    /// Goes by what the process before leaves of the limits.
+    /// Applies what the predecessor leaves of the limits.
     pub(super) fn apply_connection_budget(&mut self) {
         let (for_targets, room) = connection_budget(&self.config, self.predecessor_usage);
         self.targets.set_max_connections(for_targets);
@@ -143,19 +146,19 @@
         self.resp.set_room(room);
     }
 
-    /// Comes nearer to the end; true once it is reached. A client whose connection is closed early has nobody else
-    /// to ask, so that all are served for as long as the platform lets them be.
-    pub(super) fn shut_down(&mut self, now: Instant, asked: Duration) -> bool {
+    /// Advances the shutdown; true once the process can exit. A client whose connection is closed early has no other
+    /// server to ask, so all clients are served for as long as the platform allows.
+    pub(super) fn shut_down(&mut self, now: Instant, elapsed: Duration) -> bool {
         let longest = self.longest_deadline().min(MAX_COUNTED_DEADLINE);
         let clients = self.resp.len() + self.iscsi.as_ref().map_or(0, Front::len);
-        // Whoever comes now comes to the process that took over.
-        if (asked < ACCEPT_AFTER_SIGTERM && !self.state.is_replaced())
-            || (asked < longest + STOP_ACCEPTING_AFTER && clients > 0)
+        // New connections go to the successor.
+        if (elapsed < ACCEPT_AFTER_SIGTERM && !self.state.is_replaced())
+            || (elapsed < longest + STOP_ACCEPTING_AFTER && clients > 0)
         {
             return false;
         }
-        if asked >= longest + ANSWER_ALL_AFTER {
-            // Guards against being killed with requests that have no answer.
+        if elapsed >= longest + ANSWER_ALL_AFTER {
+            // Guards against being killed while requests have no answer.
             self.core.end_all();
         }
         self.run_planner(now);
@@ -163,6 +166,6 @@
         let resp = self.resp.shut_down(now, &mut self.core);
         self.run_planner(now);
         let released = self.addresses.as_ref().is_none_or(Addresses::all_released);
-        (iscsi && resp && released && self.core.open_requests() == 0) || asked >= longest + EXIT_AFTER
+        (iscsi && resp && released && self.core.open_requests() == 0) || elapsed >= longest + EXIT_AFTER
     }
 }
--- a/src/forwarder/turns.rs
+++ b/src/forwarder/turns.rs
@@ -1,25 +1,26 @@
-//! What the turns of the loop take, and on what: for whoever is on call, in `INFO` and in the log.
+//! Measures loop iterations and what they spend their time on, for `INFO` and the log.
 
 use hdrhistogram::Histogram;
 use std::time::{Duration, Instant};
 
-/// A turn beyond this is long: what is due waits for it. A hundredth of the shortest time that clients usually wait.
+/// Longer iterations count as long, because due work waits for them. It is a hundredth of the shortest usual client
+/// deadline.
 pub const LONG_ITERATION: Duration = Duration::from_millis(20);
-/// The longest that is told apart.
+/// Upper bound of the histogram.
 const MAX_RECORDED_MICROS: u64 = 60_000_000;
-/// Significant digits of the histogram.
+/// Precision of the histogram.
 const SIGNIFICANT_DIGITS: u8 = 2;
 
-/// What a turn spends its time on.
+/// Kind of work within an iteration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Work {
-    /// Hearing clients, nodes and discovery.
+    /// Reading from clients, nodes and discovery.
     Input,
-    /// Taking a node list: a part of the hearing that is counted apart.
+    /// Applying a node list: part of the input work, counted separately.
     NodeLists,
-    /// Deciding, and carrying out what was decided.
+    /// Decision rounds and their effects.
     Decisions,
-    /// Everything else: timers, other processes, the end of the process.
+    /// Everything else: timers, other processes, shutdown.
     Other,
 }
 
@@ -30,38 +31,38 @@
     (Work::Other, "turns_long_upkeep"),
 ];
 
-/// The turns of one process.
+/// Statistics of the loop iterations of this process.
 pub struct LoopStats {
-    /// Microseconds of whole turns.
+    /// Duration of whole iterations in microseconds.
     whole: Histogram<u64>,
-    /// When what is done now was begun, and what each kind of work took in this turn.
+    /// Start of the current work, and the time spent on each kind of work in this iteration.
     since: Instant,
     spent: [Duration; KINDS.len()],
-    /// Long turns, by what took most of them.
+    /// Number of long iterations by the kind of work that took most of their time.
     long: [u64; KINDS.len()],
 }
 
 impl LoopStats {
-    /// None was taken yet.
+    /// Creates empty statistics.
     pub fn new(now: Instant) -> Self {
         let whole = Histogram::new_with_bounds(1, MAX_RECORDED_MICROS, SIGNIFICANT_DIGITS)
             .expect("the bounds are valid");
         LoopStats { whole, since: now, spent: Default::default(), long: Default::default() }
     }
 
-    /// A turn begins.
+    /// Starts an iteration.
     pub fn begin(&mut self, now: Instant) {
         (self.since, self.spent) = (now, Default::default());
     }
 
-    /// What was done since the last call, or since the turn began, was this.
+    /// Attributes the time since the last call, or since the start of the iteration, to `work`.
     pub fn record(&mut self, work: Work) {
         let now = Instant::now();
         self.spent[work as usize] += now - self.since;
         self.since = now;
     }
 
-    /// The turn is over.
+    /// Ends an iteration.
     pub fn end(&mut self) {
         self.record(Work::Other);
         let whole: Duration = self.spent.iter().sum();
@@ -74,7 +75,7 @@
         tracing::debug!(?whole, most = KINDS[dominant].1, spent = ?self.spent, "a long loop iteration");
     }
 
-    /// What is known of them, by name.
+    /// Metrics by name.
     pub fn figures(&self) -> Vec<(&'static str, u64)> {
         let whole = [
             ("turns", self.whole.len()),
--- a/src/forwarder/turns/tests.rs
+++ b/src/forwarder/turns/tests.rs
@@ -2,7 +2,7 @@
 use std::thread;
 
 #[test]
-fn a_long_turn_counts_for_what_took_most_of_it() {
+fn a_long_iteration_is_attributed_to_its_longest_kind_of_work() {
     let mut stats = LoopStats::new(Instant::now());
     stats.begin(Instant::now());
     stats.record(Work::Input);
