--- a/src/config/iscsi.rs
+++ b/src/config/iscsi.rs
@@ -1,4 +1,4 @@
-//! The second front: what `deploy/iscsi.toml` says of listening, offered targets and block storage reached.
+//! Configuration of the iSCSI front (`deploy/iscsi.toml`): listener, exported targets, and iSCSI storage nodes.
 
 use super::Wire;
 use crate::interface::{Class, Effect, Group, NewRequest, Settings, VolumeId};
@@ -8,21 +8,21 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Bytes of the largest transfer: what a value of the other wire holds.
+/// Largest transfer in bytes: the largest value of the RESP protocol.
 const MAX_TRANSFER_BYTES: usize = 64 * 1024;
 
-/// The second front as configured.
+/// Configuration of the iSCSI front.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Iscsi {
-    /// Where clients connect.
+    /// Address for clients.
     pub listen: SocketAddr,
-    /// Targets offered to clients.
+    /// Targets exported to clients.
     pub exports: Vec<Export>,
-    /// Targets that hold shards.
+    /// iSCSI targets that store shards.
     pub storage: Vec<Storage>,
 }
 
-/// A target offered to clients.
+/// A target exported to clients.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Export {
     /// Its iSCSI name.
@@ -31,30 +31,30 @@
     pub units: BTreeMap<u16, Unit>,
 }
 
-/// A logical unit and the volume that it stands for.
+/// A logical unit and the volume behind it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Unit {
-    /// Its volume.
+    /// The volume.
     pub volume: VolumeId,
-    /// The volume's plan, by position in the settings.
+    /// The volume's plan, as an index into the settings.
     pub plan: usize,
-    /// The class of its reads, by position in the settings.
+    /// Class of reads, as an index into the settings.
     pub read_class: usize,
-    /// The class of its writes.
+    /// Class of writes.
     pub write_class: usize,
-    /// Reads of so many blocks or more are of this class.
+    /// Reads of at least this many blocks have this class.
     pub bulk: Option<(u32, usize)>,
-    /// The shard that holds it.
+    /// The shard that stores the volume.
     pub shard: u32,
-    /// How many initiators its requests come through.
+    /// Number of initiators that send requests to the volume.
     pub hosts: f64,
-    /// Its size.
+    /// Size in blocks.
     pub blocks: u64,
-    /// Bytes of a block.
+    /// Bytes per block.
     pub block_bytes: u32,
-    /// Most bytes of a transfer.
+    /// Largest transfer in bytes.
     pub max_transfer_bytes: usize,
-    /// Its number at the storage that holds it.
+    /// LUN at the storage node.
     pub storage_lun: u16,
     unit_bytes: u32,
     names: Names,
@@ -66,19 +66,19 @@
     plan: String,
 }
 
-/// An iSCSI target that holds a shard.
+/// An iSCSI target that stores a shard.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Storage {
     /// Its iSCSI name.
     pub name: String,
-    /// Where it listens.
+    /// Its address.
     pub address: SocketAddr,
-    /// The shard.
+    /// The shard that it stores.
     pub shard: u32,
 }
 
 impl Iscsi {
-    /// Another size of the largest request, in units.
+    /// Applies a changed size of the largest request, in units.
     pub(crate) fn set_largest(&mut self, largest: f64) {
         for unit in self.exports.iter_mut().flat_map(|export| export.units.values_mut()) {
             unit.max_transfer_bytes = max_transfer_bytes(largest, unit.unit_bytes);
@@ -87,12 +87,12 @@
 }
 
 impl Unit {
-    /// Units that a transfer counts.
+    /// Units of a transfer of this many blocks.
     pub(crate) fn units_of(&self, blocks: u32) -> f64 {
         (u64::from(blocks) * u64::from(self.block_bytes)).div_ceil(self.unit_bytes.into()) as f64
     }
 
-    /// What a node of the other wire is told of a request.
+    /// The request attributes sent to a RESP node.
     pub(crate) fn attributes(&self, class: usize, new: &NewRequest) -> String {
         format!(
             "c={},t={},volume={:016x},units={},shard={},hosts={}",
@@ -118,7 +118,7 @@
     name: String,
     address: SocketAddr,
     shard: u32,
-    /// For how long it drops repeats of a write; 0: it does not.
+    /// How long it drops repeats of a write; 0 if it does not.
     #[serde(default)]
     drops_repeats_ms: u64,
 }
@@ -166,8 +166,8 @@
 }
 
 impl Iscsi {
-    /// Reads the file, if there is one and it is switched on. A write to storage that is not declared to drop
-    /// repeats gets a class of its own that may not run twice, so classes may be added to the settings.
+    /// Reads the file, if it exists and is enabled. A write to storage that is not declared to drop repeats gets a
+    /// class of its own that must not run twice, so classes may be added to the settings.
     pub(crate) fn read(
         path: &Path,
         settings: &mut Settings,
@@ -198,7 +198,7 @@
             }
             exports.push(Export { name: target.name, units });
         }
-        // Each unit's attributes name classes that were added after it as well.
+        // Includes the classes that were added after the unit was read.
         for unit in exports.iter_mut().flat_map(|export| export.units.values_mut()) {
             unit.names.classes = wire.classes.clone();
         }
@@ -244,12 +244,12 @@
     })
 }
 
-/// Bytes of the largest transfer, given the units of the largest request and the bytes of one unit.
+/// Bytes of the largest transfer, from the units of the largest request and the bytes of one unit.
 fn max_transfer_bytes(largest: f64, unit_bytes: u32) -> usize {
     ((largest * f64::from(unit_bytes)) as usize).min(MAX_TRANSFER_BYTES)
 }
 
-/// The class of writes to a storage: that stated, but repeatable only as far as the storage drops repeats.
+/// Class of writes to a storage node: as configured, but repeatable only as long as the storage drops repeats.
 fn write_class(
     wanted_class: usize,
     storage: &FileStorage,
@@ -259,7 +259,7 @@
     let window = Duration::from_millis(storage.drops_repeats_ms);
     let effect = if window.is_zero() { Effect::Unsafe } else { Effect::Keyed(Group::Shard) };
     let wanted = Class { effect, window, ..settings.classes[wanted_class].clone() };
-    // A class of the same name and terms serves all storage alike.
+    // A class with the same name and properties is shared between storage nodes.
     let matches =
         |class: usize| settings.classes[class] == wanted && wire.classes[class] == wire.classes[wanted_class];
     (0..settings.classes.len()).find(|class| matches(*class)).unwrap_or_else(|| {
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! What an initiator is told at its start: the JSON file that `NODE_CONFIG` names.
+//! Configuration of an initiator: the JSON file that `NODE_CONFIG` names, and the TOML files beside it.
 
 pub mod iscsi;
 
@@ -13,80 +13,80 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Where an initiator is told what it works with.
+/// Paths of the configuration files.
 #[derive(Clone, Debug)]
 pub struct Files {
-    /// Its configuration.
+    /// Main configuration (JSON).
     pub config: PathBuf,
-    /// The second front.
+    /// iSCSI front.
     pub iscsi: PathBuf,
     /// Remote planners.
     pub planners: PathBuf,
-    /// Addresses that move between machines.
+    /// VRRP.
     pub vrrp: PathBuf,
-    /// Membership among initiators.
+    /// Fleet membership.
     pub fleet: PathBuf,
-    /// Where operators call, unless the configuration says so itself.
+    /// Address of the admin endpoint, used if the main configuration has none.
     pub control: Option<String>,
 }
 
-/// Everything the initiator works with.
+/// The whole configuration of an initiator.
 #[derive(Debug)]
 pub struct Config {
-    /// Its name, for its log.
+    /// Name of the initiator.
     pub name: String,
-    /// Where clients connect.
+    /// Address for RESP clients.
     pub listen: SocketAddr,
-    /// Where operators call, where they may.
+    /// Address of the admin endpoint, if it is on.
     pub control: Option<SocketAddr>,
-    /// Where discovery is asked.
+    /// Address of discovery.
     pub discovery: SocketAddr,
-    /// Seed of its random numbers.
+    /// Seed of the random numbers.
     pub seed: u64,
-    /// Part of a core that it may use.
+    /// Share of a processor core that the process may use.
     pub cores: f64,
-    /// File descriptors it may hold.
+    /// Limit of file descriptors.
     pub sockets: usize,
-    /// Bytes of memory it may use.
+    /// Limit of memory in bytes.
     pub memory: usize,
-    /// The node list as it was last known.
+    /// The last known node list.
     pub known: Option<ListMessage>,
-    /// For the decisions, as in force.
+    /// Settings of the scheduler in force.
     pub settings: Settings,
-    /// For the decisions, as the configuration itself states them.
+    /// Settings of the scheduler as written in the file, without derived changes.
     pub configured_settings: Settings,
-    /// For the wire.
+    /// Settings of the protocols.
     pub wire: Wire,
-    /// The second front, where it is switched on.
+    /// The iSCSI front, if it is enabled.
     pub iscsi: Option<iscsi::Iscsi>,
-    /// Remote planners; without any each initiator has its even part.
+    /// Addresses of the remote planners; without any, each initiator has an even share of the limits.
     pub planners: Vec<SocketAddr>,
-    /// Partitions that things are dealt to among them.
+    /// Number of partitions distributed over the planners.
     pub partitions: usize,
-    /// Planners may change settings while it runs, where that is switched on and the settings let it hear of others.
+    /// Whether planners may change settings at run time: if enabled, and the settings allow talk between initiators.
     pub live_configuration: bool,
-    /// Addresses that move between machines, where that is switched on.
+    /// VRRP, if it is enabled.
     pub vrrp: Option<vrrp::settings::Settings>,
-    /// Membership among initiators, where that is switched on and the settings let them talk.
+    /// Fleet membership, if it is enabled and the settings allow talk between initiators.
     pub fleet: Option<fleet::settings::Settings>,
 }
 
-/// The settings that only the wire needs.
+/// Settings that only the protocols need.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Wire {
-    /// Names of classes, plans and zones; the decisions name them by position.
+    /// Names of the classes; the scheduler refers to them by index.
     pub classes: Vec<String>,
-    /// The longest that clients of each class wait.
+    /// Longest time that clients of each class wait.
     pub deadlines: Vec<Duration>,
-    /// Plans, likewise.
+    /// Names of the plans.
     pub plans: Vec<String>,
-    /// Zones, likewise.
+    /// Names of the zones.
     pub zones: Vec<String>,
-    /// A connection that is not up by then has failed.
+    /// Timeout for establishing a connection.
     pub connect_timeout: Duration,
-    /// Targets close a connection that is idle for this long.
+    /// Idle time after which targets close a connection.
     pub conn_idle: Duration,
-    /// Initiators may talk to each other, as far as the settings say.
+    /// Whether the settings allow talk between initiators.
     pub peers: bool,
 }
 
@@ -138,7 +138,7 @@
 }
 
 impl Config {
-    /// Reads a configuration file and those beside it; the error is one plain line.
+    /// Reads all configuration files. The error is a single line.
     pub fn read(files: &Files) -> Result<Config, String> {
         let Files { config: path, iscsi, planners, vrrp, fleet, control } = files;
         let text = std::fs::read(path).map_err(|error| format!("{}: {error}", path.display()))?;
@@ -155,7 +155,7 @@
         (config.planners, config.partitions) = (remote.planners, remote.partitions);
         config.live_configuration = remote.configuration && config.wire.peers;
         if remote.configuration && !config.wire.peers {
-            let why = "configuration: off, since the settings forbid talk between initiators";
+            let why = "configuration: disabled, because the settings forbid talk between initiators";
             tracing::warn!("{}: {why}", planners.display());
         }
         config.vrrp =
@@ -166,23 +166,26 @@
         if config.wire.peers {
             config.fleet = fleet_settings;
         } else if fleet_settings.is_some() {
-            tracing::warn!("{}: off, since the settings forbid talk between initiators", fleet.display());
+            tracing::warn!(
+                "{}: disabled, because the settings forbid talk between initiators",
+                fleet.display()
+            );
         }
         if config.vrrp.is_some() && !config.planners.is_empty() {
-            // Guards the limits: planners move parts of a whole that is the same for all, and machines behind one
-            // address each have another.
+            // Planners move shares of limits that are the same for all initiators, but the machines of a virtual
+            // router have limits of their own.
             let why = "enabled: not beside VRRP, whose machines have fixed parts of the limits";
             return Err(format!("{}: {why}", planners.display()));
         }
         Ok(config)
     }
 
-    /// The names that live configuration may refer to.
+    /// Names that a live configuration may refer to.
     pub fn names(&self) -> Names {
         Names { classes: self.wire.classes.clone(), plans: self.wire.plans.clone() }
     }
 
-    /// What another configuration would change that only a restart can.
+    /// Names the differences to another configuration that need a restart.
     pub(crate) fn fixed_changes(&self, new: &Config) -> Vec<&'static str> {
         let changes = [
             ("name", self.name != new.name),
@@ -215,9 +218,9 @@
         }
         let known = match file.known {
             None | Some(serde_json::Value::Null) => None,
-            // A bad remembered list is no reason not to start: discovery tells the present one.
+            // An invalid saved list does not prevent the start: discovery sends the current one.
             Some(known) => ListMessage::parse(known.to_string().as_bytes())
-                .inspect_err(|why| tracing::warn!("the known list is left out: {why}"))
+                .inspect_err(|why| tracing::warn!("ignoring the saved node list: {why}"))
                 .ok(),
         };
         let names = |all: Vec<Named>| all.into_iter().map(|one| one.name).collect();
@@ -262,14 +265,14 @@
     configuration: bool,
 }
 
-/// What the file of remote planners says; without one there are none.
+/// The file of remote planners; without it there are none.
 #[derive(Debug, Default, PartialEq)]
 struct RemotePlanners {
-    /// Their addresses.
+    /// Addresses of the planners.
     planners: Vec<SocketAddr>,
-    /// Partitions that volumes are dealt to.
+    /// Number of partitions that volumes are distributed over.
     partitions: usize,
-    /// Whether they may change settings while this initiator runs.
+    /// Whether the planners may change settings at run time.
     configuration: bool,
 }
 
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -7,7 +7,7 @@
 const ENABLED: &str = "enabled = true\nplanners = ['127.0.0.1:7101']\n";
 
 #[test]
-fn live_configuration_is_off_unless_it_is_switched_on() {
+fn live_configuration_is_off_unless_enabled() {
     assert!(!read(ENABLED).unwrap().configuration);
     assert!(!read(&format!("{ENABLED}configuration = false")).unwrap().configuration);
     let on = read(&format!("{ENABLED}configuration = true")).unwrap();
@@ -26,10 +26,10 @@
     assert!(read(&format!("{ENABLED}configuration = 1")).unwrap_err().lines().count() == 1);
 }
 
-/// The whole of what is read, from files.
+/// Writes the configuration files and reads them.
 fn read_files(test: &str, peers: bool, planners: &str) -> Result<Config, String> {
-    let folder = std::env::temp_dir().join(format!("topazpath-{test}-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).unwrap();
+    let directory = std::env::temp_dir().join(format!("topazpath-{test}-{}", std::process::id()));
+    std::fs::create_dir_all(&directory).unwrap();
     let text = format!(
         r#"{{"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:9","seed":"1",
          "limits":{{"cores":1.0,"memory_mb":64,"sockets":256}},
@@ -41,25 +41,25 @@
          "limits":{{"attempts_cap":4,"connect_timeout_ms":250,"conn_idle_ms":30000,"peers":{peers}}}}}}}"#
     );
     let file = |name: &str, text: &str| {
-        let path = folder.join(name);
+        let path = directory.join(name);
         std::fs::write(&path, text).unwrap();
         path
     };
     let files = Files {
         config: file("config.json", &text),
-        iscsi: folder.join("none"),
+        iscsi: directory.join("none"),
         planners: file("planners.toml", planners),
-        vrrp: folder.join("none"),
-        fleet: folder.join("none"),
+        vrrp: directory.join("none"),
+        fleet: directory.join("none"),
         control: None,
     };
     let config = Config::read(&files);
-    std::fs::remove_dir_all(&folder).unwrap();
+    std::fs::remove_dir_all(&directory).unwrap();
     config
 }
 
 #[test]
-fn live_configuration_is_off_where_initiators_may_not_talk() {
+fn live_configuration_is_off_if_the_settings_forbid_talk_between_initiators() {
     let on = format!("{ENABLED}configuration = true");
     let with_peers = read_files("config-peers", true, &on).unwrap();
     assert!(with_peers.live_configuration);
--- a/src/control/endpoint.rs
+++ b/src/control/endpoint.rs
@@ -1,4 +1,4 @@
-//! The operators' listener and its few connections, one call each.
+//! The admin listener and its few connections, each for a single call.
 
 use super::{parse, reply, Call, MAX_LINE_BYTES};
 use crate::conn::Conn;
@@ -8,52 +8,52 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Callers at a time. Beyond it the one that has come first makes room: it is the slowest.
+/// Limit of callers. Beyond it the oldest one is closed, as the slowest.
 const MAX_CALLERS: usize = 8;
-/// Callers accepted in one turn of the loop.
+/// Limit of callers accepted in one iteration of the loop.
 const MAX_ACCEPTED_PER_ITERATION: usize = 64;
-/// A caller that has not said a whole call by then is told so.
+/// A caller that has not sent a complete call by then gets an error.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
-/// A caller that does not read its answer, or does not close, is closed after this.
+/// A caller that does not read its answer, or does not close, is closed after this time.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
-/// Descriptors that the endpoint may take up.
+/// Descriptors that the endpoint may use.
 pub const DESCRIPTORS: usize = MAX_CALLERS + 1;
 
 struct Caller {
     conn: Conn,
     since: Instant,
-    /// Since when it has its answer.
+    /// When it got its answer.
     answered: Option<Instant>,
 }
 
-/// Where operators call.
+/// The admin endpoint.
 pub struct AdminEndpoint {
     listener: Listener,
-    /// In the order they came: tokens only grow.
+    /// Ordered by age, since tokens only increase.
     callers: BTreeMap<usize, Caller>,
-    /// Callers are let in here, and not by another process that has the same listener.
+    /// Whether callers are accepted here, and not by another process that shares the listener.
     accepts: bool,
 }
 
 impl AdminEndpoint {
-    /// Callers come in by this listener.
+    /// Accepts callers from this listener.
     pub fn open(listener: Listener, token: Token, registry: &Registry) -> std::io::Result<Self> {
         let mut endpoint = AdminEndpoint { listener, callers: BTreeMap::new(), accepts: true };
         endpoint.listener.register(token, registry)?;
         Ok(endpoint)
     }
 
-    /// Where it listens: the port may have been left to the system.
+    /// The listening address, with the port that the system has assigned.
     pub fn address(&self) -> Option<SocketAddr> {
         self.listener.local_addr().ok()
     }
 
-    /// For another process.
+    /// The listening socket, to be passed to another process.
     pub fn listener(&self) -> &mio::net::TcpListener {
         self.listener.socket()
     }
 
-    /// Lets callers in, or leaves them to another process that has the same listener.
+    /// Accepts callers, or leaves them to another process that shares the listener.
     pub fn accept_callers(&mut self, yes: bool, token: Token, registry: &Registry) {
         let changed = match yes {
             true => self.listener.register(token, registry),
@@ -66,12 +66,12 @@
         self.accepts = yes;
     }
 
-    /// Callers may wait since then.
+    /// Callers may have been waiting since then.
     pub fn connections_pending(&mut self, since: Instant) {
         self.listener.ready(since);
     }
 
-    /// When [`AdminEndpoint::turn`] has something to do.
+    /// When [`AdminEndpoint::run`] is due next.
     pub fn next_timer(&self, now: Instant) -> Option<Instant> {
         let end = |caller: &Caller| {
             caller.answered.map_or(caller.since + CALL_TIMEOUT, |answered| answered + CLOSE_TIMEOUT)
@@ -80,8 +80,8 @@
         self.callers.values().map(end).chain(accept_at).min()
     }
 
-    /// Its part of a turn of the loop: lets callers in and closes who is slow. What was called is returned; each is
-    /// owed one [`AdminEndpoint::reply`].
+    /// Accepts callers and closes slow ones. Returns the calls received, each of which needs one
+    /// [`AdminEndpoint::reply`].
     pub fn run(
         &mut self,
         now: Instant,
@@ -101,14 +101,14 @@
                     break;
                 }
             };
-            // Guards callers against those that hold connections and say nothing.
+            // Guards against callers that hold connections and stay silent.
             while self.callers.len() >= MAX_CALLERS {
                 self.callers.pop_first();
             }
             let token = next();
             if let Ok(conn) = Conn::new(stream, token, registry) {
                 self.callers.insert(token.0, Caller { conn, since: now, answered: None });
-                // What it came with is read before the next one may send it away.
+                // Input that has already arrived is read before the next caller may displace this one.
                 calls.extend(self.ready(now, token.0).map(|call| (token.0, call)));
             }
         }
@@ -119,12 +119,12 @@
         calls
     }
 
-    /// Something happened on a caller's connection; it may be a call.
+    /// Handles readiness of a caller's connection; returns its call once it is complete.
     pub fn ready(&mut self, now: Instant, id: usize) -> Option<Call> {
         let caller = self.callers.get_mut(&id)?;
         let end = caller.conn.read(MAX_LINE_BYTES);
         if caller.answered.is_some() {
-            // Guards the answer: what comes after the call would reset the connection if it was left unread.
+            // Input after the call is consumed: leaving it unread would reset the connection and lose the answer.
             caller.conn.consume(caller.conn.input.len());
             if caller.conn.flush().is_err() || end.is_over() {
                 self.callers.remove(&id);
@@ -140,7 +140,7 @@
         None
     }
 
-    /// Answers a caller, who closes the connection then.
+    /// Sends the answer; the caller closes the connection then.
     pub fn reply(&mut self, now: Instant, id: usize, outcome: &Result<String, String>) {
         let Some(caller) = self.callers.get_mut(&id).filter(|caller| caller.answered.is_none()) else {
             return;
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -1,27 +1,27 @@
-//! What operators say to a running initiator, one line a call, and what they are told: parser and replies. The sockets
-//! are in `endpoint`, and what a call does is the loop's.
+//! The admin protocol: one line per call, one line per reply. This module parses and formats them; the sockets are in
+//! `endpoint`, and the event loop executes the calls.
 
 pub mod endpoint;
 
-/// A line is not longer, its end included.
+/// Maximum length of a line, including its end.
 pub const MAX_LINE_BYTES: usize = 256;
 
-/// One call.
+/// A call of an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Call {
-    /// Whether this process takes clients.
+    /// Asks whether this process accepts clients.
     Ready,
-    /// Nothing more to a target.
+    /// Takes a target out of service.
     DisableServer(String),
-    /// A target may serve again.
+    /// Returns a target to service.
     EnableServer(String),
-    /// Take no more clients.
+    /// Drains this process: it accepts no more clients.
     Drain,
-    /// Take clients again.
+    /// Returns this process to service.
     Resume,
 }
 
-/// Reads what has come so far: nothing while the line has no end.
+/// Parses the input received so far; `None` while the line is incomplete.
 pub fn parse(input: &[u8]) -> Option<Result<Call, String>> {
     let line = match input.iter().take(MAX_LINE_BYTES).position(|byte| *byte == b'\n') {
         Some(end) => &input[..end],
@@ -58,7 +58,7 @@
     }
 }
 
-/// The line that answers a call: done as asked, with what is so now, or not done, with the reason.
+/// Formats the reply to a call: the resulting state, or the reason why it was not executed.
 pub fn reply(outcome: &Result<String, String>) -> Vec<u8> {
     let (code, text) = match outcome {
         Ok(text) => (200, text),
--- a/src/control/tests.rs
+++ b/src/control/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn calls_are_read_whole_and_only_as_they_are_worded() {
+fn only_complete_and_exact_calls_are_accepted() {
     for (line, call) in [
         ("ready\n", Call::Ready),
         ("ready\r\n", Call::Ready),
@@ -32,7 +32,7 @@
 
 proptest::proptest! {
     #[test]
-    fn any_bytes_end_in_an_answer_of_one_line(bytes: Vec<u8>) {
+    fn arbitrary_bytes_get_a_reply_of_one_line(bytes: Vec<u8>) {
         let padded = [&bytes[..], &[b'x'; MAX_LINE_BYTES]].concat();
         let answer = reply(&parse(&padded).unwrap().map(|call| format!("{call:?}")));
         proptest::prop_assert!(answer.starts_with(b"200 ") || answer.starts_with(b"400 "));
--- a/src/forwarder/configuration/tests.rs
+++ b/src/forwarder/configuration/tests.rs
@@ -47,13 +47,13 @@
 "#;
 
 /// Temporary directory of a test, removed at its end.
-struct TempFolder(PathBuf);
+struct TempDirectory(PathBuf);
 
-impl TempFolder {
+impl TempDirectory {
     fn new(test: &str) -> Self {
         let path = std::env::temp_dir().join(format!("topazpath-{test}-{}", std::process::id()));
         std::fs::create_dir_all(&path).unwrap();
-        TempFolder(path)
+        TempDirectory(path)
     }
 
     fn file(&self, name: &str, text: &str) -> PathBuf {
@@ -63,19 +63,19 @@
     }
 }
 
-impl Drop for TempFolder {
+impl Drop for TempDirectory {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-fn start(folder: &TempFolder) -> Forwarder {
+fn start(directory: &TempDirectory) -> Forwarder {
     let none = |name: &str| Path::new("/nonexistent").join(name);
     let planners = "enabled = true\nplanners = [\"127.0.0.1:9\"]\nconfiguration = true";
     let files = Files {
-        config: folder.file("config.json", CONFIG),
-        iscsi: folder.file("iscsi.toml", ISCSI),
-        planners: folder.file("planners.toml", planners),
+        config: directory.file("config.json", CONFIG),
+        iscsi: directory.file("iscsi.toml", ISCSI),
+        planners: directory.file("planners.toml", planners),
         vrrp: none("vrrp.toml"),
         fleet: none("fleet.toml"),
         control: None,
@@ -133,8 +133,8 @@
 
 #[test]
 fn a_revision_changes_every_copy_of_a_setting_and_an_empty_one_restores_them() {
-    let folder = TempFolder::new("configuration");
-    let mut forwarder = start(&folder);
+    let directory = TempDirectory::new("configuration");
+    let mut forwarder = start(&directory);
     let base = forwarder.config.settings.clone();
     assert!(base.limits.most_held.is_some(), "the process sets it itself");
     let text = "[plans.base]\nceiling_rate = 20\n[classes.read]\nworth = 4\n[limits]\nmax_retry_after_ms = 120\n[costs]\nlargest = 7";
@@ -165,8 +165,8 @@
 
 #[test]
 fn a_revision_that_changes_fixed_settings_is_rejected_whole() {
-    let folder = TempFolder::new("configuration-fixed");
-    let mut forwarder = start(&folder);
+    let directory = TempDirectory::new("configuration-fixed");
+    let mut forwarder = start(&directory);
     list_nodes(&mut forwarder, &["s-1"]);
     let base = forwarder.config.settings.clone();
     let mut prepared =
@@ -180,8 +180,8 @@
 
 #[test]
 fn nodes_out_drain_until_a_later_revision_returns_them() {
-    let folder = TempFolder::new("configuration-nodes");
-    let mut forwarder = start(&folder);
+    let directory = TempDirectory::new("configuration-nodes");
+    let mut forwarder = start(&directory);
     list_nodes(&mut forwarder, &["s-1", "s-2"]);
     queued_entries(&mut forwarder);
     let base = forwarder.config.settings.clone();
@@ -207,8 +207,8 @@
 /// files.
 #[test]
 fn an_unchanged_file_needs_no_restart_after_a_revision() {
-    let folder = TempFolder::new("configuration-reload");
-    let mut forwarder = start(&folder);
+    let directory = TempDirectory::new("configuration-reload");
+    let mut forwarder = start(&directory);
     let base = forwarder.config.settings.clone();
     let prepared = prepare(&forwarder, &base, 1, "[classes.read]\nworth = 4");
     forwarder.take_over_configuration(Instant::now(), &prepared).unwrap();
@@ -220,8 +220,8 @@
 /// meanwhile.
 #[test]
 fn an_unsent_attempt_at_a_node_taken_out_ends_with_the_grace() {
-    let folder = TempFolder::new("configuration-unsent");
-    let mut forwarder = start(&folder);
+    let directory = TempDirectory::new("configuration-unsent");
+    let mut forwarder = start(&directory);
     list_nodes(&mut forwarder, &["s-1"]);
     let node = queued_entries(&mut forwarder).pop().unwrap().node;
     let (now, late) = (Instant::now(), Instant::now() + Duration::from_secs(50));
@@ -240,8 +240,8 @@
 /// Without requests, the planners' client must not keep the loop busy.
 #[test]
 fn the_planners_client_has_no_timer_due_at_once_without_requests() {
-    let folder = TempFolder::new("idle");
-    let mut forwarder = start(&folder);
+    let directory = TempDirectory::new("idle");
+    let mut forwarder = start(&directory);
     let now = Instant::now();
     let registry = forwarder.poll.registry().try_clone().unwrap();
     forwarder.planners.as_mut().unwrap().tick(now, &registry);
--- a/src/forwarder/gather.rs
+++ b/src/forwarder/gather.rs
@@ -20,8 +20,8 @@
             Some(Kind::Target) => 2,
             _ => 1,
         };
-        for turn in 0..3 {
-            for (token, ready) in ready.iter().filter(|(token, _)| rank(*token) == turn) {
+        for pass in 0..3 {
+            for (token, ready) in ready.iter().filter(|(token, _)| rank(*token) == pass) {
                 self.gather(now, token, ready);
             }
             for effect in self.core.drain_effects() {
--- a/src/forwarder/start.rs
+++ b/src/forwarder/start.rs
@@ -41,8 +41,8 @@
         // Virtual router addresses and shares of remote planners belong to one process, so hot upgrade is off with
         // either.
         let exclusive = config.vrrp.is_some() || !config.planners.is_empty();
-        let socket = if exclusive { None } else { upgrade::socket_path(config.listen) };
-        let mut predecessor = socket.as_deref().and_then(find_predecessor);
+        let upgrade_socket = if exclusive { None } else { upgrade::socket_path(config.listen) };
+        let mut predecessor = upgrade_socket.as_deref().and_then(find_predecessor);
         let mut open_listener = |at: ListenerAddress, address: SocketAddr| {
             // Port 0 is assigned by the system, so the predecessor's listener has another port.
             let predecessor = predecessor.as_mut().filter(|_| address.port() != 0);
@@ -108,7 +108,7 @@
         let mut core = Core::new(clock, retry_after);
         core.set_classes(&config.settings.classes);
         let (mut state, mut version) = (State::default(), known.as_ref().map(|known| known.index));
-        let mut upgrade = Upgrade::new(socket, UPGRADE, now);
+        let mut upgrade = Upgrade::new(upgrade_socket, UPGRADE, now);
         let mut predecessor_usage = (0, 0);
         let (mut loaded, mut identity) = (false, None);
         if let Some(predecessor) = predecessor {
--- a/src/forwarder/succession.rs
+++ b/src/forwarder/succession.rs
@@ -28,7 +28,7 @@
         let (clients, targets) = (self.resp.len(), self.targets.len());
         let events = self
             .upgrade
-            .turn(now, self.poll.registry(), &mut self.tokens, || resource_usage(clients, targets));
+            .run(now, self.poll.registry(), &mut self.tokens, || resource_usage(clients, targets));
         self.handle_upgrade_events(now, events);
         if self.state.is_replaced() {
             let upgrade = &mut self.upgrade;
@@ -47,7 +47,9 @@
         for event in events {
             match event {
                 UpgradeEvent::ListenersRequested(peer) => self.send_listeners(peer),
-                UpgradeEvent::TakeOver { peer, admin } => self.hand_over_to(now, peer, admin),
+                UpgradeEvent::TakeOver { peer, admin_listener } => {
+                    self.hand_over_to(now, peer, admin_listener)
+                }
                 UpgradeEvent::Client(stream, input) => {
                     let token = self.tokens.next(Kind::RespClient);
                     let (registry, core) = (self.poll.registry(), &mut self.core);
@@ -101,7 +103,7 @@
     }
 
     /// Hands over to the successor.
-    fn hand_over_to(&mut self, now: Instant, peer: usize, admin: bool) {
+    fn hand_over_to(&mut self, now: Instant, peer: usize, admin_listener: bool) {
         let (planner, nodes, targets) = (&mut self.planner, &self.nodes, &mut self.targets);
         let (fleet, rejoin_at) = (&mut self.fleet, &mut self.rejoin_fleet_at);
         let (drained, list, clients) = (self.state.is_drained(), self.discovery.version(), self.resp.len());
@@ -120,7 +122,7 @@
                 self.core.set_report(REPORT, String::new(), r#"{"phase":"handed over"}"#.into());
             }
             self.accept_clients(now, false);
-            if let Some(own) = self.admin.as_mut().filter(|_| admin) {
+            if let Some(own) = self.admin.as_mut().filter(|_| admin_listener) {
                 own.accept_callers(false, ADMIN_LISTENER, self.poll.registry());
                 self.admin_handed_over = true;
             }
--- a/src/process.rs
+++ b/src/process.rs
@@ -1,11 +1,11 @@
-//! What the binaries share: logging, signals, and how an error ends the process.
+//! Utilities shared by the binaries: logging, signals, exit codes and process limits.
 
 use std::os::unix::net::UnixStream;
 use std::process::ExitCode;
 use tracing_subscriber::EnvFilter;
 
-/// Runs a program with its log on standard error (`TOPAZPATH_LOG` sets its level; quiet by default). An error is one
-/// plain line and a failing exit.
+/// Runs a program. Logs go to standard error at the level set by `TOPAZPATH_LOG` (errors only by default). A returned
+/// error is printed as one line and the exit code is a failure.
 pub fn run(name: &str, program: impl FnOnce() -> Result<(), String>) -> ExitCode {
     let filter = EnvFilter::try_from_env("TOPAZPATH_LOG").unwrap_or_else(|_| EnvFilter::new("error"));
     tracing_subscriber::fmt().with_env_filter(filter).with_ansi(false).with_writer(std::io::stderr).init();
@@ -18,7 +18,7 @@
     }
 }
 
-/// Bytes of memory that a process uses, where the system tells.
+/// Resident memory of a process in bytes, where the system reports it.
 pub fn resident_memory(id: u32) -> Option<usize> {
     let status = std::fs::read_to_string(format!("/proc/{id}/status")).ok()?;
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"))?;
@@ -26,22 +26,22 @@
     Some(kilobytes * 1024)
 }
 
-/// Descriptors that the system lets this process have, where it tells.
+/// Limit of file descriptors of this process, where the system reports it.
 pub fn max_descriptors() -> Option<usize> {
     use nix::sys::resource::{getrlimit, Resource};
     let (limit, _) = getrlimit(Resource::RLIMIT_NOFILE).ok()?;
     usize::try_from(limit).ok()
 }
 
-/// Streams that become readable when the process is told something.
+/// Streams that become readable when a signal arrives.
 pub struct Signals {
-    /// To end: SIGTERM or SIGINT.
+    /// Shutdown: SIGTERM or SIGINT.
     pub end: UnixStream,
-    /// To read its configuration again: SIGHUP, which would end a process that does not ask for it.
+    /// Reload of the configuration: SIGHUP, whose default action would end the process.
     pub reload: UnixStream,
 }
 
-/// Listens for signals from now on.
+/// Installs the signal handlers.
 pub fn signals() -> Result<Signals, String> {
     use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
     Ok(Signals { end: signal_stream(&[SIGTERM, SIGINT])?, reload: signal_stream(&[SIGHUP])? })
--- a/src/service/addresses.rs
+++ b/src/service/addresses.rs
@@ -1,7 +1,8 @@
-//! The addresses that move between machines, as one initiator serves them: follows its virtual routers, opens and
-//! retires its fronts' endpoints, and looks at what lowers its priorities.
+//! Virtual router addresses on this machine: follows the VRRP state machines, opens and retires the fronts'
+//! endpoints, and checks the conditions that lower the routers' priorities.
 //!
-//! The decisions are elsewhere: `vrrp` says whose an address is, `handover` what becomes of items.
+//! The decisions are made elsewhere: `vrrp` decides which machine has an address, `handover` what happens to
+//! requests.
 
 use crate::core::Core;
 use crate::front::{iscsi, resp, Front};
@@ -17,10 +18,10 @@
 use mio::{Registry, Token};
 use std::time::{Duration, Instant};
 
-/// The name of its report.
+/// Name of the report in `INFO`.
 pub const REPORT: &str = "vrrp";
 
-/// What the loop lends for a moment.
+/// The parts of the loop that the addresses work with.
 pub struct LoopContext<'a> {
     pub registry: &'a Registry,
     pub core: &'a mut Core,
@@ -29,35 +30,35 @@
     pub tokens: &'a mut Tokens,
 }
 
-/// What a listener speaks.
+/// Protocol of a listener.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Wire {
     Resp,
     Iscsi,
 }
 
-/// What the loop sees of the conditions.
+/// State of the loop that the tracking conditions depend on.
 pub struct Conditions {
-    /// When discovery said something last.
+    /// When the last message from discovery arrived.
     pub discovery: Option<Instant>,
     pub ready_nodes: usize,
-    /// Descriptors for clients are used up.
+    /// All descriptors for clients are in use.
     pub descriptors_used_up: bool,
-    /// Bytes that the process may use.
+    /// Memory limit of the process in bytes.
     pub memory: usize,
 }
 
-/// One address on this machine.
+/// One virtual router address on this machine.
 struct ServedAddress {
     address: Box<dyn Address>,
     /// Endpoints of the fronts, in the order of the address's listeners.
     endpoints: Vec<(Wire, usize)>,
-    /// Something was asked of the address that has not come about.
+    /// A take or release of the address is not complete.
     pending: bool,
     failing: bool,
 }
 
-/// All addresses that this machine serves in turn with others.
+/// All virtual router addresses that this machine shares with others.
 pub struct Addresses {
     settings: Settings,
     speaker: Speaker,
@@ -65,14 +66,14 @@
     addresses: Vec<ServedAddress>,
     started: Instant,
     next_check: Instant,
-    /// When addresses, and duties that end, are turned to again.
+    /// When to continue with pending addresses and retired endpoints.
     next_progress: Option<Instant>,
-    /// The slowest turn of the loop since the last look.
+    /// The longest iteration of the loop since the last check.
     longest_iteration: Duration,
 }
 
 impl Addresses {
-    /// Binds the interfaces and starts the routers; `finish` is the longest that an item may last.
+    /// Binds the interfaces and starts the routers; `finish` is the longest time that a request may last.
     pub fn start(
         settings: Settings,
         finish: Duration,
@@ -116,19 +117,19 @@
         })
     }
 
-    /// Advertisements came on an interface, by position.
+    /// Advertisements arrived on an interface, given by its position.
     pub fn ready(&mut self, interface: usize) {
         self.speaker.ready(interface);
     }
 
-    /// When [`Addresses::turn`] or [`Addresses::look`] has something to do.
+    /// When [`Addresses::run`] or [`Addresses::check_conditions`] is due next.
     pub fn next_timer(&self, now: Instant) -> Instant {
         let next = self.speaker.next_timer(now).map_or(self.next_check, |at| at.min(self.next_check));
         self.next_progress.map_or(next, |at| at.min(next))
     }
 
-    /// What comes first in each turn of the loop: a process that was stopped learns here, before it takes or sends
-    /// anything, that another may serve its addresses.
+    /// Runs the routers, first in each iteration of the loop: a process that was suspended learns here, before it
+    /// receives or sends anything else, that another machine may serve its addresses.
     pub fn run(&mut self, now: Instant, context: &mut LoopContext) {
         let changes = self.speaker.turn(now);
         self.apply_transitions(now, changes, context);
@@ -137,12 +138,12 @@
         }
     }
 
-    /// The time that a turn of the loop took, or came late.
+    /// Records the duration of an iteration of the loop, or its delay.
     pub fn record_iteration(&mut self, took: Duration) {
         self.longest_iteration = self.longest_iteration.max(took);
     }
 
-    /// Looks at the conditions when that is due.
+    /// Checks the tracking conditions, if that is due.
     pub fn check_conditions(
         &mut self,
         now: Instant,
@@ -156,7 +157,7 @@
         let (conditions, longest_iteration) = (conditions(), std::mem::take(&mut self.longest_iteration));
         let tracking = self.settings.tracking.clone();
         for rule in &tracking.rules {
-            let found = match rule.condition {
+            let holds = match rule.condition {
                 Condition::DiscoverySilent => {
                     now - conditions.discovery.unwrap_or(self.started) > tracking.discovery_silent
                 }
@@ -169,13 +170,13 @@
                 Condition::File => tracking.file.as_ref().is_some_and(|file| file.exists()),
                 Condition::Address => self.addresses.iter().any(|served| served.failing),
             };
-            let changes = self.speaker.look(now, rule.condition, found);
+            let changes = self.speaker.look(now, rule.condition, holds);
             self.apply_transitions(now, changes, context);
         }
         self.report(now, context);
     }
 
-    /// Goes by another file as far as that needs no restart.
+    /// Applies a changed file, as far as that needs no restart.
     pub fn reconfigure(&mut self, now: Instant, new: Settings, context: &mut LoopContext) {
         for what in self.settings.fixed_changes(&new) {
             tracing::warn!("a change of {what} in the VRRP file needs a restart");
@@ -190,13 +191,13 @@
         self.apply_transitions(now, changes, context);
     }
 
-    /// The process is to end: the routers resign, and what was taken is finished.
+    /// Resigns from all routers before the process ends; accepted requests are finished.
     pub fn resign(&mut self, now: Instant, context: &mut LoopContext) {
         let changes = self.speaker.shut_down(now);
         self.apply_transitions(now, changes, context);
     }
 
-    /// Whether all addresses are let go.
+    /// Whether no take or release of an address is pending.
     pub fn all_released(&self) -> bool {
         self.addresses.iter().all(|served| !served.pending)
     }
@@ -255,18 +256,18 @@
         }
     }
 
-    /// Goes on with addresses that come or go, and with duties that end.
+    /// Continues with addresses that are being taken or released, and with retired endpoints.
     fn progress_addresses(&mut self, now: Instant, context: &mut LoopContext) {
         for router in 0..self.addresses.len() {
             let served = &mut self.addresses[router];
             if served.pending {
                 match served.address.turn(now) {
                     Progress::Pending => {}
-                    // Guards the priority against an address that nobody wants any more.
+                    // Guards the priority: an address that has been released does not count as failing.
                     Progress::Gone => (served.pending, served.failing) = (false, false),
                     Progress::Failing(why) => {
                         if !std::mem::replace(&mut served.failing, true) {
-                            tracing::warn!("an address cannot be had, and is tried on: {why}");
+                            tracing::warn!("failed to take an address, retrying: {why}");
                         }
                     }
                     Progress::Here(listeners) => {
@@ -289,7 +290,7 @@
                                 ),
                             };
                             if let Err(error) = opened {
-                                tracing::error!("a listener cannot be watched: {error}");
+                                tracing::error!("failed to register a listener: {error}");
                             }
                         }
                         self.step(now, router, Event::Opened, context);
@@ -301,22 +302,22 @@
                 self.step(now, router, Event::Looked { open }, context);
             }
         }
-        let finishes = |router| matches!(self.handover.duty(router), Duty::Retired { .. });
-        let busy = (0..self.addresses.len()).any(|router| self.addresses[router].pending || finishes(router));
+        let retiring = |router| matches!(self.handover.duty(router), Duty::Retired { .. });
+        let busy = (0..self.addresses.len()).any(|router| self.addresses[router].pending || retiring(router));
         self.next_progress = busy.then_some(now + PAUSE);
     }
 
     fn report(&mut self, now: Instant, context: &mut LoopContext) {
-        let served = |router: usize| Served {
+        let served_by = |router: usize| Served {
             duty: self.handover.duty(router).name(),
             open_requests: open_requests_at(&self.addresses[router].endpoints, context).len(),
         };
-        let snapshot = Snapshot::take(&self.speaker, now, self.settings.share, served);
+        let snapshot = Snapshot::take(&self.speaker, now, self.settings.share, served_by);
         context.core.set_report(REPORT, snapshot.lines(), snapshot.json());
     }
 }
 
-/// Requests open that came in by these endpoints.
+/// Open requests that arrived at these endpoints.
 fn open_requests_at(endpoints: &[(Wire, usize)], context: &LoopContext) -> Vec<crate::interface::RequestId> {
     let mut open = Vec::new();
     for (wire, endpoint) in endpoints {
--- a/src/service/mod.rs
+++ b/src/service/mod.rs
@@ -1,31 +1,32 @@
-//! The state of service of this process: whether it takes clients, and what becomes of those it has. PING, the fronts,
-//! signals and the admin endpoint all go by it. It does no I/O and reads no clock.
+//! Service state of this process: whether it accepts clients, and what happens to those it has. PING, the fronts,
+//! signals and the admin endpoint depend on it. It does no I/O and reads no clock.
 
 pub mod addresses;
 
 use std::time::{Duration, Instant};
 
-/// From the call to drain until clients are sent away. Whoever distributes clients asks ten times a second whether
-/// this process takes them, and sends none any more 0.2 s after a no: who is sent away earlier comes back.
+/// Delay between a drain command and the closing of idle clients. Load balancers ask ten times a second whether this
+/// process is ready, and stop sending clients 0.2 s after a negative answer: a client that is closed earlier would
+/// come back.
 const SHED_DELAY: Duration = Duration::from_millis(400);
 
-/// Where a process stands.
+/// Phase of the service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// It does not take clients yet.
+    /// Not accepting clients yet.
     Starting,
-    /// It takes clients.
+    /// Accepting clients.
     Serving,
-    /// An operator has asked for no more clients.
+    /// Drained by an operator.
     Drained,
-    /// Another process took its place, and its clients.
+    /// Another process has taken over, with the clients.
     Replaced,
-    /// It was asked to end.
+    /// Shutting down after a signal.
     Ending,
 }
 
 impl Phase {
-    /// For operators.
+    /// Name shown to operators.
     pub fn name(self) -> &'static str {
         match self {
             Phase::Starting => "starting",
@@ -37,20 +38,20 @@
     }
 }
 
-/// What the fronts are to do about clients.
+/// How the fronts treat clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClientPolicy {
-    /// Whether PING is answered with a yes.
+    /// Whether PING gets a positive answer.
     pub ready: bool,
-    /// Whether idle clients are kept, since they could not come again.
+    /// Whether idle clients are kept, because they could not reconnect.
     pub keep_idle: bool,
-    /// From when on clients leave as they become idle, and are asked for no more before.
+    /// From this time on clients are closed as they become idle, and no new commands are read from them until then.
     pub shed_from: Option<Instant>,
-    /// They go to another process with their connections; else these are closed.
+    /// Idle clients are handed over to another process with their connections; otherwise these are closed.
     pub hand_over: bool,
 }
 
-/// The state of service.
+/// Service state of a process.
 #[derive(Clone, Debug, Default)]
 pub struct State {
     started: bool,
@@ -60,7 +61,7 @@
 }
 
 impl State {
-    /// What was asked for last and cannot be taken back goes before what can.
+    /// An irreversible state takes precedence over a reversible one.
     pub fn phase(&self) -> Phase {
         match self {
             State { ending: Some(_), .. } => Phase::Ending,
@@ -71,9 +72,9 @@
         }
     }
 
-    /// For the fronts. A process that was replaced says yes for the one in its place: who asks it on an open
-    /// connection asks about the address. One that is to end takes whoever still comes: each connection that is open by
-    /// then is served for as long as the process lasts.
+    /// How the fronts treat clients in this state. A replaced process answers PING positively for its successor,
+    /// since the question on an open connection is about the address. A process that shuts down still accepts
+    /// clients: each connection that is open by then is served for as long as the process lasts.
     pub fn client_policy(&self) -> ClientPolicy {
         ClientPolicy {
             ready: self.drained.is_none(),
@@ -83,22 +84,22 @@
         }
     }
 
-    /// It takes clients from now on.
+    /// Starts accepting clients.
     pub fn start(&mut self) {
         self.started = true;
     }
 
-    /// No more clients, as an operator asks. Once is as good as often.
+    /// Drains the process on behalf of an operator; repeating it has no effect.
     pub fn drain(&mut self, now: Instant) -> Result<(), &'static str> {
         if self.is_replaced() {
-            // Guards an operator's belief: this process has nothing left to drain, the other one has it all.
+            // An operator must not believe that the drain took effect: the successor has all the clients.
             return Err("another process took over: ask that one");
         }
         self.drained.get_or_insert(now);
         Ok(())
     }
 
-    /// Clients again.
+    /// Returns to service after a drain.
     pub fn resume(&mut self) -> Result<(), &'static str> {
         if self.ending.is_some() {
             return Err("it is ending");
@@ -110,32 +111,32 @@
         Ok(())
     }
 
-    /// Another process takes its clients.
+    /// Another process has taken over.
     pub fn replace(&mut self, now: Instant) {
         self.replaced.get_or_insert(now);
     }
 
-    /// The other process is gone: clients are this one's again.
+    /// The successor has died: this process serves the clients again.
     pub fn undo_replace(&mut self) {
         self.replaced = None;
     }
 
-    /// Whether another process takes its clients.
+    /// Whether another process has taken over.
     pub fn is_replaced(&self) -> bool {
         self.replaced.is_some()
     }
 
-    /// Whether an operator has drained it.
+    /// Whether an operator has drained the process.
     pub fn is_drained(&self) -> bool {
         self.drained.is_some()
     }
 
-    /// It is to end.
+    /// Starts the shutdown.
     pub fn end(&mut self, now: Instant) {
         self.ending.get_or_insert(now);
     }
 
-    /// Since when it is to end.
+    /// Start of the shutdown, if there is one.
     pub fn ending(&self) -> Option<Instant> {
         self.ending
     }
--- a/src/service/tests.rs
+++ b/src/service/tests.rs
@@ -7,7 +7,7 @@
     Drain,
     Resume,
     Replace,
-    TakeBack,
+    UndoReplace,
     End,
 }
 
@@ -17,14 +17,14 @@
         Step::Drain,
         Step::Resume,
         Step::Replace,
-        Step::TakeBack,
+        Step::UndoReplace,
         Step::End,
     ]);
     prop::collection::vec(one, 0..20)
 }
 
 #[test]
-fn drained_clients_are_sent_away_only_once_a_no_was_heard() {
+fn idle_clients_are_closed_only_after_a_drain_has_become_known() {
     let now = Instant::now();
     let mut state = State::default();
     assert_eq!(state.phase(), Phase::Starting);
@@ -44,7 +44,7 @@
 
 proptest! {
     #[test]
-    fn an_end_is_final_and_no_order_of_calls_says_yes_to_what_is_not_taken(steps in steps()) {
+    fn a_shutdown_is_final_and_a_drained_process_is_never_ready(steps in steps()) {
         let (mut state, now) = (State::default(), Instant::now());
         let (mut ended, mut replaced) = (false, false);
         for step in steps {
@@ -53,13 +53,19 @@
                 Step::Drain => prop_assert_eq!(state.drain(now).is_ok(), !replaced),
                 Step::Resume => prop_assert_eq!(state.resume().is_ok(), !ended && !replaced),
                 Step::Replace => { state.replace(now); replaced = true; }
-                Step::TakeBack => { state.undo_replace(); replaced = false; }
+                Step::UndoReplace => { state.undo_replace(); replaced = false; }
                 Step::End => { state.end(now); ended = true; }
             }
             let (phase, client_policy) = (state.phase(), state.client_policy());
             prop_assert_eq!(phase == Phase::Ending, ended);
-            prop_assert!(client_policy.ready != state.is_drained() && (phase != Phase::Drained || !client_policy.ready));
-            prop_assert!(!client_policy.keep_idle || (ended && !replaced), "only a plain end keeps idle clients");
+            prop_assert!(
+                client_policy.ready != state.is_drained()
+                    && (phase != Phase::Drained || !client_policy.ready)
+            );
+            prop_assert!(
+                !client_policy.keep_idle || (ended && !replaced),
+                "only a shutdown without a successor keeps idle clients"
+            );
             prop_assert_eq!(client_policy.hand_over, replaced);
         }
     }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,4 +1,4 @@
-//! The JSON settings of an instance, as the wire words them.
+//! Parser of the JSON settings of an initiator.
 
 use crate::interface::{Budget, Class, Effect, Group, Limit, Limits, Plan, Rules, Settings, Units};
 use serde::Deserialize;
@@ -98,7 +98,7 @@
     may_cancel: bool,
 }
 
-/// Turns the settings of the wire into those of the library.
+/// Converts JSON settings to the scheduler's settings.
 pub fn parse(text: &[u8]) -> Result<Settings, String> {
     let boot: Boot = serde_json::from_slice(text).map_err(|error| error.to_string())?;
     if boot.classes.is_empty() {
@@ -192,13 +192,13 @@
     }
 }
 
-/// The limit of a plan with these figures; a rate of 0 means none.
+/// The rate limit of a plan; a rate of 0 means no limit.
 pub(crate) fn limit(ceiling_rate: f64, limit_burst: f64, tolerance: f64) -> Option<Limit> {
     let limit = Limit { rate: ceiling_rate, burst: limit_burst, slack: tolerance };
     (ceiling_rate > 0.0).then_some(limit)
 }
 
-/// A span that the settings state in milliseconds.
+/// A duration given in milliseconds.
 pub(crate) fn millis(span: f64) -> Result<Duration, String> {
     Duration::try_from_secs_f64(span / 1000.0).map_err(|_| format!("{span} ms is no span"))
 }
--- a/src/target/mod.rs
+++ b/src/target/mod.rs
@@ -191,12 +191,12 @@
     fn start_pending(&mut self, now: Instant) -> bool {
         let Some((content, give_up_at)) = self.pending.take() else { return true };
         let mut output = Vec::new();
-        let begun = self.session.start(&content, give_up_at.saturating_duration_since(now), &mut output);
+        let supported = self.session.start(&content, give_up_at.saturating_duration_since(now), &mut output);
         self.conn.push(&output);
         self.body = content.flow.clone().map(|flow| (flow, 0));
         (self.started, self.last_progress, self.reported_slow) = (now, now, false);
         (self.send_time, self.answer_started, self.credit) = (None, None, None);
-        begun
+        supported
     }
 }
 
@@ -365,9 +365,9 @@
         if outcome == Outcome::TimedOut {
             // The node may have crashed; then its idle connections are dead too. Idle connections that the node
             // answered on since the attempt started prove that only this connection is at fault, and are kept.
-            let (node, begun) = (self.conns[&id].node, self.conns[&id].started);
+            let (node, attempt_started) = (self.conns[&id].node, self.conns[&id].started);
             let conns = &self.conns;
-            let silent = |id: &usize| conns.get(id).is_none_or(|other| other.idle_since < begun);
+            let silent = |id: &usize| conns.get(id).is_none_or(|other| other.idle_since < attempt_started);
             let idle = self.idle.get(&node).into_iter().flatten().copied().filter(silent);
             for id in idle.collect::<Vec<_>>() {
                 self.close(id);
@@ -469,7 +469,10 @@
             if connection.body.is_some() {
                 match connection.write_body(now) {
                     Ok(moved) => self.transfer_events.extend(
-                        connection.attempt.filter(|_| moved).map(|it| (it, TransferEvent::BodyProgress)),
+                        connection
+                            .attempt
+                            .filter(|_| moved)
+                            .map(|attempt| (attempt, TransferEvent::BodyProgress)),
                     ),
                     Err(_) => return self.end(id, Outcome::Reset),
                 }
@@ -520,12 +523,14 @@
                 // Stalls of a long answer are detected by the transfer check.
                 Ok(Step::Incomplete) if connection.credit.is_some() && read == ReadEnd::Blocked => return,
                 Ok(Step::Incomplete) if output.is_empty() && read == ReadEnd::Blocked => {
-                    let begun = (!connection.conn.input.is_empty()).then_some(now);
-                    if std::mem::replace(&mut connection.partial_since, begun).is_none() && begun.is_some() {
+                    let partial_at = (!connection.conn.input.is_empty()).then_some(now);
+                    if std::mem::replace(&mut connection.partial_since, partial_at).is_none()
+                        && partial_at.is_some()
+                    {
                         self.partial_answers.push_back((now + ANSWER_STALL_TIMEOUT, id));
                     }
-                    connection.answer_started = connection.answer_started.or(begun);
-                    if begun.is_some() && !std::mem::replace(&mut connection.reported_slow, true) {
+                    connection.answer_started = connection.answer_started.or(partial_at);
+                    if partial_at.is_some() && !std::mem::replace(&mut connection.reported_slow, true) {
                         self.transfer_events
                             .extend(connection.attempt.map(|attempt| (attempt, TransferEvent::Slow)));
                     }
@@ -636,13 +641,13 @@
 
     /// When [`Targets::tick`] is due next.
     pub fn next_timer(&self) -> Instant {
-        let queues = [self.unsent.first(), self.partial_answers.front()];
+        let deadlines = [self.unsent.first(), self.partial_answers.front()];
         let first = if self.long_attempts.is_empty() {
             self.next_sweep
         } else {
             self.next_sweep.min(self.next_transfer_check)
         };
-        queues.into_iter().flatten().fold(first, |next, (at, _)| next.min(*at))
+        deadlines.into_iter().flatten().fold(first, |next, (at, _)| next.min(*at))
     }
 
     /// Ends attempts that are past their deadlines and closes connections that were idle for too long.
@@ -696,7 +701,7 @@
                 connection.attempt.is_none() && now - connection.idle_since > self.idle_limit
             };
             let ids: Vec<usize> =
-                self.conns.iter().filter(|(_, it)| expired(it)).map(|(id, _)| *id).collect();
+                self.conns.iter().filter(|(_, connection)| expired(connection)).map(|(id, _)| *id).collect();
             ids.into_iter().for_each(|id| self.close(id));
         }
     }
--- a/src/target/resp.rs
+++ b/src/target/resp.rs
@@ -118,9 +118,7 @@
     match value {
         Value::Array(Some(values)) if values.len() == ANSWER_ELEMENTS => {
             let mut values = values.into_iter();
-            let Some(Value::Bulk(Some(value))) = values.next() else {
-                return Err("the first element of an answer is not a value".into());
-            };
+            let Some(Value::Bulk(Some(value))) = values.next() else { return Err("missing value".into()) };
             let mut ended = Ended { value, ..Ended::bare(Outcome::Served) };
             // Anything else in place of the usage figures is ignored.
             if let Some(Value::Bulk(Some(figures))) = values.next() {
--- a/src/upgrade/frame.rs
+++ b/src/upgrade/frame.rs
@@ -1,4 +1,4 @@
-//! What two processes of one initiator say to each other. All of it is bounded by the length of a frame.
+//! Frames exchanged between two processes of one initiator. The length of a frame bounds everything in it.
 
 use crate::fleet::member::Identity;
 use crate::nodes;
@@ -7,77 +7,77 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What each side says first, with the schema behind it.
+/// First bytes sent by each side, followed by the schema.
 pub const MAGIC: [u8; 8] = *b"tpz-upgr";
-/// Changes whenever a frame, or anything in one, gets another shape.
+/// Has to change whenever a frame, or anything inside one, changes its encoding.
 pub const SCHEMA: u16 = 2;
-/// A frame is not longer.
+/// Maximum length of a frame in bytes.
 pub const MAX_FRAME_BYTES: usize = 4 * 1024 * 1024;
 
-/// What is listened at.
+/// The protocol and address of a listener that is handed over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ListenerAddress {
-    /// By clients.
+    /// RESP clients.
     Resp(SocketAddr),
-    /// By clients of the second front.
+    /// iSCSI clients.
     Iscsi(SocketAddr),
-    /// By operators.
+    /// Operators, at the admin endpoint.
     Control(SocketAddr),
 }
 
-/// What the process before has learned and promised.
+/// What the predecessor has learned and promised.
 #[derive(Default, Serialize, Deserialize)]
 pub struct HandoverState {
-    /// An operator has drained it.
+    /// An operator has drained the predecessor.
     pub drained: bool,
-    /// Nodes, and those that operators have taken out.
+    /// Nodes, and targets that operators have taken out of service.
     pub nodes: nodes::Carried,
     /// Version of the node list.
     pub list: Option<u64>,
-    /// What its scheduler has learned, unless that is too much.
+    /// The scheduler's learned state, unless it is too large.
     pub scheduler: Option<carry::Carried>,
-    /// Descriptors and bytes of memory that it holds.
+    /// Descriptors and bytes of memory that the predecessor uses.
     #[serde(rename = "holds")]
     pub usage: (usize, usize),
-    /// Its part in a fleet, where it has one: from here on it says nothing there.
+    /// The predecessor's identity in the fleet, if it is a member; from here on it sends nothing there.
     pub fleet: Option<Identity>,
 }
 
-/// One thing said.
+/// A message between two processes.
 #[derive(Serialize, Deserialize)]
 pub enum Frame {
-    /// The newer process asks for the listeners.
+    /// The successor asks for the listeners.
     RequestListeners,
-    /// The older one gives them, a descriptor each.
+    /// The predecessor sends its listeners, with one descriptor each.
     Listeners(Vec<ListenerAddress>),
-    /// The newer one is built up and takes over; whether it has the operators' listener too.
+    /// The successor is ready and takes over.
     TakeOver {
-        /// It has.
+        /// Whether it also uses the admin listener.
         admin: bool,
     },
-    /// Another process is taking over already.
+    /// Another process is already taking over.
     Refused,
-    /// The older one takes no more clients.
+    /// The predecessor's state; it accepts no more clients.
     State(Box<HandoverState>),
-    /// A client's connection, with what was read of it and not taken.
+    /// A client's connection, with input that was read but not processed.
     Client(Vec<u8>),
-    /// An operator has taken a target out at this Unix time, or called it back.
+    /// An operator has taken a target out of service, or returned it to service.
     Ban {
-        /// The target.
+        /// Name of the target.
         name: String,
-        /// When.
+        /// Unix time of the command.
         unix: Duration,
-        /// Out, or back.
+        /// Out of service if true, else returned to service.
         out: bool,
     },
-    /// Descriptors and bytes of memory that the older one still holds.
+    /// Descriptors and bytes of memory that the predecessor still uses.
     Usage(usize, usize),
-    /// This process ends in order: nothing is to be taken up for it.
+    /// This process shuts down in order: its peer does not take its clients back.
     Closing,
 }
 
 impl Frame {
-    /// Descriptors that come with it.
+    /// Number of descriptors that accompany the frame.
     pub fn descriptors(&self) -> usize {
         match self {
             Frame::Listeners(addresses) => addresses.len(),
--- a/src/upgrade/link.rs
+++ b/src/upgrade/link.rs
@@ -1,4 +1,4 @@
-//! A Unix connection between two processes of one initiator: whole frames, some with descriptors.
+//! A Unix socket connection between two processes of one initiator. It carries whole frames, some with descriptors.
 
 use super::frame::{Frame, MAGIC, MAX_FRAME_BYTES, SCHEMA};
 use mio::net::UnixStream;
@@ -11,14 +11,14 @@
 use std::io::{IoSlice, IoSliceMut};
 use std::os::fd::{AsRawFd, FromRawFd, OwnedFd, RawFd};
 
-/// Room that a read asks for at once.
+/// Buffer size of one read.
 const READ_BYTES: usize = 64 * 1024;
-/// Descriptors that come with one message, and that may wait for their frame.
+/// Limits of descriptors in one message, and of descriptors that wait for their frame.
 const MAX_DESCRIPTORS_PER_MESSAGE: usize = 8;
 const MAX_PENDING_DESCRIPTORS: usize = 256;
-/// Frames that may wait to go out before clients are kept back.
+/// Frames queued for output before no further client is handed over.
 const MAX_QUEUED_FRAMES: usize = 64;
-/// Length of a frame, before it.
+/// Bytes of the length prefix of a frame.
 const LENGTH_BYTES: usize = 4;
 
 struct Outgoing {
@@ -27,7 +27,7 @@
     descriptors: Vec<OwnedFd>,
 }
 
-/// One end. What is said first tells the schema; nothing else is read from a peer that has another.
+/// One end of the connection. Each side sends its schema first; nothing else is read from a peer with another schema.
 pub struct Link {
     stream: UnixStream,
     input: Vec<u8>,
@@ -37,40 +37,40 @@
 }
 
 impl Link {
-    /// A connection that has just come about, from a process of the same user.
+    /// Wraps a new connection. The peer has to be a process of the same user.
     pub fn new(stream: UnixStream) -> Result<Self, String> {
         let peer = getsockopt(&stream, sockopt::PeerCredentials).map_err(|error| error.to_string())?;
         if peer.uid() != nix::unistd::getuid().as_raw() {
-            // Guards clients' connections against whoever else can write to the folder.
-            return Err("the other process is another user's".into());
+            // Guards clients' connections against other users that can write to the directory of the socket.
+            return Err("the other process belongs to another user".into());
         }
         let mut greeting = MAGIC.to_vec();
         greeting.extend(SCHEMA.to_le_bytes());
-        let first = Outgoing { bytes: greeting, written: 0, descriptors: Vec::new() };
+        let greeting_frame = Outgoing { bytes: greeting, written: 0, descriptors: Vec::new() };
         Ok(Link {
             stream,
             input: Vec::new(),
             descriptors: VecDeque::new(),
-            output: [first].into(),
+            output: [greeting_frame].into(),
             greeting_received: false,
         })
     }
 
-    /// What the loop watches.
+    /// The stream to register with the poll.
     pub fn source(&mut self) -> &mut UnixStream {
         &mut self.stream
     }
 
-    /// Whether more can be queued.
+    /// Whether another client may be queued.
     pub fn can_queue(&self) -> bool {
         self.output.len() < MAX_QUEUED_FRAMES
     }
 
-    /// Adds to what is to be written.
+    /// Queues a frame.
     pub fn send(&mut self, frame: &Frame, descriptors: Vec<OwnedFd>) -> Result<(), String> {
         let payload = postcard::to_stdvec(frame).map_err(|error| error.to_string())?;
         if payload.len() > MAX_FRAME_BYTES {
-            return Err(format!("{} bytes are too many for a frame", payload.len()));
+            return Err(format!("a frame of {} bytes exceeds the limit", payload.len()));
         }
         let mut bytes = (payload.len() as u32).to_le_bytes().to_vec();
         bytes.extend(payload);
@@ -78,16 +78,16 @@
         Ok(())
     }
 
-    /// Writes as much as goes; an error means that the other process is gone.
+    /// Writes queued frames until the socket would block; an error means that the peer is gone.
     pub fn flush(&mut self) -> Result<(), String> {
         while let Some(out) = self.output.front_mut() {
             let raw: Vec<RawFd> = out.descriptors.iter().map(AsRawFd::as_raw_fd).collect();
-            let rights = [ControlMessage::ScmRights(&raw)];
-            let rights = if raw.is_empty() { &[][..] } else { &rights[..] };
+            let control = [ControlMessage::ScmRights(&raw)];
+            let control = if raw.is_empty() { &[][..] } else { &control[..] };
             let bytes = [IoSlice::new(&out.bytes[out.written..])];
-            match sendmsg::<()>(self.stream.as_raw_fd(), &bytes, rights, MsgFlags::MSG_NOSIGNAL, None) {
+            match sendmsg::<()>(self.stream.as_raw_fd(), &bytes, control, MsgFlags::MSG_NOSIGNAL, None) {
                 Ok(count) => {
-                    // They are the other process's now.
+                    // The peer has received them.
                     out.descriptors.clear();
                     out.written += count;
                     if out.written == out.bytes.len() {
@@ -102,21 +102,22 @@
         Ok(())
     }
 
-    /// Reads what is there; false once the other process has closed. Without an end of its own it waits for as long as
-    /// the stream does, for one read.
+    /// Reads available bytes; false once the peer has closed. On a blocking stream it returns after one read or the
+    /// stream's read timeout.
     pub fn read(&mut self) -> Result<bool, String> {
         let mut bytes = vec![0; READ_BYTES];
         loop {
             let mut space = cmsg_space!([RawFd; MAX_DESCRIPTORS_PER_MESSAGE]);
-            let mut room = [IoSliceMut::new(&mut bytes)];
+            let mut buffers = [IoSliceMut::new(&mut bytes)];
             let flags = MsgFlags::MSG_CMSG_CLOEXEC;
             let (count, received) =
-                match recvmsg::<()>(self.stream.as_raw_fd(), &mut room, Some(&mut space), flags) {
+                match recvmsg::<()>(self.stream.as_raw_fd(), &mut buffers, Some(&mut space), flags) {
                     Ok(message) => {
                         let mut received = Vec::new();
                         for control in message.cmsgs().map_err(|error| error.to_string())? {
                             if let ControlMessageOwned::ScmRights(raw) = control {
-                                // SAFETY: the kernel has just made these descriptors for this process; nobody else owns them.
+                                // SAFETY: the kernel has just created these descriptors in this process; nothing else
+                                // owns them.
                                 received
                                     .extend(raw.into_iter().map(|raw| unsafe { OwnedFd::from_raw_fd(raw) }));
                             }
@@ -135,26 +136,26 @@
             if self.descriptors.len() > MAX_PENDING_DESCRIPTORS
                 || self.input.len() > LENGTH_BYTES + MAX_FRAME_BYTES + READ_BYTES
             {
-                return Err("more received than a frame holds".into());
+                return Err("more bytes or descriptors received than a frame allows".into());
             }
             if count < READ_BYTES {
-                // Frames are taken before more is read.
+                // Frames are parsed before more is read.
                 return Ok(true);
             }
         }
     }
 
-    /// The next whole frame of what was read, with its descriptors.
+    /// Returns the next complete frame that was read, with its descriptors.
     pub fn next(&mut self) -> Result<Option<(Frame, Vec<OwnedFd>)>, String> {
         if !self.greeting_received {
             let length = MAGIC.len() + 2;
             let Some(greeting) = self.input.get(..length) else { return Ok(None) };
             let schema = u16::from_le_bytes([greeting[length - 2], greeting[length - 1]]);
             if !greeting.starts_with(&MAGIC) {
-                return Err("the other process speaks something else".into());
+                return Err("the other process speaks another protocol".into());
             }
             if schema != SCHEMA {
-                return Err(format!("the other process speaks schema {schema}, this one {SCHEMA}"));
+                return Err(format!("the other process has schema {schema}, this one {SCHEMA}"));
             }
             self.input.drain(..length);
             self.greeting_received = true;
@@ -162,14 +163,14 @@
         let Some(head) = self.input.first_chunk::<LENGTH_BYTES>() else { return Ok(None) };
         let length = u32::from_le_bytes(*head) as usize;
         if length > MAX_FRAME_BYTES {
-            return Err(format!("a frame of {length} bytes"));
+            return Err(format!("a frame of {length} bytes exceeds the limit"));
         }
         let Some(payload) = self.input.get(LENGTH_BYTES..LENGTH_BYTES + length) else { return Ok(None) };
         let frame: Frame = postcard::from_bytes(payload).map_err(|error| error.to_string())?;
         self.input.drain(..LENGTH_BYTES + length);
         let count = frame.descriptors();
         if self.descriptors.len() < count {
-            return Err("a frame without its descriptors".into());
+            return Err("a frame arrived without its descriptors".into());
         }
         Ok(Some((frame, self.descriptors.drain(..count).collect())))
     }
--- a/src/upgrade/mod.rs
+++ b/src/upgrade/mod.rs
@@ -1,8 +1,8 @@
-//! A new version under load: a second process of the same initiator finds the one that runs, takes its listening sockets
-//! and its state, and then its clients as they become idle. docs/design.md says why it is done so.
+//! Hot upgrade: a second process of the same initiator connects to the running one, takes over its listening sockets
+//! and its state, and then its clients as they become idle. docs/design.md gives the reasons.
 //!
-//! They meet at a Unix socket in `$TMPDIR`, named after the clients' address. Without a folder, without Unix sockets and
-//! with a peer that is silent, dead or of another schema, a start goes on as ever.
+//! The processes meet at a Unix socket in `$TMPDIR`, named after the clients' address. Without that directory,
+//! without Unix sockets, or with a peer that is silent, dead or of another schema, the new process starts normally.
 
 pub mod frame;
 pub mod link;
@@ -18,49 +18,49 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-/// The process before has so long for each answer at the start.
+/// How long the successor waits for each answer of the predecessor at its start.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
-/// How often the older process says what it holds, and looks for clients that have become idle.
+/// How often the predecessor reports its resource usage and silent peers are dropped.
 const USAGE_INTERVAL: Duration = Duration::from_millis(20);
-/// Peers at a time that have not taken over.
+/// Limit of connected processes that have not taken over.
 const MAX_CANDIDATES: usize = 4;
 
-/// Where processes of the initiator at an address meet.
+/// Path of the socket for the initiator with this client address.
 pub fn socket_path(listen: SocketAddr) -> Option<PathBuf> {
-    let folder = std::env::var_os("TMPDIR").filter(|folder| !folder.is_empty())?;
+    let directory = std::env::var_os("TMPDIR").filter(|directory| !directory.is_empty())?;
     Some(
-        Path::new(&folder)
+        Path::new(&directory)
             .join(format!("topazpath-{}-{}.sock", listen.ip(), listen.port()).replace(':', "_")),
     )
 }
 
-/// The process that ran before, from the newer one's side, until that is built up.
+/// The predecessor, as seen by the starting process until it is ready to take over.
 pub struct Predecessor {
     link: Link,
-    /// The same connection, for its settings.
+    /// The same connection, to change the timeouts of the stream.
     stream: std::os::unix::net::UnixStream,
     listeners: Vec<(ListenerAddress, OwnedFd)>,
-    /// The operators' listener was taken.
+    /// The admin listener was taken.
     admin: bool,
 }
 
 impl Predecessor {
-    /// Asks for the listeners; nothing if no process runs there.
+    /// Connects and asks for the listeners; `None` if no process is running.
     pub fn connect(path: &Path) -> Result<Option<Predecessor>, String> {
         let stream = match std::os::unix::net::UnixStream::connect(path) {
             Ok(stream) => stream,
-            // Whatever is there is left over from a process that is gone, or nothing ever was.
+            // No process listens there: the file does not exist, or is left over from a process that has ended.
             Err(error) => {
                 use std::io::ErrorKind::{ConnectionRefused, NotFound};
-                let none = [NotFound, ConnectionRefused].contains(&error.kind());
-                return if none { Ok(None) } else { Err(error.to_string()) };
+                let not_running = [NotFound, ConnectionRefused].contains(&error.kind());
+                return if not_running { Ok(None) } else { Err(error.to_string()) };
             }
         };
-        // Guards the start against a process that is there and says nothing.
+        // Guards the start against a process that does not answer.
         stream.set_read_timeout(Some(RESPONSE_TIMEOUT)).map_err(|error| error.to_string())?;
         stream.set_write_timeout(Some(RESPONSE_TIMEOUT)).map_err(|error| error.to_string())?;
-        let other = stream.try_clone().map_err(|error| error.to_string())?;
-        let mut link = Link::new(UnixStream::from_std(other))?;
+        let copy = stream.try_clone().map_err(|error| error.to_string())?;
+        let mut link = Link::new(UnixStream::from_std(copy))?;
         link.send(&Frame::RequestListeners, Vec::new())?;
         let mut predecessor = Predecessor { link, stream, listeners: Vec::new(), admin: false };
         match predecessor.receive()? {
@@ -68,7 +68,7 @@
                 predecessor.listeners = addresses.into_iter().zip(descriptors).collect();
                 Ok(Some(predecessor))
             }
-            _ => Err("the other process does not give its listeners".into()),
+            _ => Err("the other process did not send its listeners".into()),
         }
     }
 
@@ -79,9 +79,9 @@
             if let Some(frame) = self.link.next()? {
                 return Ok(frame);
             }
-            // A frame in many small pieces takes no longer than a silent one.
+            // A frame that arrives in many small pieces must not take longer than a silent peer.
             if start.elapsed() >= RESPONSE_TIMEOUT {
-                return Err("the other process is silent".into());
+                return Err("timed out waiting for the other process".into());
             }
             if !self.link.read()? {
                 return Err("the other process has ended".into());
@@ -89,25 +89,26 @@
         }
     }
 
-    /// The listener at a place, if it has one.
-    pub fn listener(&mut self, path: ListenerAddress) -> Option<TcpListener> {
-        let at = self.listeners.iter().position(|(one, _)| *one == path)?;
-        self.admin |= matches!(path, ListenerAddress::Control(_));
+    /// Returns the listener for an address, if the predecessor has sent one.
+    pub fn listener(&mut self, address: ListenerAddress) -> Option<TcpListener> {
+        let at = self.listeners.iter().position(|(offered, _)| *offered == address)?;
+        self.admin |= matches!(address, ListenerAddress::Control(_));
         let listener = std::net::TcpListener::from(self.listeners.remove(at).1);
         listener.set_nonblocking(true).ok()?;
         Some(TcpListener::from_std(listener))
     }
 
-    /// Takes over: from here on the other process lets nobody in. Its state, unless it does not answer.
+    /// Takes over: from here on the predecessor accepts no clients. Returns its state, or `None` if it does not
+    /// answer.
     fn take_over(&mut self) -> Result<Option<Box<HandoverState>>, String> {
         let answer =
             self.link.send(&Frame::TakeOver { admin: self.admin }, Vec::new()).and_then(|()| self.receive());
         match answer {
             Ok((Frame::State(state), _)) => Ok(Some(state)),
             Ok((Frame::Refused, _)) => Err("another process is taking over already".into()),
-            Ok(_) => Err("the other process speaks out of turn".into()),
+            Ok(_) => Err("unexpected frame from the other process".into()),
             Err(why) => {
-                tracing::warn!("nothing is taken over but the listeners: {why}");
+                tracing::warn!("only the listeners were taken over: {why}");
                 Ok(None)
             }
         }
@@ -116,11 +117,11 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Role {
-    /// It has said nothing yet, or has the listeners.
+    /// It has connected or has the listeners, but has not taken over.
     Candidate,
-    /// It took over.
+    /// It has taken over from this process.
     Successor,
-    /// This process took over from it.
+    /// This process has taken over from it.
     Predecessor,
 }
 
@@ -128,29 +129,29 @@
     link: Link,
     role: Role,
     since: Instant,
-    /// It has said that it ends.
+    /// It has announced its shutdown.
     closing: bool,
 }
 
-/// What the loop hears of other processes.
+/// Events of the upgrade protocol for the loop.
 pub enum UpgradeEvent {
-    /// One wants the listeners.
+    /// A process asks for the listeners.
     ListenersRequested(usize),
-    /// One takes over, and the operators' listener too or not.
-    TakeOver { peer: usize, admin: bool },
-    /// A client comes over.
+    /// A process takes over, with or without the admin listener.
+    TakeOver { peer: usize, admin_listener: bool },
+    /// The predecessor has handed over a client and its unprocessed input.
     Client(TcpStream, Vec<u8>),
-    /// An operator has taken a target out there, or called it back.
+    /// An operator has taken a target out of service at the other process, or returned it to service.
     Ban { name: String, unix: Duration, out: bool },
-    /// What the older one holds.
+    /// Descriptors and bytes of memory that the predecessor uses.
     Usage(usize, usize),
-    /// The older one is gone.
+    /// The predecessor has ended.
     PredecessorGone,
-    /// The newer one died: clients are this process's again.
+    /// The successor died: this process has to serve clients again.
     SuccessorGone,
 }
 
-/// The other processes of this initiator, as seen from this one.
+/// Connections to other processes of this initiator.
 pub struct Upgrade {
     path: Option<PathBuf>,
     listener: Option<UnixListener>,
@@ -161,7 +162,7 @@
 }
 
 impl Upgrade {
-    /// Knows of no other process.
+    /// Starts without a connection to another process.
     pub fn new(path: Option<PathBuf>, token: Token, now: Instant) -> Self {
         Upgrade {
             path,
@@ -173,7 +174,7 @@
         }
     }
 
-    /// Takes over from the process before; its state, as far as it gives one.
+    /// Takes over from the predecessor. Returns its state, or `None` if it does not answer.
     pub fn take_over(
         &mut self,
         mut predecessor: Predecessor,
@@ -183,24 +184,24 @@
     ) -> Result<Option<Box<HandoverState>>, String> {
         let state = predecessor.take_over()?;
         let token = tokens.next(Kind::Upgrade);
-        let watched = predecessor.stream.set_nonblocking(true).and_then(|()| {
+        let registered = predecessor.stream.set_nonblocking(true).and_then(|()| {
             registry.register(predecessor.link.source(), token, Interest::READABLE | Interest::WRITABLE)
         });
-        match watched {
+        match registered {
             Ok(()) => {
                 let peer =
                     Peer { link: predecessor.link, role: Role::Predecessor, since: now, closing: false };
                 self.peers.insert(token.0, peer);
             }
-            Err(error) => tracing::warn!("the process predecessor is not events any more: {error}"),
+            Err(error) => tracing::warn!("the connection to the predecessor cannot be watched: {error}"),
         }
         Ok(state)
     }
 
-    /// Listens for the next process. Where that cannot be, there is no upgrade without a gap, and all else goes on.
+    /// Listens for the next process. If that fails, only hot upgrades are unavailable.
     pub fn listen(&mut self, registry: &Registry) {
         let Some(path) = &self.path else { return };
-        // What is there is left over, or belongs to the process that this one took over from.
+        // The file is left over, or belongs to the predecessor.
         let _ = std::fs::remove_file(path);
         let opened = UnixListener::bind(path).and_then(|mut listener| {
             registry.register(&mut listener, self.token, Interest::READABLE)?;
@@ -208,22 +209,22 @@
         });
         match opened {
             Ok(listener) => self.listener = Some(listener),
-            Err(error) => tracing::warn!("{}: no upgrade without a gap: {error}", path.display()),
+            Err(error) => tracing::warn!("{}: hot upgrade is not available: {error}", path.display()),
         }
     }
 
-    /// The next process knocks.
+    /// A process waits to be accepted.
     pub fn connections_pending(&mut self) {
         self.accept_pending = true;
     }
 
-    /// When [`Upgrade::turn`] has something to do.
+    /// When [`Upgrade::run`] is due next.
     pub fn next_timer(&self) -> Option<Instant> {
         (!self.peers.is_empty()).then_some(self.next_check)
     }
 
-    /// Lets other processes in, drops those that are silent, and says to the newer one what this one holds.
-    pub fn turn(
+    /// Accepts other processes, drops silent ones, and reports this process's resource usage to the successor.
+    pub fn run(
         &mut self,
         now: Instant,
         registry: &Registry,
@@ -245,13 +246,14 @@
                         self.peers.insert(token.0, peer);
                         events.extend(self.ready(token.0));
                     }
-                    Err(why) => tracing::warn!("a process is not let in: {why}"),
+                    Err(why) => tracing::warn!("rejected a connection from another process: {why}"),
                 }
             }
         }
         if self.next_check <= now {
             self.next_check = now + USAGE_INTERVAL;
-            // Guards against processes that connect and do not go on; one that is built up takes over within it.
+            // Guards against processes that connect and then stay silent; a starting process takes over within this
+            // time.
             self.peers
                 .retain(|_, peer| peer.role != Role::Candidate || now - peer.since < 10 * RESPONSE_TIMEOUT);
             if self.successor().is_some() {
@@ -262,7 +264,7 @@
         events
     }
 
-    /// Something happened on a peer's connection.
+    /// Handles readiness of a peer's connection.
     pub fn ready(&mut self, id: usize) -> Vec<UpgradeEvent> {
         let mut events = Vec::new();
         let Some(peer) = self.peers.get_mut(&id) else { return events };
@@ -274,18 +276,18 @@
                     false
                 }
             };
-            let mut any = false;
+            let mut progress = false;
             let failed = loop {
                 match peer.link.next() {
                     Ok(Some((frame, descriptors))) => {
-                        any = true;
+                        progress = true;
                         if !peer.handle(id, frame, descriptors, &mut events) {
                             break true;
                         }
                     }
                     Ok(None) => break false,
                     Err(why) => {
-                        tracing::warn!("another process is not events any more: {why}");
+                        tracing::warn!("closing the connection to another process: {why}");
                         break true;
                     }
                 }
@@ -293,7 +295,7 @@
             if failed || !open {
                 break false;
             }
-            if !any {
+            if !progress {
                 break true;
             }
         };
@@ -309,17 +311,17 @@
         events
     }
 
-    /// Gives the listeners to the process that asked.
+    /// Sends the listeners to the process that asked for them.
     pub fn send_listeners(&mut self, id: usize, listeners: Vec<(ListenerAddress, &TcpListener)>) {
-        let copies = listeners.into_iter().map(|(path, listener)| {
-            listener.as_fd().try_clone_to_owned().map(|descriptor| (path, descriptor))
+        let copies = listeners.into_iter().map(|(address, listener)| {
+            listener.as_fd().try_clone_to_owned().map(|descriptor| (address, descriptor))
         });
         let Ok(copies) = copies.collect::<std::io::Result<Vec<_>>>() else { return self.refuse(id) };
         let (addresses, descriptors) = copies.into_iter().unzip();
         self.send_to(id, &Frame::Listeners(addresses), descriptors);
     }
 
-    /// Gives this process's state to the one that takes over; false if another one did before.
+    /// Sends the state to the process that takes over; false if another one has taken over already.
     pub fn send_state(&mut self, id: usize, state: impl FnOnce() -> HandoverState) -> bool {
         if self.successor().is_some() {
             self.refuse(id);
@@ -327,11 +329,11 @@
         }
         let Some(peer) = self.peers.get_mut(&id) else { return false };
         peer.role = Role::Successor;
-        // The next process is to find the newer one.
+        // The next process has to find the successor.
         self.listener = None;
         let mut state = state();
         if postcard::to_stdvec(&state.scheduler).is_ok_and(|bytes| bytes.len() > frame::MAX_FRAME_BYTES / 2) {
-            tracing::warn!("what the scheduler learned is too much to be handed over");
+            tracing::warn!("the state of the scheduler is too large to be handed over");
             state.scheduler = None;
         }
         self.send_to(id, &Frame::State(Box::new(state)), Vec::new());
@@ -342,17 +344,17 @@
         self.send_to(id, &Frame::Refused, Vec::new());
     }
 
-    /// Clients that the newer process takes now.
+    /// Whether the successor can be sent another client now.
     pub fn can_send_client(&self) -> bool {
         self.successor().is_some_and(|id| self.peers[&id].link.can_queue())
     }
 
-    /// Gives a client to the newer process.
+    /// Hands a client over to the successor.
     pub fn send_client(&mut self, stream: TcpStream, input: Vec<u8>) {
         self.send_to_successor(&Frame::Client(input), vec![std::net::TcpStream::from(stream).into()]);
     }
 
-    /// Tells the other process that an operator has taken a target out, or called it back.
+    /// Tells the other process that an operator has taken a target out of service, or returned it to service.
     pub fn send_ban(&mut self, name: &str, unix: Duration, out: bool) {
         let peers = self.peers.iter().filter(|(_, peer)| peer.role != Role::Candidate);
         for id in peers.map(|(id, _)| *id).collect::<Vec<_>>() {
@@ -360,7 +362,7 @@
         }
     }
 
-    /// This process ends in order, and the older one is not to take up anything for it.
+    /// Announces an orderly shutdown: the predecessor does not have to take clients back.
     pub fn end(&mut self) {
         for id in self.peers.keys().copied().collect::<Vec<_>>() {
             self.send_to(id, &Frame::Closing, Vec::new());
@@ -379,7 +381,7 @@
 
     fn send_to(&mut self, id: usize, frame: &Frame, descriptors: Vec<OwnedFd>) {
         let Some(peer) = self.peers.get_mut(&id) else { return };
-        // An end of the connection shows where it is read.
+        // The end of the connection is detected by the next read.
         if let Err(why) = peer.link.send(frame, descriptors).and_then(|()| peer.link.flush()) {
             tracing::debug!("another process: {why}");
         }
@@ -387,7 +389,7 @@
 }
 
 impl Peer {
-    /// Takes one thing said, as far as it is this peer's to say; false if it is not.
+    /// Handles a frame; false if a peer in this role must not send it.
     fn handle(
         &mut self,
         id: usize,
@@ -398,7 +400,7 @@
         match (self.role, frame) {
             (Role::Candidate, Frame::RequestListeners) => events.push(UpgradeEvent::ListenersRequested(id)),
             (Role::Candidate, Frame::TakeOver { admin }) => {
-                events.push(UpgradeEvent::TakeOver { peer: id, admin: admin })
+                events.push(UpgradeEvent::TakeOver { peer: id, admin_listener: admin })
             }
             (Role::Predecessor, Frame::Client(input)) => {
                 for descriptor in descriptors {
@@ -413,10 +415,10 @@
                 events.push(UpgradeEvent::Ban { name, unix, out });
             }
             (_, Frame::Closing) => self.closing = true,
-            // A state that comes after its time was waited for.
+            // The state arrived after the timeout, and this process has started without it.
             (Role::Predecessor, Frame::State(_)) => {}
             _ => {
-                tracing::warn!("another process speaks out of turn");
+                tracing::warn!("unexpected frame from another process");
                 return false;
             }
         }
--- a/src/upgrade/tests.rs
+++ b/src/upgrade/tests.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn frames_come_whole_with_their_descriptors_however_they_are_cut() {
+fn frames_arrive_with_their_descriptors_for_any_split() {
     let (mut from, to) = pair();
     to.set_nonblocking(true).unwrap();
     let mut to = Link::new(UnixStream::from_std(to)).unwrap();
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn garbage_other_schemas_and_frames_that_are_too_long_are_errors() {
+fn invalid_greetings_schemas_and_frames_are_errors() {
     let greeting = |schema: u16| [&frame::MAGIC[..], &schema.to_le_bytes()].concat();
     let after = |bytes: &[u8]| [&greeting(frame::SCHEMA)[..], bytes].concat();
     for bad in [
@@ -45,7 +45,7 @@
         greeting(frame::SCHEMA + 1),
         after(&u32::MAX.to_le_bytes()),
         after(&[3, 0, 0, 0, 0xff, 0xff, 0xff]),
-        // A client without its connection.
+        // A client frame without its descriptor.
         after(&[2, 0, 0, 0, 5, 0]),
     ] {
         let (mut link, mut other) = pair();
@@ -57,7 +57,7 @@
 
 proptest::proptest! {
     #[test]
-    fn any_bytes_are_read_or_declined(bytes: Vec<u8>) {
+    fn arbitrary_bytes_never_panic(bytes: Vec<u8>) {
         let (mut link, mut other) = pair();
         other.write_all(&[&frame::MAGIC[..], &frame::SCHEMA.to_le_bytes(), &bytes].concat()).unwrap();
         link.read().unwrap();
@@ -69,19 +69,19 @@
     }
 }
 
-/// Names of all that there is in a value, from the outside in.
-fn shape(value: &serde_json::Value, path: &str, names: &mut std::collections::BTreeSet<String>) {
+/// Collects the paths and types of everything in a value.
+fn collect_names(value: &serde_json::Value, path: &str, names: &mut std::collections::BTreeSet<String>) {
     use serde_json::Value::{Array, Object};
     let kind = match value {
         Object(all) => {
             all.iter().for_each(|(name, one)| {
-                let number = name.parse::<u64>().is_ok();
-                shape(one, &format!("{path}.{}", if number { "N" } else { name }), names);
+                let numeric = name.parse::<u64>().is_ok();
+                collect_names(one, &format!("{path}.{}", if numeric { "N" } else { name }), names);
             });
             "object"
         }
         Array(all) => {
-            all.iter().for_each(|one| shape(one, &format!("{path}[]"), names));
+            all.iter().for_each(|one| collect_names(one, &format!("{path}[]"), names));
             "array"
         }
         serde_json::Value::Null => "null",
@@ -92,10 +92,10 @@
     names.insert(format!("{path}:{kind}"));
 }
 
-/// What is said changes its shape only together with the schema: else two versions would misread each other. After
-/// a change raise SCHEMA, and put the new pair here.
+/// The encoding may change only together with the schema, or two versions would misread each other. After such a
+/// change raise SCHEMA and set the new pair here.
 #[test]
-fn the_shape_of_what_is_said_belongs_to_this_schema() {
+fn a_change_of_the_encoding_needs_a_new_schema() {
     use crate::interface::*;
     let class = Class {
         aim: RESPONSE_TIMEOUT,
@@ -127,7 +127,7 @@
     let (list, usage, fleet) = (Some(1), (1, 1), Some(fleet));
     let state = HandoverState { drained: true, nodes, list, scheduler, usage, fleet };
     let mut names = std::collections::BTreeSet::new();
-    shape(&serde_json::to_value(Frame::State(Box::new(state))).unwrap(), "", &mut names);
+    collect_names(&serde_json::to_value(Frame::State(Box::new(state))).unwrap(), "", &mut names);
     let text = names.into_iter().collect::<Vec<_>>().join("\n");
     // FNV-1a.
     let digest = text
--- a/src/upgrade/tests/recorded.rs
+++ b/src/upgrade/tests/recorded.rs
@@ -1,4 +1,4 @@
-//! Frames as the build before has written them: another process may still write and read these.
+//! Compatibility with recorded frames: a process of an earlier build may still write and read them.
 
 use super::*;
 use crate::fixtures::{hex, record, records};
@@ -15,7 +15,7 @@
     frame
 }
 
-/// A greeting and these frames, as a link writes them.
+/// The greeting and these frames, as a link writes them.
 fn written(frames: &[Frame]) -> Vec<u8> {
     let (mut link, mut other) = pair();
     frames.iter().for_each(|frame| link.send(frame, vec![]).unwrap());
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn the_recorded_greeting_is_written_first() {
+fn a_link_sends_the_recorded_greeting_first() {
     assert_eq!(hex(&written(&[])), hex(&record(FRAMES, "greeting")));
     assert_eq!(record(FRAMES, "greeting"), b"tpz-upgr\x02\x00");
 }
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn recorded_frames_come_out_of_a_link() {
+fn recorded_frames_are_received_by_a_link() {
     let (mut link, mut other) = pair();
     other.write_all(&record(FRAMES, "greeting")).unwrap();
     for name in ["ask", "take", "ban", "holds", "ends", "state-empty"] {
@@ -65,14 +65,14 @@
 }
 
 #[test]
-fn recorded_frames_mean_what_they_meant() {
+fn recorded_frames_decode_to_their_meaning() {
     let frames: Vec<Frame> = records(FRAMES).iter().skip(1).map(|(_, bytes)| frame(bytes)).collect();
     let [Frame::RequestListeners, Frame::Listeners(addresses), Frame::TakeOver { admin: true }, Frame::TakeOver { admin: false }, Frame::Refused, Frame::Client(input), Frame::Ban { name, unix, out: true }, Frame::Ban { out: false, .. }, Frame::Usage(descriptors, bytes), Frame::Closing, Frame::State(empty)] =
         &frames[..]
     else {
-        panic!("other frames")
+        panic!("unexpected frames")
     };
-    let addresses: Vec<String> = addresses.iter().map(|path| format!("{path:?}")).collect();
+    let addresses: Vec<String> = addresses.iter().map(|address| format!("{address:?}")).collect();
     assert_eq!(addresses, ["Resp(127.0.0.1:6379)", "Iscsi([::1]:3260)", "Control(127.0.0.2:9000)"]);
     assert_eq!(input, b"*1\r\n$4\r\nPI");
     assert_eq!((name.as_str(), *unix), ("s-2", Duration::new(1_700_000_000, 5)));
@@ -80,10 +80,10 @@
     assert!(!empty.drained && empty.scheduler.is_none() && empty.fleet.is_none() && empty.list.is_none());
 }
 
-/// The names are those that [`frame::SCHEMA`] is checked by. In `state-spread` each number is another one, so that two
-/// fields of one type that change places are seen.
+/// The names are those that [`frame::SCHEMA`] is checked by. Each number in `state-spread` is different, so that two
+/// fields of the same type that are swapped show up.
 #[test]
-fn recorded_states_have_each_figure_where_it_was() {
+fn recorded_states_decode_to_the_recorded_fields() {
     for (name, text) in [
         ("state", include_str!("../../../tests/fixtures/upgrade/state.json")),
         ("state-spread", include_str!("../../../tests/fixtures/upgrade/state-spread.json")),
