--- a/src/forwarder/configuration/tests.rs
+++ b/src/forwarder/configuration/tests.rs
@@ -46,14 +46,14 @@
 hosts = 1
 "#;
 
-/// The files of a test, and what is left of them in the end.
-struct Folder(PathBuf);
+/// Temporary directory of a test, removed at its end.
+struct TempDirectory(PathBuf);
 
-impl Folder {
+impl TempDirectory {
     fn new(test: &str) -> Self {
         let path = std::env::temp_dir().join(format!("topazpath-{test}-{}", std::process::id()));
         std::fs::create_dir_all(&path).unwrap();
-        Folder(path)
+        TempDirectory(path)
     }
 
     fn file(&self, name: &str, text: &str) -> PathBuf {
@@ -63,19 +63,19 @@
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempDirectory {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-fn start(folder: &Folder) -> Forwarder {
+fn start(directory: &TempDirectory) -> Forwarder {
     let none = |name: &str| Path::new("/nonexistent").join(name);
     let planners = "enabled = true\nplanners = [\"127.0.0.1:9\"]\nconfiguration = true";
     let files = Files {
-        config: folder.file("config.json", CONFIG),
-        iscsi: folder.file("iscsi.toml", ISCSI),
-        planners: folder.file("planners.toml", planners),
+        config: directory.file("config.json", CONFIG),
+        iscsi: directory.file("iscsi.toml", ISCSI),
+        planners: directory.file("planners.toml", planners),
         vrrp: none("vrrp.toml"),
         fleet: none("fleet.toml"),
         control: None,
@@ -109,8 +109,8 @@
     forwarder.take_list(News { message, fresh: true, came: Instant::now() }, ListKind::Full);
 }
 
-/// The lines of the node list that the scheduler is to be told.
-fn told(forwarder: &mut Forwarder) -> Vec<NodeEntry> {
+/// Takes the node list entries that are queued for the scheduler.
+fn queued_entries(forwarder: &mut Forwarder) -> Vec<NodeEntry> {
     let events = forwarder.core.drain_events();
     let entries = events.into_iter().filter_map(|event| match event {
         Event::List { entries, .. } => Some(entries),
@@ -132,11 +132,11 @@
 }
 
 #[test]
-fn every_part_that_holds_a_figure_gets_the_new_one() {
-    let folder = Folder::new("configuration");
-    let mut forwarder = start(&folder);
+fn a_revision_changes_every_copy_of_a_setting_and_an_empty_one_restores_them() {
+    let directory = TempDirectory::new("configuration");
+    let mut forwarder = start(&directory);
     let base = forwarder.config.settings.clone();
-    assert!(base.limits.most_held.is_some(), "set by the process itself");
+    assert!(base.limits.most_held.is_some(), "the process sets it itself");
     let text = "[plans.base]\nceiling_rate = 20\n[classes.read]\nworth = 4\n[limits]\nmax_retry_after_ms = 120\n[costs]\nlargest = 7";
     let prepared = prepare(&forwarder, &base, 1, text);
     let changed = changes(&base, &prepared.settings, &forwarder.config.wire);
@@ -149,14 +149,14 @@
     let again = Duration::from_millis(120);
     assert_eq!(forwarder.resp.protocol_mut().retry_after, again);
     let (offered, retry_after) = forwarder.iscsi.as_mut().unwrap().protocol_mut().figures();
-    assert_eq!((offered.exports[0].units[&0].most_bytes, retry_after), (7 * 4096, again));
+    assert_eq!((offered.exports[0].units[&0].max_transfer_bytes, retry_after), (7 * 4096, again));
     let deadline = forwarder.clock.unix(Instant::now()) + Duration::from_secs(1);
     let new = NewRequest { deadline, ..NewRequest::default() };
     forwarder.core.take(Origin { conn: 1, place: 0 }, new, content()).unwrap();
     forwarder.core.end_all();
     let refused = |effect: &Effect| matches!(effect, Effect::Answer { answer: Answer::Refused { retry_after }, .. } if *retry_after == again);
     assert!(forwarder.core.drain_effects().iter().any(refused));
-    // A revision that says nothing of a figure gives it back to the settings.
+    // A revision without a value restores the value of the settings.
     let prepared = prepare(&forwarder, &base, 2, "");
     forwarder.take_over_configuration(Instant::now(), &prepared).unwrap();
     assert_eq!(forwarder.config.settings, base);
@@ -164,9 +164,9 @@
 }
 
 #[test]
-fn a_revision_that_changes_what_is_fixed_changes_nothing() {
-    let folder = Folder::new("configuration-fixed");
-    let mut forwarder = start(&folder);
+fn a_revision_that_changes_fixed_settings_is_rejected_whole() {
+    let directory = TempDirectory::new("configuration-fixed");
+    let mut forwarder = start(&directory);
     list_nodes(&mut forwarder, &["s-1"]);
     let base = forwarder.config.settings.clone();
     let mut prepared =
@@ -179,32 +179,36 @@
 }
 
 #[test]
-fn nodes_that_a_revision_takes_out_get_nothing_new_until_one_gives_them_back() {
-    let folder = Folder::new("configuration-nodes");
-    let mut forwarder = start(&folder);
+fn nodes_out_drain_until_a_later_revision_returns_them() {
+    let directory = TempDirectory::new("configuration-nodes");
+    let mut forwarder = start(&directory);
     list_nodes(&mut forwarder, &["s-1", "s-2"]);
-    told(&mut forwarder);
+    queued_entries(&mut forwarder);
     let base = forwarder.config.settings.clone();
     let prepared = prepare(&forwarder, &base, 1, "nodes_out = ['s-2', 's-3']");
     forwarder.take_over_configuration(Instant::now(), &prepared).unwrap();
     let states = |lines: Vec<NodeEntry>| lines.iter().map(|line| line.state).collect::<Vec<_>>();
-    assert_eq!(states(told(&mut forwarder)), [NodeState::Draining]);
+    assert_eq!(states(queued_entries(&mut forwarder)), [NodeState::Draining]);
     list_nodes(&mut forwarder, &["s-1", "s-2", "s-3"]);
     let wanted = [NodeState::Ready, NodeState::Draining, NodeState::Draining];
-    assert_eq!(states(told(&mut forwarder)), wanted);
+    assert_eq!(states(queued_entries(&mut forwarder)), wanted);
     let prepared = prepare(&forwarder, &base, 2, "nodes_out = ['s-3']");
     forwarder.take_over_configuration(Instant::now(), &prepared).unwrap();
-    let back = told(&mut forwarder);
-    assert!(back[0].started.is_some_and(|started| started > Duration::from_secs(1)), "cold again");
+    let back = queued_entries(&mut forwarder);
+    assert!(
+        back[0].started.is_some_and(|started| started > Duration::from_secs(1)),
+        "the node starts slowly again"
+    );
     assert_eq!(states(back), [NodeState::Ready]);
     assert_eq!(forwarder.nodes.ready(), 2);
 }
 
-/// Others read the file again on SIGHUP: what a revision has changed is no change of the files.
+/// The configuration files are read again on SIGHUP. Changes made by a revision must not count as changes of the
+/// files.
 #[test]
-fn a_file_that_stays_as_it_was_needs_no_restart() {
-    let folder = Folder::new("configuration-reload");
-    let mut forwarder = start(&folder);
+fn an_unchanged_file_needs_no_restart_after_a_revision() {
+    let directory = TempDirectory::new("configuration-reload");
+    let mut forwarder = start(&directory);
     let base = forwarder.config.settings.clone();
     let prepared = prepare(&forwarder, &base, 1, "[classes.read]\nworth = 4");
     forwarder.take_over_configuration(Instant::now(), &prepared).unwrap();
@@ -212,17 +216,18 @@
     assert_eq!(forwarder.config.fixed_changes(&read), Vec::<&str>::new());
 }
 
-/// An attempt that waits for its connection is not to begin after the grace of a node that was taken out meanwhile.
+/// An attempt that waits for its connection must not start after the grace period of a node that was taken out
+/// meanwhile.
 #[test]
-fn what_has_not_begun_at_a_node_that_is_taken_out_ends_with_its_grace() {
-    let folder = Folder::new("configuration-unsent");
-    let mut forwarder = start(&folder);
+fn an_unsent_attempt_at_a_node_taken_out_ends_with_the_grace() {
+    let directory = TempDirectory::new("configuration-unsent");
+    let mut forwarder = start(&directory);
     list_nodes(&mut forwarder, &["s-1"]);
-    let node = told(&mut forwarder).pop().unwrap().node;
+    let node = queued_entries(&mut forwarder).pop().unwrap().node;
     let (now, late) = (Instant::now(), Instant::now() + Duration::from_secs(50));
     let attempt = AttemptId { request: RequestId(1), number: 0 };
     let content = std::rc::Rc::new(content());
-    forwarder.carry_out(now, Effect::Start { attempt, node, content, give_up_at: late, begin_by: late });
+    forwarder.apply_effect(now, Effect::Start { attempt, node, content, give_up_at: late, begin_by: late });
     let base = forwarder.config.settings.clone();
     let prepared = prepare(&forwarder, &base, 1, "nodes_out = ['s-1']");
     forwarder.take_over_configuration(now, &prepared).unwrap();
@@ -232,14 +237,14 @@
     assert_eq!(forwarder.targets.ended.len(), 1);
 }
 
-/// Guards the processor: what planners may change by themselves is looked at while no request comes.
+/// Without requests, the planners' client must not keep the loop busy.
 #[test]
-fn planners_wake_a_loop_without_requests_only_when_something_is_due() {
-    let folder = Folder::new("idle");
-    let mut forwarder = start(&folder);
+fn the_planners_client_has_no_timer_due_at_once_without_requests() {
+    let directory = TempDirectory::new("idle");
+    let mut forwarder = start(&directory);
     let now = Instant::now();
     let registry = forwarder.poll.registry().try_clone().unwrap();
     forwarder.planners.as_mut().unwrap().tick(now, &registry);
-    forwarder.plan(now);
+    forwarder.run_planner(now);
     assert!(forwarder.planners.as_ref().unwrap().next_timer() > now);
 }
--- a/src/forwarder/turns.rs
+++ b/src/forwarder/turns.rs
@@ -1,79 +1,81 @@
-//! What the turns of the loop take, and on what: for whoever is on call, in `INFO` and in the log.
+//! Measures loop iterations and what they spend their time on, for `INFO` and the log.
 
 use hdrhistogram::Histogram;
 use std::time::{Duration, Instant};
 
-/// A turn beyond this is long: what is due waits for it. A hundredth of the shortest time that clients usually wait.
-pub const LONG: Duration = Duration::from_millis(20);
-/// The longest that is told apart.
-const LONGEST_MICROS: u64 = 60_000_000;
-/// Significant digits of the histogram.
-const DIGITS: u8 = 2;
+/// Longer iterations count as long, because due work waits for them. It is a hundredth of the shortest usual client
+/// deadline.
+pub const LONG_ITERATION: Duration = Duration::from_millis(20);
+/// Upper bound of the histogram.
+const MAX_RECORDED_MICROS: u64 = 60_000_000;
+/// Precision of the histogram.
+const SIGNIFICANT_DIGITS: u8 = 2;
 
-/// What a turn spends its time on.
+/// Kind of work within an iteration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Work {
-    /// Hearing clients, nodes and discovery.
-    Hearing,
-    /// Taking a node list: a part of the hearing that is counted apart.
-    Lists,
-    /// Deciding, and carrying out what was decided.
-    Deciding,
-    /// Everything else: timers, other processes, the end of the process.
-    Upkeep,
+    /// Reading from clients, nodes and discovery.
+    Input,
+    /// Applying a node list: part of the input work, counted separately.
+    NodeLists,
+    /// Decision rounds and their effects.
+    Decisions,
+    /// Everything else: timers, other processes, shutdown.
+    Other,
 }
 
-const ALL: [(Work, &str); 4] = [
-    (Work::Hearing, "turns_long_hearing"),
-    (Work::Lists, "turns_long_lists"),
-    (Work::Deciding, "turns_long_deciding"),
-    (Work::Upkeep, "turns_long_upkeep"),
+const KINDS: [(Work, &str); 4] = [
+    (Work::Input, "turns_long_hearing"),
+    (Work::NodeLists, "turns_long_lists"),
+    (Work::Decisions, "turns_long_deciding"),
+    (Work::Other, "turns_long_upkeep"),
 ];
 
-/// The turns of one process.
-pub struct Turns {
-    /// Microseconds of whole turns.
+/// Statistics of the loop iterations of this process.
+pub struct LoopStats {
+    /// Duration of whole iterations in microseconds.
     whole: Histogram<u64>,
-    /// When what is done now was begun, and what each kind of work took in this turn.
+    /// Start of the current work, and the time spent on each kind of work in this iteration.
     since: Instant,
-    spent: [Duration; ALL.len()],
-    /// Long turns, by what took most of them.
-    long: [u64; ALL.len()],
+    spent: [Duration; KINDS.len()],
+    /// Number of long iterations by the kind of work that took most of their time.
+    long: [u64; KINDS.len()],
 }
 
-impl Turns {
-    /// None was taken yet.
+impl LoopStats {
+    /// Creates empty statistics.
     pub fn new(now: Instant) -> Self {
-        let whole = Histogram::new_with_bounds(1, LONGEST_MICROS, DIGITS).expect("the bounds are valid");
-        Turns { whole, since: now, spent: Default::default(), long: Default::default() }
+        let whole = Histogram::new_with_bounds(1, MAX_RECORDED_MICROS, SIGNIFICANT_DIGITS)
+            .expect("the bounds are valid");
+        LoopStats { whole, since: now, spent: Default::default(), long: Default::default() }
     }
 
-    /// A turn begins.
+    /// Starts an iteration.
     pub fn begin(&mut self, now: Instant) {
         (self.since, self.spent) = (now, Default::default());
     }
 
-    /// What was done since the last call, or since the turn began, was this.
-    pub fn spent_on(&mut self, work: Work) {
+    /// Attributes the time since the last call, or since the start of the iteration, to `work`.
+    pub fn record(&mut self, work: Work) {
         let now = Instant::now();
         self.spent[work as usize] += now - self.since;
         self.since = now;
     }
 
-    /// The turn is over.
+    /// Ends an iteration.
     pub fn end(&mut self) {
-        self.spent_on(Work::Upkeep);
+        self.record(Work::Other);
         let whole: Duration = self.spent.iter().sum();
         self.whole.saturating_record((whole.as_micros() as u64).max(1));
-        if whole <= LONG {
+        if whole <= LONG_ITERATION {
             return;
         }
-        let most = (0..ALL.len()).max_by_key(|work| self.spent[*work]).unwrap_or_default();
-        self.long[most] += 1;
-        tracing::debug!(?whole, most = ALL[most].1, spent = ?self.spent, "a long turn");
+        let dominant = (0..KINDS.len()).max_by_key(|work| self.spent[*work]).unwrap_or_default();
+        self.long[dominant] += 1;
+        tracing::debug!(?whole, most = KINDS[dominant].1, spent = ?self.spent, "a long loop iteration");
     }
 
-    /// What is known of them, by name.
+    /// Metrics by name.
     pub fn figures(&self) -> Vec<(&'static str, u64)> {
         let whole = [
             ("turns", self.whole.len()),
@@ -81,7 +83,7 @@
             ("turn_us_p99", self.whole.value_at_quantile(0.99)),
             ("turn_us_longest", self.whole.max()),
         ];
-        let long = ALL.iter().zip(self.long).map(|((_, name), count)| (*name, count));
+        let long = KINDS.iter().zip(self.long).map(|((_, name), count)| (*name, count));
         whole.into_iter().chain(long).collect()
     }
 }
--- a/src/service/addresses.rs
+++ b/src/service/addresses.rs
@@ -1,12 +1,13 @@
-//! The addresses that move between machines, as one initiator serves them: follows its virtual routers, opens and
-//! retires its fronts' endpoints, and looks at what lowers its priorities.
+//! Virtual router addresses on this machine: follows the VRRP state machines, opens and retires the fronts'
+//! endpoints, and checks the conditions that lower the routers' priorities.
 //!
-//! The decisions are elsewhere: `vrrp` says whose an address is, `handover` what becomes of items.
+//! The decisions are made elsewhere: `vrrp` decides which machine has an address, `handover` what happens to
+//! requests.
 
 use crate::core::Core;
 use crate::front::{iscsi, resp, Front};
 use crate::handover::{Duty, Event, Handover, Order};
-use crate::process::resident;
+use crate::process::resident_memory;
 use crate::tokens::{Kind, Tokens};
 use crate::vrrp::address::{address, Address, Progress, PAUSE};
 use crate::vrrp::machine::{Role, Transition};
@@ -17,11 +18,11 @@
 use mio::{Registry, Token};
 use std::time::{Duration, Instant};
 
-/// The name of its report.
+/// Name of the report in `INFO`.
 pub const REPORT: &str = "vrrp";
 
-/// What the loop lends for a moment.
-pub struct Lent<'a> {
+/// The parts of the loop that the addresses work with.
+pub struct LoopContext<'a> {
     pub registry: &'a Registry,
     pub core: &'a mut Core,
     pub resp: &'a mut Front<resp::Resp>,
@@ -29,147 +30,154 @@
     pub tokens: &'a mut Tokens,
 }
 
-/// What a listener speaks.
+/// Protocol of a listener.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Wire {
     Resp,
     Iscsi,
 }
 
-/// What the loop sees of the conditions.
-pub struct Seen {
-    /// When discovery said something last.
+/// State of the loop that the tracking conditions depend on.
+pub struct Conditions {
+    /// When the last message from discovery arrived.
     pub discovery: Option<Instant>,
     pub ready_nodes: usize,
-    /// Descriptors for clients are used up.
-    pub crowded: bool,
-    /// Bytes that the process may use.
+    /// All descriptors for clients are in use.
+    pub descriptors_used_up: bool,
+    /// Memory limit of the process in bytes.
     pub memory: usize,
 }
 
-/// One address on this machine.
-struct Place {
+/// One virtual router address on this machine.
+struct ServedAddress {
     address: Box<dyn Address>,
     /// Endpoints of the fronts, in the order of the address's listeners.
     endpoints: Vec<(Wire, usize)>,
-    /// Something was asked of the address that has not come about.
+    /// A take or release of the address is not complete.
     pending: bool,
     failing: bool,
 }
 
-/// All addresses that this machine serves in turn with others.
+/// All virtual router addresses that this machine shares with others.
 pub struct Addresses {
     settings: Settings,
     speaker: Speaker,
     handover: Handover,
-    places: Vec<Place>,
+    addresses: Vec<ServedAddress>,
     started: Instant,
-    next_look: Instant,
-    /// When addresses, and duties that end, are turned to again.
-    next_turn: Option<Instant>,
-    /// The slowest turn of the loop since the last look.
-    slowest: Duration,
+    next_check: Instant,
+    /// When to continue with pending addresses and retired endpoints.
+    next_progress: Option<Instant>,
+    /// The longest iteration of the loop since the last check.
+    longest_iteration: Duration,
 }
 
 impl Addresses {
-    /// Binds the interfaces and starts the routers; `finish` is the longest that an item may last.
+    /// Binds the interfaces and starts the routers; `finish` is the longest time that a request may last.
     pub fn start(
         settings: Settings,
         finish: Duration,
         interfaces: impl IntoIterator<Item = Token>,
-        lent: &mut Lent,
+        context: &mut LoopContext,
         now: Instant,
     ) -> Result<Self, String> {
-        let mut places = Vec::new();
+        let mut addresses = Vec::new();
         for service in &settings.services {
-            let owner = service.router.priority == crate::vrrp::packet::PRIORITY_OWNER;
-            let taken = service.accept || owner;
+            let is_owner = service.router.priority == crate::vrrp::packet::PRIORITY_OWNER;
+            let accepts_clients = service.accept || is_owner;
             let (mut listen, mut endpoints) = (Vec::new(), Vec::new());
-            if let Some(at) = service.listen.filter(|_| taken) {
+            if let Some(at) = service.listen.filter(|_| accepts_clients) {
                 listen.push(at);
-                endpoints.push((Wire::Resp, lent.resp.add_endpoint()));
+                endpoints.push((Wire::Resp, context.resp.add_endpoint()));
             }
-            if let Some(at) = service.listen_iscsi.filter(|_| taken) {
-                let front = lent.iscsi.as_mut().ok_or_else(|| {
+            if let Some(at) = service.listen_iscsi.filter(|_| accepts_clients) {
+                let front = context.iscsi.as_mut().ok_or_else(|| {
                     format!("router {:?}: listen_iscsi: the second front is off", service.router.name)
                 })?;
                 listen.push(at);
                 endpoints.push((Wire::Iscsi, front.add_endpoint()));
             }
             let address = address(&settings.means, &service.router, listen);
-            places.push(Place { address, endpoints, pending: false, failing: false });
+            addresses.push(ServedAddress { address, endpoints, pending: false, failing: false });
         }
         let (routers, rules) = (settings.routers(), &settings.tracking.rules);
-        let speaker = Speaker::start(&settings.interfaces, routers, rules, interfaces, lent.registry, now)?;
-        let handover = Handover::new(places.len(), finish);
-        let (next_look, slowest) = (now, Duration::ZERO);
+        let speaker =
+            Speaker::start(&settings.interfaces, routers, rules, interfaces, context.registry, now)?;
+        let handover = Handover::new(addresses.len(), finish);
+        let (next_check, longest_iteration) = (now, Duration::ZERO);
         Ok(Addresses {
             settings,
             speaker,
             handover,
-            places,
+            addresses,
             started: now,
-            next_look,
-            next_turn: None,
-            slowest,
+            next_check,
+            next_progress: None,
+            longest_iteration,
         })
     }
 
-    /// Advertisements came on an interface, by position.
+    /// Advertisements arrived on an interface, given by its position.
     pub fn ready(&mut self, interface: usize) {
         self.speaker.ready(interface);
     }
 
-    /// When [`Addresses::turn`] or [`Addresses::look`] has something to do.
+    /// When [`Addresses::run`] or [`Addresses::check_conditions`] is due next.
     pub fn next_timer(&self, now: Instant) -> Instant {
-        let next = self.speaker.next_timer(now).map_or(self.next_look, |at| at.min(self.next_look));
-        self.next_turn.map_or(next, |at| at.min(next))
+        let next = self.speaker.next_timer(now).map_or(self.next_check, |at| at.min(self.next_check));
+        self.next_progress.map_or(next, |at| at.min(next))
     }
 
-    /// What comes first in each turn of the loop: a process that was stopped learns here, before it takes or sends
-    /// anything, that another may serve its addresses.
-    pub fn turn(&mut self, now: Instant, lent: &mut Lent) {
+    /// Runs the routers, first in each iteration of the loop: a process that was suspended learns here, before it
+    /// receives or sends anything else, that another machine may serve its addresses.
+    pub fn run(&mut self, now: Instant, context: &mut LoopContext) {
         let changes = self.speaker.turn(now);
-        self.follow(now, changes, lent);
-        if self.next_turn.is_some_and(|at| at <= now) {
-            self.turn_to_places(now, lent);
+        self.apply_transitions(now, changes, context);
+        if self.next_progress.is_some_and(|at| at <= now) {
+            self.progress_addresses(now, context);
         }
     }
 
-    /// The time that a turn of the loop took, or came late.
-    pub fn turned(&mut self, took: Duration) {
-        self.slowest = self.slowest.max(took);
+    /// Records the duration of an iteration of the loop, or its delay.
+    pub fn record_iteration(&mut self, took: Duration) {
+        self.longest_iteration = self.longest_iteration.max(took);
     }
 
-    /// Looks at the conditions when that is due.
-    pub fn look(&mut self, now: Instant, seen: impl FnOnce() -> Seen, lent: &mut Lent) {
-        if self.next_look > now {
+    /// Checks the tracking conditions, if that is due.
+    pub fn check_conditions(
+        &mut self,
+        now: Instant,
+        conditions: impl FnOnce() -> Conditions,
+        context: &mut LoopContext,
+    ) {
+        if self.next_check > now {
             return;
         }
-        self.next_look = now + self.settings.tracking.every;
-        let (seen, slowest) = (seen(), std::mem::take(&mut self.slowest));
+        self.next_check = now + self.settings.tracking.every;
+        let (conditions, longest_iteration) = (conditions(), std::mem::take(&mut self.longest_iteration));
         let tracking = self.settings.tracking.clone();
         for rule in &tracking.rules {
-            let found = match rule.condition {
+            let holds = match rule.condition {
                 Condition::DiscoverySilent => {
-                    now - seen.discovery.unwrap_or(self.started) > tracking.discovery_silent
+                    now - conditions.discovery.unwrap_or(self.started) > tracking.discovery_silent
                 }
-                Condition::NoReadyNode => seen.ready_nodes == 0,
-                Condition::LoopLate => slowest > tracking.loop_late,
-                Condition::Descriptors => seen.crowded,
-                Condition::Memory => resident(std::process::id())
-                    .is_some_and(|used| used > seen.memory / 100 * usize::from(tracking.memory_percent)),
+                Condition::NoReadyNode => conditions.ready_nodes == 0,
+                Condition::LoopLate => longest_iteration > tracking.loop_late,
+                Condition::Descriptors => conditions.descriptors_used_up,
+                Condition::Memory => resident_memory(std::process::id()).is_some_and(|used| {
+                    used > conditions.memory / 100 * usize::from(tracking.memory_percent)
+                }),
                 Condition::File => tracking.file.as_ref().is_some_and(|file| file.exists()),
-                Condition::Address => self.places.iter().any(|place| place.failing),
+                Condition::Address => self.addresses.iter().any(|served| served.failing),
             };
-            let changes = self.speaker.look(now, rule.condition, found);
-            self.follow(now, changes, lent);
+            let changes = self.speaker.look(now, rule.condition, holds);
+            self.apply_transitions(now, changes, context);
         }
-        self.report(now, lent);
+        self.report(now, context);
     }
 
-    /// Goes by another file as far as that needs no restart.
-    pub fn change(&mut self, now: Instant, new: Settings, lent: &mut Lent) {
+    /// Applies a changed file, as far as that needs no restart.
+    pub fn reconfigure(&mut self, now: Instant, new: Settings, context: &mut LoopContext) {
         for what in self.settings.fixed_changes(&new) {
             tracing::warn!("a change of {what} in the VRRP file needs a restart");
         }
@@ -180,21 +188,26 @@
             }
         }
         self.settings.tracking = new.tracking;
-        self.follow(now, changes, lent);
+        self.apply_transitions(now, changes, context);
     }
 
-    /// The process is to end: the routers resign, and what was taken is finished.
-    pub fn end_soon(&mut self, now: Instant, lent: &mut Lent) {
+    /// Resigns from all routers before the process ends; accepted requests are finished.
+    pub fn resign(&mut self, now: Instant, context: &mut LoopContext) {
         let changes = self.speaker.shut_down(now);
-        self.follow(now, changes, lent);
+        self.apply_transitions(now, changes, context);
     }
 
-    /// Whether all addresses are let go.
-    pub fn is_idle(&self) -> bool {
-        self.places.iter().all(|place| !place.pending)
+    /// Whether no take or release of an address is pending.
+    pub fn all_released(&self) -> bool {
+        self.addresses.iter().all(|served| !served.pending)
     }
 
-    fn follow(&mut self, now: Instant, changes: Vec<(usize, Transition)>, lent: &mut Lent) {
+    fn apply_transitions(
+        &mut self,
+        now: Instant,
+        changes: Vec<(usize, Transition)>,
+        context: &mut LoopContext,
+    ) {
         if changes.is_empty() {
             return;
         }
@@ -204,107 +217,113 @@
                 (Role::Active, _) => Event::Withdrawn,
                 _ => continue,
             };
-            self.step(now, router, event, lent);
+            self.step(now, router, event, context);
         }
-        self.turn_to_places(now, lent);
-        self.report(now, lent);
+        self.progress_addresses(now, context);
+        self.report(now, context);
     }
 
-    fn step(&mut self, now: Instant, router: usize, event: Event, lent: &mut Lent) {
+    fn step(&mut self, now: Instant, router: usize, event: Event, context: &mut LoopContext) {
         let order = self.handover.step(self.speaker.scale(now), router, event);
-        let place = &mut self.places[router];
+        let served = &mut self.addresses[router];
         match order {
             None => {}
             Some(Order::Take) => {
-                place.address.take(now);
-                place.pending = true;
+                served.address.take(now);
+                served.pending = true;
             }
             Some(Order::Release) => {
-                for (wire, endpoint) in &place.endpoints {
-                    match (wire, &mut lent.iscsi) {
+                for (wire, endpoint) in &served.endpoints {
+                    match (wire, &mut context.iscsi) {
                         (Wire::Iscsi, Some(front)) => {
-                            let next = || lent.tokens.next(Kind::IscsiClient);
-                            front.retire_endpoint(*endpoint, lent.registry, next, now);
+                            let next = || context.tokens.next(Kind::IscsiClient);
+                            front.retire_endpoint(*endpoint, context.registry, next, now);
                         }
                         _ => {
-                            let next = || lent.tokens.next(Kind::RespClient);
-                            lent.resp.retire_endpoint(*endpoint, lent.registry, next, now);
+                            let next = || context.tokens.next(Kind::RespClient);
+                            context.resp.retire_endpoint(*endpoint, context.registry, next, now);
                         }
                     }
                 }
-                place.address.release(now);
-                (place.pending, place.failing) = (true, false);
+                served.address.release(now);
+                (served.pending, served.failing) = (true, false);
             }
             Some(Order::End) => {
-                for request in open_at(&place.endpoints, lent) {
-                    lent.core.end(request);
+                for request in open_requests_at(&served.endpoints, context) {
+                    context.core.end(request);
                 }
             }
         }
     }
 
-    /// Goes on with addresses that come or go, and with duties that end.
-    fn turn_to_places(&mut self, now: Instant, lent: &mut Lent) {
-        for router in 0..self.places.len() {
-            let place = &mut self.places[router];
-            if place.pending {
-                match place.address.turn(now) {
+    /// Continues with addresses that are being taken or released, and with retired endpoints.
+    fn progress_addresses(&mut self, now: Instant, context: &mut LoopContext) {
+        for router in 0..self.addresses.len() {
+            let served = &mut self.addresses[router];
+            if served.pending {
+                match served.address.turn(now) {
                     Progress::Pending => {}
-                    // Guards the priority against an address that nobody wants any more.
-                    Progress::Gone => (place.pending, place.failing) = (false, false),
+                    // Guards the priority: an address that has been released does not count as failing.
+                    Progress::Gone => (served.pending, served.failing) = (false, false),
                     Progress::Failing(why) => {
-                        if !std::mem::replace(&mut place.failing, true) {
-                            tracing::warn!("an address cannot be had, and is tried on: {why}");
+                        if !std::mem::replace(&mut served.failing, true) {
+                            tracing::warn!("failed to take an address, retrying: {why}");
                         }
                     }
                     Progress::Here(listeners) => {
-                        (place.pending, place.failing) = (false, false);
-                        let endpoints = place.endpoints.clone();
+                        (served.pending, served.failing) = (false, false);
+                        let endpoints = served.endpoints.clone();
                         for ((wire, endpoint), listener) in endpoints.into_iter().zip(listeners) {
                             let kind =
                                 if wire == Wire::Resp { Kind::RespListener } else { Kind::IscsiListener };
-                            let token = lent.tokens.next(kind);
-                            let opened = match (wire, &mut lent.iscsi) {
+                            let token = context.tokens.next(kind);
+                            let opened = match (wire, &mut context.iscsi) {
                                 (Wire::Iscsi, Some(front)) => {
-                                    front.open_endpoint(endpoint, listener, token, lent.registry, now)
+                                    front.open_endpoint(endpoint, listener, token, context.registry, now)
                                 }
-                                _ => lent.resp.open_endpoint(endpoint, listener, token, lent.registry, now),
+                                _ => context.resp.open_endpoint(
+                                    endpoint,
+                                    listener,
+                                    token,
+                                    context.registry,
+                                    now,
+                                ),
                             };
                             if let Err(error) = opened {
-                                tracing::error!("a listener cannot be watched: {error}");
+                                tracing::error!("failed to register a listener: {error}");
                             }
                         }
-                        self.step(now, router, Event::Opened, lent);
+                        self.step(now, router, Event::Opened, context);
                     }
                 }
             }
             if matches!(self.handover.duty(router), Duty::Retired { .. }) {
-                let open = open_at(&self.places[router].endpoints, lent).len();
-                self.step(now, router, Event::Looked { open }, lent);
+                let open = open_requests_at(&self.addresses[router].endpoints, context).len();
+                self.step(now, router, Event::Looked { open }, context);
             }
         }
-        let finishes = |router| matches!(self.handover.duty(router), Duty::Retired { .. });
-        let busy = (0..self.places.len()).any(|router| self.places[router].pending || finishes(router));
-        self.next_turn = busy.then_some(now + PAUSE);
+        let retiring = |router| matches!(self.handover.duty(router), Duty::Retired { .. });
+        let busy = (0..self.addresses.len()).any(|router| self.addresses[router].pending || retiring(router));
+        self.next_progress = busy.then_some(now + PAUSE);
     }
 
-    fn report(&mut self, now: Instant, lent: &mut Lent) {
-        let served = |router: usize| Served {
+    fn report(&mut self, now: Instant, context: &mut LoopContext) {
+        let served_by = |router: usize| Served {
             duty: self.handover.duty(router).name(),
-            open_requests: open_at(&self.places[router].endpoints, lent).len(),
+            open_requests: open_requests_at(&self.addresses[router].endpoints, context).len(),
         };
-        let snapshot = Snapshot::take(&self.speaker, now, self.settings.share, served);
-        lent.core.set_report(REPORT, snapshot.lines(), snapshot.json());
+        let snapshot = Snapshot::take(&self.speaker, now, self.settings.share, served_by);
+        context.core.set_report(REPORT, snapshot.lines(), snapshot.json());
     }
 }
 
-/// Requests open that came in by these endpoints.
-fn open_at(endpoints: &[(Wire, usize)], lent: &Lent) -> Vec<crate::interface::RequestId> {
+/// Open requests that arrived at these endpoints.
+fn open_requests_at(endpoints: &[(Wire, usize)], context: &LoopContext) -> Vec<crate::interface::RequestId> {
     let mut open = Vec::new();
     for (wire, endpoint) in endpoints {
-        match (wire, &lent.iscsi) {
+        match (wire, &context.iscsi) {
             (Wire::Iscsi, Some(front)) => open.extend(front.open_at(*endpoint)),
-            _ => open.extend(lent.resp.open_at(*endpoint)),
+            _ => open.extend(context.resp.open_at(*endpoint)),
         }
     }
     open
--- a/src/upgrade/mod.rs
+++ b/src/upgrade/mod.rs
@@ -1,14 +1,14 @@
-//! A new version under load: a second process of the same initiator finds the one that runs, takes its listening sockets
-//! and its state, and then its clients as they become idle. docs/design.md says why it is done so.
+//! Hot upgrade: a second process of the same initiator connects to the running one, takes over its listening sockets
+//! and its state, and then its clients as they become idle. docs/design.md gives the reasons.
 //!
-//! They meet at a Unix socket in `$TMPDIR`, named after the clients' address. Without a folder, without Unix sockets and
-//! with a peer that is silent, dead or of another schema, a start goes on as ever.
+//! The processes meet at a Unix socket in `$TMPDIR`, named after the clients' address. Without that directory,
+//! without Unix sockets, or with a peer that is silent, dead or of another schema, the new process starts normally.
 
 pub mod frame;
 pub mod link;
 
 use crate::tokens::{Kind, Tokens};
-use frame::{Carried, Frame, Place};
+use frame::{Frame, HandoverState, ListenerAddress};
 use link::Link;
 use mio::net::{TcpListener, TcpStream, UnixListener, UnixStream};
 use mio::{Interest, Registry, Token};
@@ -18,70 +18,70 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-/// The process before has so long for each answer at the start.
-const PATIENCE: Duration = Duration::from_secs(1);
-/// How often the older process says what it holds, and looks for clients that have become idle.
-const LOOKS: Duration = Duration::from_millis(20);
-/// Peers at a time that have not taken over.
-const MOST_PEERS: usize = 4;
+/// How long the successor waits for each answer of the predecessor at its start.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
+/// How often the predecessor reports its resource usage and silent peers are dropped.
+const USAGE_INTERVAL: Duration = Duration::from_millis(20);
+/// Limit of connected processes that have not taken over.
+const MAX_CANDIDATES: usize = 4;
 
-/// Where processes of the initiator at an address meet.
-pub fn meeting_place(listen: SocketAddr) -> Option<PathBuf> {
-    let folder = std::env::var_os("TMPDIR").filter(|folder| !folder.is_empty())?;
+/// Path of the socket for the initiator with this client address.
+pub fn socket_path(listen: SocketAddr) -> Option<PathBuf> {
+    let directory = std::env::var_os("TMPDIR").filter(|directory| !directory.is_empty())?;
     Some(
-        Path::new(&folder)
+        Path::new(&directory)
             .join(format!("topazpath-{}-{}.sock", listen.ip(), listen.port()).replace(':', "_")),
     )
 }
 
-/// The process that ran before, from the newer one's side, until that is built up.
-pub struct Before {
+/// The predecessor, as seen by the starting process until it is ready to take over.
+pub struct Predecessor {
     link: Link,
-    /// The same connection, for its settings.
+    /// The same connection, to change the timeouts of the stream.
     stream: std::os::unix::net::UnixStream,
-    listeners: Vec<(Place, OwnedFd)>,
-    /// The operators' listener was taken.
+    listeners: Vec<(ListenerAddress, OwnedFd)>,
+    /// The admin listener was taken.
     admin: bool,
 }
 
-impl Before {
-    /// Asks for the listeners; nothing if no process runs there.
-    pub fn find(place: &Path) -> Result<Option<Before>, String> {
-        let stream = match std::os::unix::net::UnixStream::connect(place) {
+impl Predecessor {
+    /// Connects and asks for the listeners; `None` if no process is running.
+    pub fn connect(path: &Path) -> Result<Option<Predecessor>, String> {
+        let stream = match std::os::unix::net::UnixStream::connect(path) {
             Ok(stream) => stream,
-            // Whatever is there is left over from a process that is gone, or nothing ever was.
+            // No process listens there: the file does not exist, or is left over from a process that has ended.
             Err(error) => {
                 use std::io::ErrorKind::{ConnectionRefused, NotFound};
-                let none = [NotFound, ConnectionRefused].contains(&error.kind());
-                return if none { Ok(None) } else { Err(error.to_string()) };
+                let not_running = [NotFound, ConnectionRefused].contains(&error.kind());
+                return if not_running { Ok(None) } else { Err(error.to_string()) };
             }
         };
-        // Guards the start against a process that is there and says nothing.
-        stream.set_read_timeout(Some(PATIENCE)).map_err(|error| error.to_string())?;
-        stream.set_write_timeout(Some(PATIENCE)).map_err(|error| error.to_string())?;
-        let other = stream.try_clone().map_err(|error| error.to_string())?;
-        let mut link = Link::new(UnixStream::from_std(other))?;
-        link.send(&Frame::Ask, Vec::new())?;
-        let mut before = Before { link, stream, listeners: Vec::new(), admin: false };
-        match before.answer()? {
-            (Frame::Listeners(places), descriptors) => {
-                before.listeners = places.into_iter().zip(descriptors).collect();
-                Ok(Some(before))
+        // Guards the start against a process that does not answer.
+        stream.set_read_timeout(Some(RESPONSE_TIMEOUT)).map_err(|error| error.to_string())?;
+        stream.set_write_timeout(Some(RESPONSE_TIMEOUT)).map_err(|error| error.to_string())?;
+        let copy = stream.try_clone().map_err(|error| error.to_string())?;
+        let mut link = Link::new(UnixStream::from_std(copy))?;
+        link.send(&Frame::RequestListeners, Vec::new())?;
+        let mut predecessor = Predecessor { link, stream, listeners: Vec::new(), admin: false };
+        match predecessor.receive()? {
+            (Frame::Listeners(addresses), descriptors) => {
+                predecessor.listeners = addresses.into_iter().zip(descriptors).collect();
+                Ok(Some(predecessor))
             }
-            _ => Err("the other process does not give its listeners".into()),
+            _ => Err("the other process did not send its listeners".into()),
         }
     }
 
-    fn answer(&mut self) -> Result<(Frame, Vec<OwnedFd>), String> {
+    fn receive(&mut self) -> Result<(Frame, Vec<OwnedFd>), String> {
         let start = Instant::now();
         self.link.flush()?;
         loop {
             if let Some(frame) = self.link.next()? {
                 return Ok(frame);
             }
-            // A frame in many small pieces takes no longer than a silent one.
-            if start.elapsed() >= PATIENCE {
-                return Err("the other process is silent".into());
+            // A frame that arrives in many small pieces must not take longer than a silent peer.
+            if start.elapsed() >= RESPONSE_TIMEOUT {
+                return Err("timed out waiting for the other process".into());
             }
             if !self.link.read()? {
                 return Err("the other process has ended".into());
@@ -89,25 +89,26 @@
         }
     }
 
-    /// The listener at a place, if it has one.
-    pub fn listener(&mut self, place: Place) -> Option<TcpListener> {
-        let at = self.listeners.iter().position(|(one, _)| *one == place)?;
-        self.admin |= matches!(place, Place::Control(_));
+    /// Returns the listener for an address, if the predecessor has sent one.
+    pub fn listener(&mut self, address: ListenerAddress) -> Option<TcpListener> {
+        let at = self.listeners.iter().position(|(offered, _)| *offered == address)?;
+        self.admin |= matches!(address, ListenerAddress::Control(_));
         let listener = std::net::TcpListener::from(self.listeners.remove(at).1);
         listener.set_nonblocking(true).ok()?;
         Some(TcpListener::from_std(listener))
     }
 
-    /// Takes over: from here on the other process lets nobody in. Its state, unless it does not answer.
-    fn take(&mut self) -> Result<Option<Box<Carried>>, String> {
+    /// Takes over: from here on the predecessor accepts no clients. Returns its state, or `None` if it does not
+    /// answer.
+    fn take_over(&mut self) -> Result<Option<Box<HandoverState>>, String> {
         let answer =
-            self.link.send(&Frame::Take { door: self.admin }, Vec::new()).and_then(|()| self.answer());
+            self.link.send(&Frame::TakeOver { admin: self.admin }, Vec::new()).and_then(|()| self.receive());
         match answer {
-            Ok((Frame::State(carried), _)) => Ok(Some(carried)),
+            Ok((Frame::State(state), _)) => Ok(Some(state)),
             Ok((Frame::Refused, _)) => Err("another process is taking over already".into()),
-            Ok(_) => Err("the other process speaks out of turn".into()),
+            Ok(_) => Err("unexpected frame from the other process".into()),
             Err(why) => {
-                tracing::warn!("nothing is taken over but the listeners: {why}");
+                tracing::warn!("only the listeners were taken over: {why}");
                 Ok(None)
             }
         }
@@ -116,147 +117,157 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Role {
-    /// It has said nothing yet, or has the listeners.
-    Caller,
-    /// It took over.
-    Newer,
-    /// This process took over from it.
-    Older,
+    /// It has connected or has the listeners, but has not taken over.
+    Candidate,
+    /// It has taken over from this process.
+    Successor,
+    /// This process has taken over from it.
+    Predecessor,
 }
 
 struct Peer {
     link: Link,
     role: Role,
     since: Instant,
-    /// It has said that it ends.
-    ends: bool,
+    /// It has announced its shutdown.
+    closing: bool,
 }
 
-/// What the loop hears of other processes.
-pub enum Heard {
-    /// One wants the listeners.
-    Asked(usize),
-    /// One takes over, and the operators' listener too or not.
-    Take { peer: usize, admin: bool },
-    /// A client comes over.
+/// Events of the upgrade protocol for the loop.
+pub enum UpgradeEvent {
+    /// A process asks for the listeners.
+    ListenersRequested(usize),
+    /// A process takes over, with or without the admin listener.
+    TakeOver { peer: usize, admin_listener: bool },
+    /// The predecessor has handed over a client and its unprocessed input.
     Client(TcpStream, Vec<u8>),
-    /// An operator has taken a target out there, or called it back.
+    /// An operator has taken a target out of service at the other process, or returned it to service.
     Ban { name: String, unix: Duration, out: bool },
-    /// What the older one holds.
-    Holds(usize, usize),
-    /// The older one is gone.
-    OlderGone,
-    /// The newer one died: clients are this process's again.
-    NewerGone,
+    /// Descriptors and bytes of memory that the predecessor uses.
+    Usage(usize, usize),
+    /// The predecessor has ended.
+    PredecessorGone,
+    /// The successor died: this process has to serve clients again.
+    SuccessorGone,
 }
 
-/// The other processes of this initiator, as seen from this one.
+/// Connections to other processes of this initiator.
 pub struct Upgrade {
-    place: Option<PathBuf>,
+    path: Option<PathBuf>,
     listener: Option<UnixListener>,
     token: Token,
     peers: BTreeMap<usize, Peer>,
-    knocked: bool,
-    next_look: Instant,
+    accept_pending: bool,
+    next_check: Instant,
 }
 
 impl Upgrade {
-    /// Knows of no other process.
-    pub fn new(place: Option<PathBuf>, token: Token, now: Instant) -> Self {
-        Upgrade { place, listener: None, token, peers: BTreeMap::new(), knocked: false, next_look: now }
+    /// Starts without a connection to another process.
+    pub fn new(path: Option<PathBuf>, token: Token, now: Instant) -> Self {
+        Upgrade {
+            path,
+            listener: None,
+            token,
+            peers: BTreeMap::new(),
+            accept_pending: false,
+            next_check: now,
+        }
     }
 
-    /// Takes over from the process before; its state, as far as it gives one.
+    /// Takes over from the predecessor. Returns its state, or `None` if it does not answer.
     pub fn take_over(
         &mut self,
-        mut before: Before,
+        mut predecessor: Predecessor,
         registry: &Registry,
         tokens: &mut Tokens,
         now: Instant,
-    ) -> Result<Option<Box<Carried>>, String> {
-        let carried = before.take()?;
+    ) -> Result<Option<Box<HandoverState>>, String> {
+        let state = predecessor.take_over()?;
         let token = tokens.next(Kind::Upgrade);
-        let watched = before.stream.set_nonblocking(true).and_then(|()| {
-            registry.register(before.link.source(), token, Interest::READABLE | Interest::WRITABLE)
+        let registered = predecessor.stream.set_nonblocking(true).and_then(|()| {
+            registry.register(predecessor.link.source(), token, Interest::READABLE | Interest::WRITABLE)
         });
-        match watched {
+        match registered {
             Ok(()) => {
-                let peer = Peer { link: before.link, role: Role::Older, since: now, ends: false };
+                let peer =
+                    Peer { link: predecessor.link, role: Role::Predecessor, since: now, closing: false };
                 self.peers.insert(token.0, peer);
             }
-            Err(error) => tracing::warn!("the process before is not heard any more: {error}"),
+            Err(error) => tracing::warn!("the connection to the predecessor cannot be watched: {error}"),
         }
-        Ok(carried)
+        Ok(state)
     }
 
-    /// Listens for the next process. Where that cannot be, there is no upgrade without a gap, and all else goes on.
+    /// Listens for the next process. If that fails, only hot upgrades are unavailable.
     pub fn listen(&mut self, registry: &Registry) {
-        let Some(place) = &self.place else { return };
-        // What is there is left over, or belongs to the process that this one took over from.
-        let _ = std::fs::remove_file(place);
-        let opened = UnixListener::bind(place).and_then(|mut listener| {
+        let Some(path) = &self.path else { return };
+        // The file is left over, or belongs to the predecessor.
+        let _ = std::fs::remove_file(path);
+        let opened = UnixListener::bind(path).and_then(|mut listener| {
             registry.register(&mut listener, self.token, Interest::READABLE)?;
             Ok(listener)
         });
         match opened {
             Ok(listener) => self.listener = Some(listener),
-            Err(error) => tracing::warn!("{}: no upgrade without a gap: {error}", place.display()),
+            Err(error) => tracing::warn!("{}: hot upgrade is not available: {error}", path.display()),
         }
     }
 
-    /// The next process knocks.
+    /// A process waits to be accepted.
     pub fn connections_pending(&mut self) {
-        self.knocked = true;
+        self.accept_pending = true;
     }
 
-    /// When [`Upgrade::turn`] has something to do.
+    /// When [`Upgrade::run`] is due next.
     pub fn next_timer(&self) -> Option<Instant> {
-        (!self.peers.is_empty()).then_some(self.next_look)
+        (!self.peers.is_empty()).then_some(self.next_check)
     }
 
-    /// Lets other processes in, drops those that are silent, and says to the newer one what this one holds.
-    pub fn turn(
+    /// Accepts other processes, drops silent ones, and reports this process's resource usage to the successor.
+    pub fn run(
         &mut self,
         now: Instant,
         registry: &Registry,
         tokens: &mut Tokens,
-        holds: impl FnOnce() -> (usize, usize),
-    ) -> Vec<Heard> {
-        let mut heard = Vec::new();
-        if std::mem::take(&mut self.knocked) {
+        usage: impl FnOnce() -> (usize, usize),
+    ) -> Vec<UpgradeEvent> {
+        let mut events = Vec::new();
+        if std::mem::take(&mut self.accept_pending) {
             while let Some(Ok((mut stream, _))) = self.listener.as_ref().map(UnixListener::accept) {
-                let callers = self.peers.values().filter(|peer| peer.role == Role::Caller).count();
+                let candidates = self.peers.values().filter(|peer| peer.role == Role::Candidate).count();
                 let token = tokens.next(Kind::Upgrade);
                 let interest = Interest::READABLE | Interest::WRITABLE;
-                if callers >= MOST_PEERS || registry.register(&mut stream, token, interest).is_err() {
+                if candidates >= MAX_CANDIDATES || registry.register(&mut stream, token, interest).is_err() {
                     continue;
                 }
                 match Link::new(stream) {
                     Ok(link) => {
-                        let peer = Peer { link, role: Role::Caller, since: now, ends: false };
+                        let peer = Peer { link, role: Role::Candidate, since: now, closing: false };
                         self.peers.insert(token.0, peer);
-                        heard.extend(self.ready(token.0));
+                        events.extend(self.ready(token.0));
                     }
-                    Err(why) => tracing::warn!("a process is not let in: {why}"),
+                    Err(why) => tracing::warn!("rejected a connection from another process: {why}"),
                 }
             }
         }
-        if self.next_look <= now {
-            self.next_look = now + LOOKS;
-            // Guards against processes that connect and do not go on; one that is built up takes over within it.
-            self.peers.retain(|_, peer| peer.role != Role::Caller || now - peer.since < 10 * PATIENCE);
-            if self.newer().is_some() {
-                let (descriptors, bytes) = holds();
-                self.tell_newer(&Frame::Holds(descriptors, bytes), Vec::new());
+        if self.next_check <= now {
+            self.next_check = now + USAGE_INTERVAL;
+            // Guards against processes that connect and then stay silent; a starting process takes over within this
+            // time.
+            self.peers
+                .retain(|_, peer| peer.role != Role::Candidate || now - peer.since < 10 * RESPONSE_TIMEOUT);
+            if self.successor().is_some() {
+                let (descriptors, bytes) = usage();
+                self.send_to_successor(&Frame::Usage(descriptors, bytes), Vec::new());
             }
         }
-        heard
+        events
     }
 
-    /// Something happened on a peer's connection.
-    pub fn ready(&mut self, id: usize) -> Vec<Heard> {
-        let mut heard = Vec::new();
-        let Some(peer) = self.peers.get_mut(&id) else { return heard };
+    /// Handles readiness of a peer's connection.
+    pub fn ready(&mut self, id: usize) -> Vec<UpgradeEvent> {
+        let mut events = Vec::new();
+        let Some(peer) = self.peers.get_mut(&id) else { return events };
         let open = loop {
             let open = match peer.link.flush().and_then(|()| peer.link.read()) {
                 Ok(open) => open,
@@ -265,112 +276,112 @@
                     false
                 }
             };
-            let mut any = false;
-            let fault = loop {
+            let mut progress = false;
+            let failed = loop {
                 match peer.link.next() {
                     Ok(Some((frame, descriptors))) => {
-                        any = true;
-                        if !peer.take(id, frame, descriptors, &mut heard) {
+                        progress = true;
+                        if !peer.handle(id, frame, descriptors, &mut events) {
                             break true;
                         }
                     }
                     Ok(None) => break false,
                     Err(why) => {
-                        tracing::warn!("another process is not heard any more: {why}");
+                        tracing::warn!("closing the connection to another process: {why}");
                         break true;
                     }
                 }
             };
-            if fault || !open {
+            if failed || !open {
                 break false;
             }
-            if !any {
+            if !progress {
                 break true;
             }
         };
         if !open {
             if let Some(peer) = self.peers.remove(&id) {
                 match peer.role {
-                    Role::Older => heard.push(Heard::OlderGone),
-                    Role::Newer if !peer.ends => heard.push(Heard::NewerGone),
+                    Role::Predecessor => events.push(UpgradeEvent::PredecessorGone),
+                    Role::Successor if !peer.closing => events.push(UpgradeEvent::SuccessorGone),
                     _ => {}
                 }
             }
         }
-        heard
+        events
     }
 
-    /// Gives the listeners to the process that asked.
-    pub fn give_listeners(&mut self, id: usize, listeners: Vec<(Place, &TcpListener)>) {
-        let copies = listeners.into_iter().map(|(place, listener)| {
-            listener.as_fd().try_clone_to_owned().map(|descriptor| (place, descriptor))
+    /// Sends the listeners to the process that asked for them.
+    pub fn send_listeners(&mut self, id: usize, listeners: Vec<(ListenerAddress, &TcpListener)>) {
+        let copies = listeners.into_iter().map(|(address, listener)| {
+            listener.as_fd().try_clone_to_owned().map(|descriptor| (address, descriptor))
         });
         let Ok(copies) = copies.collect::<std::io::Result<Vec<_>>>() else { return self.refuse(id) };
-        let (places, descriptors) = copies.into_iter().unzip();
-        self.tell(id, &Frame::Listeners(places), descriptors);
+        let (addresses, descriptors) = copies.into_iter().unzip();
+        self.send_to(id, &Frame::Listeners(addresses), descriptors);
     }
 
-    /// Gives this process's state to the one that takes over; false if another one did before.
-    pub fn give_state(&mut self, id: usize, state: impl FnOnce() -> Carried) -> bool {
-        if self.newer().is_some() {
+    /// Sends the state to the process that takes over; false if another one has taken over already.
+    pub fn send_state(&mut self, id: usize, state: impl FnOnce() -> HandoverState) -> bool {
+        if self.successor().is_some() {
             self.refuse(id);
             return false;
         }
         let Some(peer) = self.peers.get_mut(&id) else { return false };
-        peer.role = Role::Newer;
-        // The next process is to find the newer one.
+        peer.role = Role::Successor;
+        // The next process has to find the successor.
         self.listener = None;
         let mut state = state();
-        if postcard::to_stdvec(&state.scheduler).is_ok_and(|bytes| bytes.len() > frame::MOST_BYTES / 2) {
-            tracing::warn!("what the scheduler learned is too much to be handed over");
+        if postcard::to_stdvec(&state.scheduler).is_ok_and(|bytes| bytes.len() > frame::MAX_FRAME_BYTES / 2) {
+            tracing::warn!("the state of the scheduler is too large to be handed over");
             state.scheduler = None;
         }
-        self.tell(id, &Frame::State(Box::new(state)), Vec::new());
+        self.send_to(id, &Frame::State(Box::new(state)), Vec::new());
         true
     }
 
     fn refuse(&mut self, id: usize) {
-        self.tell(id, &Frame::Refused, Vec::new());
+        self.send_to(id, &Frame::Refused, Vec::new());
     }
 
-    /// Clients that the newer process takes now.
-    pub fn room_for_clients(&self) -> bool {
-        self.newer().is_some_and(|id| self.peers[&id].link.has_room())
+    /// Whether the successor can be sent another client now.
+    pub fn can_send_client(&self) -> bool {
+        self.successor().is_some_and(|id| self.peers[&id].link.can_queue())
     }
 
-    /// Gives a client to the newer process.
-    pub fn give_client(&mut self, stream: TcpStream, input: Vec<u8>) {
-        self.tell_newer(&Frame::Client(input), vec![std::net::TcpStream::from(stream).into()]);
+    /// Hands a client over to the successor.
+    pub fn send_client(&mut self, stream: TcpStream, input: Vec<u8>) {
+        self.send_to_successor(&Frame::Client(input), vec![std::net::TcpStream::from(stream).into()]);
     }
 
-    /// Tells the other process that an operator has taken a target out, or called it back.
-    pub fn tell_ban(&mut self, name: &str, unix: Duration, out: bool) {
-        let peers = self.peers.iter().filter(|(_, peer)| peer.role != Role::Caller);
+    /// Tells the other process that an operator has taken a target out of service, or returned it to service.
+    pub fn send_ban(&mut self, name: &str, unix: Duration, out: bool) {
+        let peers = self.peers.iter().filter(|(_, peer)| peer.role != Role::Candidate);
         for id in peers.map(|(id, _)| *id).collect::<Vec<_>>() {
-            self.tell(id, &Frame::Ban { name: name.to_string(), unix, out }, Vec::new());
+            self.send_to(id, &Frame::Ban { name: name.to_string(), unix, out }, Vec::new());
         }
     }
 
-    /// This process ends in order, and the older one is not to take up anything for it.
+    /// Announces an orderly shutdown: the predecessor does not have to take clients back.
     pub fn end(&mut self) {
         for id in self.peers.keys().copied().collect::<Vec<_>>() {
-            self.tell(id, &Frame::Ends, Vec::new());
+            self.send_to(id, &Frame::Closing, Vec::new());
         }
     }
 
-    fn newer(&self) -> Option<usize> {
-        self.peers.iter().find(|(_, peer)| peer.role == Role::Newer).map(|(id, _)| *id)
+    fn successor(&self) -> Option<usize> {
+        self.peers.iter().find(|(_, peer)| peer.role == Role::Successor).map(|(id, _)| *id)
     }
 
-    fn tell_newer(&mut self, frame: &Frame, descriptors: Vec<OwnedFd>) {
-        if let Some(id) = self.newer() {
-            self.tell(id, frame, descriptors);
+    fn send_to_successor(&mut self, frame: &Frame, descriptors: Vec<OwnedFd>) {
+        if let Some(id) = self.successor() {
+            self.send_to(id, frame, descriptors);
         }
     }
 
-    fn tell(&mut self, id: usize, frame: &Frame, descriptors: Vec<OwnedFd>) {
+    fn send_to(&mut self, id: usize, frame: &Frame, descriptors: Vec<OwnedFd>) {
         let Some(peer) = self.peers.get_mut(&id) else { return };
-        // An end of the connection shows where it is read.
+        // The end of the connection is detected by the next read.
         if let Err(why) = peer.link.send(frame, descriptors).and_then(|()| peer.link.flush()) {
             tracing::debug!("another process: {why}");
         }
@@ -378,26 +389,36 @@
 }
 
 impl Peer {
-    /// Takes one thing said, as far as it is this peer's to say; false if it is not.
-    fn take(&mut self, id: usize, frame: Frame, descriptors: Vec<OwnedFd>, heard: &mut Vec<Heard>) -> bool {
+    /// Handles a frame; false if a peer in this role must not send it.
+    fn handle(
+        &mut self,
+        id: usize,
+        frame: Frame,
+        descriptors: Vec<OwnedFd>,
+        events: &mut Vec<UpgradeEvent>,
+    ) -> bool {
         match (self.role, frame) {
-            (Role::Caller, Frame::Ask) => heard.push(Heard::Asked(id)),
-            (Role::Caller, Frame::Take { door }) => heard.push(Heard::Take { peer: id, admin: door }),
-            (Role::Older, Frame::Client(input)) => {
+            (Role::Candidate, Frame::RequestListeners) => events.push(UpgradeEvent::ListenersRequested(id)),
+            (Role::Candidate, Frame::TakeOver { admin }) => {
+                events.push(UpgradeEvent::TakeOver { peer: id, admin_listener: admin })
+            }
+            (Role::Predecessor, Frame::Client(input)) => {
                 for descriptor in descriptors {
                     let stream = std::net::TcpStream::from(descriptor);
-                    heard.push(Heard::Client(TcpStream::from_std(stream), input.clone()));
+                    events.push(UpgradeEvent::Client(TcpStream::from_std(stream), input.clone()));
                 }
             }
-            (Role::Older, Frame::Holds(descriptors, bytes)) => heard.push(Heard::Holds(descriptors, bytes)),
-            (Role::Older | Role::Newer, Frame::Ban { name, unix, out }) => {
-                heard.push(Heard::Ban { name, unix, out });
+            (Role::Predecessor, Frame::Usage(descriptors, bytes)) => {
+                events.push(UpgradeEvent::Usage(descriptors, bytes))
+            }
+            (Role::Predecessor | Role::Successor, Frame::Ban { name, unix, out }) => {
+                events.push(UpgradeEvent::Ban { name, unix, out });
             }
-            (_, Frame::Ends) => self.ends = true,
-            // A state that comes after its time was waited for.
-            (Role::Older, Frame::State(_)) => {}
+            (_, Frame::Closing) => self.closing = true,
+            // The state arrived after the timeout, and this process has started without it.
+            (Role::Predecessor, Frame::State(_)) => {}
             _ => {
-                tracing::warn!("another process speaks out of turn");
+                tracing::warn!("unexpected frame from another process");
                 return false;
             }
         }
