--- a/examples/toy.rs
+++ b/examples/toy.rs
@@ -71,7 +71,7 @@
             match kept {
                 Some(value) => {
                     answer.extend(b"*3\r\n");
-                    resp::bulk(&mut answer, &value);
+                    resp::write_bulk(&mut answer, &value);
                     answer.extend(b"$-1\r\n$-1\r\n");
                 }
                 None => answer.extend(b"-ERR failed\r\n"),
--- a/src/forwarder/budget.rs
+++ b/src/forwarder/budget.rs
@@ -2,7 +2,7 @@
 
 use crate::config::Config;
 use crate::control::endpoint;
-use crate::front::Room;
+use crate::front::ClientLimits;
 use crate::process;
 
 /// Sessions of the second front. Each may collect a window of writes, so many of them would fill the memory.
@@ -29,7 +29,10 @@
 
 /// How many connections to targets there may be, and what clients may take up, where another process holds so many
 /// descriptors and bytes of what this initiator may use.
-pub(super) fn connection_budget(config: &Config, (descriptors, bytes): (usize, usize)) -> (usize, Room) {
+pub(super) fn connection_budget(
+    config: &Config,
+    (descriptors, bytes): (usize, usize),
+) -> (usize, ClientLimits) {
     let sockets = config.sockets.saturating_sub(descriptors);
     let for_targets = (sockets as f64 * TARGETS_PART) as usize;
     let crowd = (sockets as f64 * CROWD_PART) as usize;
@@ -40,5 +43,8 @@
     let clients = sockets.saturating_sub(for_targets + 2 * crowd + more).max(MOST_ISCSI / 4);
     let easy = (sockets as f64 * EASY_PART) as usize;
     let bytes = config.memory.saturating_sub(bytes) / HELD_PART;
-    (for_targets.max(MOST_ISCSI / 4), Room { easy, clients, crowd, leaving: crowd, bytes })
+    (
+        for_targets.max(MOST_ISCSI / 4),
+        ClientLimits { evict_idle_above: easy, clients, overflow: crowd, lingering: crowd, bytes },
+    )
 }
--- a/src/forwarder/configuration/tests.rs
+++ b/src/forwarder/configuration/tests.rs
@@ -148,7 +148,7 @@
     assert_eq!(settings.plans[0].limit.map(|limit| limit.rate), Some(20.0));
     let again = Duration::from_millis(120);
     assert_eq!(forwarder.resp.protocol_mut().retry_after, again);
-    let (offered, retry_after) = forwarder.iscsi.as_mut().unwrap().protocol_mut().figures();
+    let (offered, retry_after) = forwarder.iscsi.as_mut().unwrap().protocol_mut().config_and_retry_after();
     assert_eq!((offered.exports[0].units[&0].most_bytes, retry_after), (7 * 4096, again));
     let deadline = forwarder.clock.unix(Instant::now()) + Duration::from_secs(1);
     let new = NewRequest { deadline, ..NewRequest::default() };
--- a/src/forwarder/effects.rs
+++ b/src/forwarder/effects.rs
@@ -61,7 +61,7 @@
     pub(super) fn pass_on(&mut self, now: Instant) {
         for attempt in self.targets.held_up() {
             let Some(origin) = self.core.stream(attempt) else { continue };
-            let room = self.resp.room(origin);
+            let room = self.resp.answer_capacity(origin);
             // Not byte by byte.
             if room >= WINDOW / 2 {
                 self.targets.credit(now, attempt, room);
@@ -76,19 +76,19 @@
                         if grant.is_some() {
                             self.targets.credit(now, attempt, usize::MAX);
                         }
-                        self.resp.begin(now, origin, length, grant, &mut self.core);
+                        self.resp.begin_answer(now, origin, length, grant, &mut self.core);
                     }
                     None => self.targets.stop(attempt, Outcome::Cancelled),
                 },
                 Flowing::Piece(piece) => {
                     if let Some(origin) = self.core.stream(attempt) {
-                        self.resp.piece(now, origin, &piece, &mut self.core);
+                        self.resp.write_piece(now, origin, &piece, &mut self.core);
                     }
                 }
                 Flowing::Slow => self.core.takes_time(attempt),
                 Flowing::Moved => {
                     if let Some(origin) = self.core.origin(attempt.request) {
-                        self.resp.go_on(now, origin.conn, &mut self.core);
+                        self.resp.resume(now, origin.conn, &mut self.core);
                     }
                 }
             }
@@ -98,7 +98,7 @@
     pub(super) fn carry_out(&mut self, now: Instant, effect: Effect) {
         match effect {
             Effect::Moved { attempt } => self.targets.go_on(now, attempt),
-            Effect::Finish { origin, whole } => self.resp.finish(now, origin, whole, &mut self.core),
+            Effect::Finish { origin, whole } => self.resp.finish_answer(now, origin, whole, &mut self.core),
             Effect::Answer { origin, answer } => match (Kind::of(origin.conn), &mut self.iscsi) {
                 (Some(Kind::IscsiClient), Some(front)) => front.answer(now, origin, answer, &mut self.core),
                 _ => self.resp.answer(now, origin, answer, &mut self.core),
--- a/src/forwarder/gather.rs
+++ b/src/forwarder/gather.rs
@@ -63,12 +63,12 @@
                 (Some(Kind::RespClient), _) => match ready {
                     Ready::Writable => self.resp.writable(now, id, &mut self.core),
                     Ready::Readable => self.resp.readable(now, id, &mut self.core),
-                    Ready::Ends => self.resp.ended(now, id, &mut self.core),
+                    Ready::Ends => self.resp.peer_closed(now, id, &mut self.core),
                 },
                 (Some(Kind::IscsiClient), Some(front)) => match ready {
                     Ready::Writable => front.writable(now, id, &mut self.core),
                     Ready::Readable => front.readable(now, id, &mut self.core),
-                    Ready::Ends => front.ended(now, id, &mut self.core),
+                    Ready::Ends => front.peer_closed(now, id, &mut self.core),
                 },
                 (Some(Kind::RespListener), _) => self.resp.connections_pending(),
                 (Some(Kind::Planner), _) => {
--- a/src/forwarder/mod.rs
+++ b/src/forwarder/mod.rs
@@ -138,8 +138,8 @@
             self.core.is_late_by(late);
             self.report_turns(now);
             self.came = now.checked_sub(pace.waited()).unwrap_or(now);
-            self.resp.begin_turn(self.came, stopped);
-            self.iscsi.iter_mut().for_each(|front| front.begin_turn(self.came, stopped));
+            self.resp.begin_iteration(self.came, stopped);
+            self.iscsi.iter_mut().for_each(|front| front.begin_iteration(self.came, stopped));
             self.answer_what_is_over(now);
             self.count();
             if let Some(addresses) = &mut self.addresses {
@@ -195,7 +195,7 @@
         let came: Vec<bool> = ADVERTISEMENTS.iter().map(|token| ready.contains(*token)).collect();
         let discovery = self.discovery.heard();
         let ready_nodes = self.nodes.ready();
-        let (crowded, memory) = (self.resp.is_crowded(now), self.config.memory);
+        let (crowded, memory) = (self.resp.is_at_capacity(now), self.config.memory);
         self.with_addresses(|addresses, lent| {
             for (interface, _) in came.iter().enumerate().filter(|(_, came)| **came) {
                 addresses.ready(interface);
@@ -275,8 +275,8 @@
     /// Tells the fronts what the state of service means for clients.
     fn publish_service_state(&mut self) {
         let standing = self.state.standing();
-        self.resp.follow_service_state(standing);
-        self.iscsi.iter_mut().for_each(|front| front.follow_service_state(standing));
+        self.resp.set_service_state(standing);
+        self.iscsi.iter_mut().for_each(|front| front.set_service_state(standing));
     }
 
     /// Reads the configuration again and takes over what can change without a restart. Guards against a file that
@@ -305,9 +305,9 @@
     /// What the fronts do in each turn of the loop.
     fn turn(&mut self, now: Instant) {
         let (registry, tokens, core) = (self.poll.registry(), &mut self.tokens, &mut self.core);
-        self.resp.turn(now, registry, || tokens.next(Kind::RespClient), core);
+        self.resp.run_iteration(now, registry, || tokens.next(Kind::RespClient), core);
         if let Some(front) = &mut self.iscsi {
-            front.turn(now, registry, || tokens.next(Kind::IscsiClient), core);
+            front.run_iteration(now, registry, || tokens.next(Kind::IscsiClient), core);
         }
     }
 
--- a/src/forwarder/reports.rs
+++ b/src/forwarder/reports.rs
@@ -26,12 +26,13 @@
 impl Forwarder {
     /// How many there are of what `INFO` shows: a count that only grows would end a long day.
     pub(super) fn count(&mut self) {
-        let iscsi = self.iscsi.as_ref().map_or((0, 0), |front| (front.len(), front.kept()));
+        let iscsi =
+            self.iscsi.as_ref().map_or((0, 0), |front| (front.connection_count(), front.buffered_bytes()));
         self.core.counters.answers_spoilt = self.targets.spoilt;
         self.core.sizes.clear();
         self.core.sizes.extend([
-            ("clients", self.resp.len() + iscsi.0),
-            ("client_bytes", self.resp.kept() + iscsi.1),
+            ("clients", self.resp.connection_count() + iscsi.0),
+            ("client_bytes", self.resp.buffered_bytes() + iscsi.1),
             ("long_value_bytes", self.budget.granted()),
             ("pieces_placed", self.placement.len()),
         ]);
--- a/src/forwarder/start.rs
+++ b/src/forwarder/start.rs
@@ -12,7 +12,7 @@
 use crate::core::Core;
 use crate::discovery::{self, Discovery, News};
 use crate::flow::Budget;
-use crate::front::{iscsi, resp, Front, Room};
+use crate::front::{iscsi, resp, ClientLimits, Front};
 use crate::interface::{Event, ListKind};
 use crate::listener::Listener;
 use crate::nodes::Nodes;
@@ -69,8 +69,13 @@
         let iscsi = config.iscsi.clone().map(|offered| {
             offered.storage.iter().for_each(|storage| nodes.add_own(storage));
             let patience = settings.classes.iter().map(|class| class.deadline).collect();
-            let room =
-                Room { easy: MOST_ISCSI, clients: MOST_ISCSI, crowd: 0, leaving: MOST_ISCSI / 4, ..room };
+            let room = ClientLimits {
+                evict_idle_above: MOST_ISCSI,
+                clients: MOST_ISCSI,
+                overflow: 0,
+                lingering: MOST_ISCSI / 4,
+                ..room
+            };
             let address = offered.listen;
             let target = iscsi::Target::new(offered, patience, retry_after, config.seed);
             listen(Place::Iscsi(address), address)
@@ -81,7 +86,7 @@
         });
         let budget = Budget::new(config.memory / LONG_PART);
         let most_pending = (most_held / CONNECTION_PART).clamp(1, MOST_PENDING);
-        let resp = resp::Resp { wire, retry_after, most_pending, budget: budget.clone() };
+        let resp = resp::Resp { wire, retry_after, max_pending: most_pending, budget: budget.clone() };
         let resp = listen(Place::Resp(config.listen), config.listen)
             .and_then(|listener| Front::new(resp, listener, LISTENER, poll.registry(), clock, room))
             .map_err(|error| format!("{}: {error}", config.listen))?;
--- a/src/forwarder/succession.rs
+++ b/src/forwarder/succession.rs
@@ -24,13 +24,13 @@
 impl Forwarder {
     /// The process that takes the place of this one gets what became idle; what others say is heard.
     pub(super) fn hand_over(&mut self, now: Instant) {
-        let (clients, targets) = (self.resp.len(), self.targets.len());
+        let (clients, targets) = (self.resp.connection_count(), self.targets.len());
         let heard =
             self.upgrade.turn(now, self.poll.registry(), &mut self.tokens, || holds(clients, targets));
         self.hear(now, heard);
         if self.state.is_replaced() {
             let upgrade = &mut self.upgrade;
-            self.resp.hand_over(self.poll.registry(), |client| match client {
+            self.resp.hand_over_idle_clients(self.poll.registry(), |client| match client {
                 None => upgrade.room_for_clients(),
                 Some((stream, input)) => {
                     upgrade.give_client(stream, input);
@@ -50,7 +50,7 @@
                     let token = self.tokens.next(Kind::RespClient);
                     let (registry, core) = (self.poll.registry(), &mut self.core);
                     core.counters.clients_taken_over += 1;
-                    self.resp.take_over(now, (stream, input), token, registry, core);
+                    self.resp.adopt_client(now, (stream, input), token, registry, core);
                 }
                 Heard::Ban { name, unix, out } => {
                     if let Err(why) = self.ban(now, unix, &name, out) {
@@ -98,7 +98,8 @@
     fn give_way(&mut self, now: Instant, peer: usize, admin: bool) {
         let (planner, nodes, targets) = (&mut self.planner, &self.nodes, &mut self.targets);
         let (fleet, again) = (&mut self.fleet, &mut self.fleet_again);
-        let (drained, list, clients) = (self.state.is_drained(), self.discovery.version(), self.resp.len());
+        let (drained, list, clients) =
+            (self.state.is_drained(), self.discovery.version(), self.resp.connection_count());
         let given = self.upgrade.give_state(peer, || {
             // The other one needs the descriptors.
             targets.close_all_idle();
@@ -125,9 +126,9 @@
 
     pub(super) fn accept_newcomers(&mut self, now: Instant, yes: bool) {
         let registry = self.poll.registry();
-        self.resp.accept_newcomers(yes, LISTENER, registry, now);
+        self.resp.set_accepting(yes, LISTENER, registry, now);
         if let Some(front) = &mut self.iscsi {
-            front.accept_newcomers(yes, ISCSI_LISTENER, registry, now);
+            front.set_accepting(yes, ISCSI_LISTENER, registry, now);
         }
     }
 
@@ -136,14 +137,14 @@
         let (for_targets, room) = connection_budget(&self.config, self.held);
         self.targets.set_most(for_targets);
         self.budget.resize(self.config.memory.saturating_sub(self.held.1) / LONG_PART);
-        self.resp.set_room(room);
+        self.resp.set_limits(room);
     }
 
     /// Comes nearer to the end; true once it is reached. A client whose connection is closed early has nobody else
     /// to ask, so that all are served for as long as the platform lets them be.
     pub(super) fn shut_down(&mut self, now: Instant, asked: Duration) -> bool {
         let longest = self.longest_deadline().min(LONGEST_COUNTED);
-        let clients = self.resp.len() + self.iscsi.as_ref().map_or(0, Front::len);
+        let clients = self.resp.connection_count() + self.iscsi.as_ref().map_or(0, Front::connection_count);
         // Whoever comes now comes to the process that took over.
         if (asked < LINGER && !self.state.is_replaced()) || (asked < longest + SERVED_AFTER && clients > 0) {
             return false;
--- a/src/front/answers.rs
+++ b/src/front/answers.rs
@@ -15,12 +15,12 @@
         self.protocol.answer(&mut client.session, origin.place, answer, &mut output);
         client.conn.push(&output);
         client.used = now;
-        self.go_on(now, origin.conn, core);
+        self.resume(now, origin.conn, core);
         self.write(now, origin.conn, core);
     }
 
     /// A long answer of so many bytes begins; a grant holds it whole.
-    pub fn begin(
+    pub fn begin_answer(
         &mut self,
         now: Instant,
         origin: Origin,
@@ -37,14 +37,14 @@
     }
 
     /// A long answer goes on.
-    pub fn piece(&mut self, now: Instant, origin: Origin, piece: &[u8], core: &mut Core) {
+    pub fn write_piece(&mut self, now: Instant, origin: Origin, piece: &[u8], core: &mut Core) {
         self.pass(now, origin, core, |protocol, session, output| {
             protocol.piece(session, origin.place, piece, output);
         });
     }
 
     /// A long answer has come to its end. One that is not whole ends the connection: its client can tell by that alone.
-    pub fn finish(&mut self, now: Instant, origin: Origin, whole: bool, core: &mut Core) {
+    pub fn finish_answer(&mut self, now: Instant, origin: Origin, whole: bool, core: &mut Core) {
         let Some(client) = self.clients.get_mut(&origin.conn) else { return };
         client.streams -= 1;
         if !whole {
@@ -54,7 +54,7 @@
         self.pass(now, origin, core, |protocol, session, output| {
             protocol.finish(session, origin.place, output)
         });
-        self.go_on(now, origin.conn, core);
+        self.resume(now, origin.conn, core);
     }
 
     fn pass(
@@ -73,13 +73,13 @@
     }
 
     /// How much more of a long answer a client's connection takes now.
-    pub fn room(&self, origin: Origin) -> usize {
+    pub fn answer_capacity(&self, origin: Origin) -> usize {
         let Some(client) = self.clients.get(&origin.conn) else { return 0 };
         WINDOW.saturating_sub(client.conn.unwritten() + self.protocol.kept_back(&client.session))
     }
 
     /// Goes on with a client that waited for room.
-    pub fn go_on(&mut self, now: Instant, id: usize, core: &mut Core) {
+    pub fn resume(&mut self, now: Instant, id: usize, core: &mut Core) {
         // Who is sent away is asked for no more than what it has begun.
         let leaves = self.standing.shed_from.is_some_and(|from| from <= now);
         let Some(client) = self.clients.get(&id) else { return };
--- a/src/front/endpoints.rs
+++ b/src/front/endpoints.rs
@@ -70,7 +70,8 @@
         // Guards whoever the kernel has let in already: closing the listener would end them without an answer.
         for _ in 0..MOST_WAITING {
             // The descriptors of attempts that are out are not theirs.
-            if self.clients.len() >= self.room.clients + self.room.crowd && !self.close_an_idle_one(now, true)
+            if self.clients.len() >= self.limits.clients + self.limits.overflow
+                && !self.close_an_idle_one(now, true)
             {
                 break;
             }
@@ -82,7 +83,7 @@
     }
 
     /// Requests open that came in by an endpoint.
-    pub fn open_at(&self, endpoint: usize) -> impl Iterator<Item = RequestId> + '_ {
+    pub fn open_requests_at(&self, endpoint: usize) -> impl Iterator<Item = RequestId> + '_ {
         let here = self.clients.values().filter(move |client| client.endpoint == endpoint);
         here.flat_map(|client| self.protocol.open(&client.session))
     }
@@ -98,7 +99,7 @@
     }
 
     /// Lets newcomers in at the machine's own address, or leaves them to another process that has the same listener.
-    pub fn accept_newcomers(&mut self, yes: bool, token: Token, registry: &Registry, now: Instant) {
+    pub fn set_accepting(&mut self, yes: bool, token: Token, registry: &Registry, now: Instant) {
         let Some(listener) = &mut self.endpoints[0].listener else { return };
         let changed = match yes {
             true => listener.register(token, registry),
--- a/src/front/iscsi.rs
+++ b/src/front/iscsi.rs
@@ -49,7 +49,7 @@
 
     /// What is offered, and when an initiator is to come again that is refused here.
     #[cfg(test)]
-    pub fn figures(&self) -> (&Iscsi, Duration) {
+    pub fn config_and_retry_after(&self) -> (&Iscsi, Duration) {
         (&self.config, self.retry_after)
     }
 
--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -29,7 +29,7 @@
 use std::time::{Duration, Instant};
 
 pub use protocol::{Closing, Declined, Intake, Protocol};
-pub use room::Room;
+pub use room::ClientLimits;
 
 /// Answers that a client has not read yet; beyond it nothing more is read from it.
 const MOST_UNREAD: usize = 64 * 1024;
@@ -51,7 +51,7 @@
     endpoints: Vec<Endpoint>,
     clients: FxHashMap<usize, Client<P::Session>>,
     clock: Clock,
-    room: Room,
+    limits: ClientLimits,
     /// What the state of service means for clients.
     standing: Standing,
     /// Newcomers at the machine's own address are let in here.
@@ -94,7 +94,7 @@
         token: Token,
         registry: &Registry,
         clock: Clock,
-        room: Room,
+        limits: ClientLimits,
     ) -> std::io::Result<Self> {
         listener.register(token, registry)?;
         let (clients, backlog) = (FxHashMap::default(), VecDeque::new());
@@ -106,7 +106,7 @@
             endpoints,
             clients,
             clock,
-            room,
+            limits,
             standing,
             accepts,
             crowded: 0,
@@ -123,22 +123,22 @@
     }
 
     /// Clients connected.
-    pub fn len(&self) -> usize {
+    pub fn connection_count(&self) -> usize {
         self.clients.len() + self.leaving.len()
     }
 
     /// Bytes kept for them.
-    pub fn kept(&self) -> usize {
+    pub fn buffered_bytes(&self) -> usize {
         self.kept
     }
 
     /// A turn of the loop begins: what is ready in it has waited since `came` at the longest, or for longer where the process
     /// may have been stopped unnoticed.
-    pub fn begin_turn(&mut self, came: Instant, may_have_been_stopped: bool) {
+    pub fn begin_iteration(&mut self, came: Instant, may_have_been_stopped: bool) {
         (self.came, self.verifies_arrivals) = (came, may_have_been_stopped);
     }
 
-    /// When [`Front::turn`] has something to do.
+    /// When [`Front::run_iteration`] has something to do.
     pub fn next_timer(&self, now: Instant) -> Instant {
         if !self.backlog.is_empty() {
             return now;
@@ -149,7 +149,7 @@
 
     /// The state of service has changed. After SIGTERM idle clients are kept, since new connections come to another
     /// process, and those that stay open are still used.
-    pub fn follow_service_state(&mut self, standing: Standing) {
+    pub fn set_service_state(&mut self, standing: Standing) {
         self.standing = standing;
         if standing.shed_from.is_none() {
             // Whoever was asked for no more, and is still here.
@@ -161,7 +161,7 @@
 
     /// Gives idle clients to another process, with what they have begun to say. `give` is asked with none whether it
     /// takes another one.
-    pub fn hand_over(
+    pub fn hand_over_idle_clients(
         &mut self,
         registry: &Registry,
         mut give: impl FnMut(Option<(TcpStream, Vec<u8>)>) -> bool,
@@ -183,7 +183,7 @@
     }
 
     /// Takes a client from the process before, with what it had begun to say.
-    pub fn take_over(
+    pub fn adopt_client(
         &mut self,
         now: Instant,
         (stream, input): (TcpStream, Vec<u8>),
@@ -191,7 +191,7 @@
         registry: &Registry,
         core: &mut Core,
     ) {
-        let crowded = self.in_service() >= self.room.clients;
+        let crowded = self.in_service() >= self.limits.clients;
         self.admit(now, (stream, Some(now)), 0, crowded, token, registry);
         if let Some(client) = self.clients.get_mut(&token.0) {
             client.conn.input = input;
@@ -200,7 +200,13 @@
     }
 
     /// One turn of the loop: goes on with those that had more to say, lets newcomers in, closes who is silent.
-    pub fn turn(&mut self, now: Instant, registry: &Registry, next: impl FnMut() -> Token, core: &mut Core) {
+    pub fn run_iteration(
+        &mut self,
+        now: Instant,
+        registry: &Registry,
+        next: impl FnMut() -> Token,
+        core: &mut Core,
+    ) {
         for _ in 0..self.backlog.len().min(MOST_HEARD - self.heard) {
             let Some(id) = self.backlog.pop_front() else { break };
             self.clients.get_mut(&id).into_iter().for_each(|client| client.queued = false);
@@ -219,7 +225,7 @@
     /// was written.
     fn close_in_order(&mut self, now: Instant, id: usize) -> bool {
         let Some(client) = self.remove(id) else { return false };
-        self.leaving.add(now, id, client.conn, self.room.leaving);
+        self.leaving.add(now, id, client.conn, self.limits.lingering);
         true
     }
 
@@ -252,7 +258,7 @@
     /// A client has ended its sending, or its connection broke. It has gone, whatever of it was not read yet, and whether or
     /// not its turn to be heard has come: whoever ends only its sending cannot be told from it. Nothing that it asked for is
     /// to begin any more.
-    pub fn ended(&mut self, now: Instant, id: usize, core: &mut Core) {
+    pub fn peer_closed(&mut self, now: Instant, id: usize, core: &mut Core) {
         let Some(client) = self.clients.get_mut(&id) else { return self.leaving.ready(id) };
         if client.closing.is_some() && client.conn.flush().is_ok() && client.conn.unwritten() == 0 {
             self.close_in_order(now, id);
@@ -292,7 +298,7 @@
 
     fn take_input(&mut self, now: Instant, id: usize, core: &mut Core) {
         self.serve_if_there_is_a_place(id);
-        let full = core.held_bytes() + self.kept > self.room.bytes;
+        let full = core.held_bytes() + self.kept > self.limits.bytes;
         let Some(client) = self.clients.get_mut(&id) else { return };
         let retired = self.endpoints[client.endpoint].retired;
         let declines = match (retired, full || client.crowded) {
--- a/src/front/resp.rs
+++ b/src/front/resp.rs
@@ -22,7 +22,7 @@
     /// When a client is to come again whose request was declined.
     pub retry_after: Duration,
     /// Commands of one connection that wait for their answers; beyond it nothing more is taken.
-    pub most_pending: usize,
+    pub max_pending: usize,
     /// For bodies that are held whole.
     pub budget: Budget,
 }
@@ -79,7 +79,7 @@
         }
         let place = session.next_place;
         let (length, request, answer) = match self.parse(input) {
-            Ok(None) => match resp::head(input, PUT_WORDS - 1, LONGEST) {
+            Ok(None) => match resp::parse_head(input, PUT_WORDS - 1, LONGEST) {
                 Ok(Some(head)) if head.elements == PUT_WORDS => {
                     let length = head.start;
                     self.begin_body(session, head, output, intake);
@@ -94,8 +94,8 @@
                 Ok(Command::Info(section)) => {
                     let mut text = Vec::new();
                     match intake.core.report(&section) {
-                        Some(report) => resp::bulk(&mut text, report.as_bytes()),
-                        None => resp::bulk(&mut text, intake.core.info().as_bytes()),
+                        Some(report) => resp::write_bulk(&mut text, report.as_bytes()),
+                        None => resp::write_bulk(&mut text, intake.core.info().as_bytes()),
                     }
                     (Some(length), None, Some(text))
                 }
@@ -129,7 +129,7 @@
         pending.answer = Some(match answer {
             Answer::Served(value) => {
                 let mut text = Vec::with_capacity(value.len() + 16);
-                resp::bulk(&mut text, &value);
+                resp::write_bulk(&mut text, &value);
                 text
             }
             Answer::Refused { retry_after } => refusal(retry_after),
@@ -186,7 +186,7 @@
         let held_up = |receiving: &Receiving| receiving.flow.room() == 0 && !receiving.flow.is_complete();
         match &session.receiving {
             Some(receiving) => held_up(receiving),
-            None => session.pending.len() >= self.most_pending,
+            None => session.pending.len() >= self.max_pending,
         }
     }
 
@@ -199,7 +199,7 @@
     /// A whole command, unless its body is long: that one is passed through.
     fn parse(&self, input: &[u8]) -> Result<Option<(Value, usize)>, String> {
         match resp::parse(input) {
-            Err(why) => match resp::head(input, PUT_WORDS - 1, LONGEST) {
+            Err(why) => match resp::parse_head(input, PUT_WORDS - 1, LONGEST) {
                 Ok(Some(head)) if head.elements == PUT_WORDS && head.length > LONG => Ok(None),
                 _ => Err(why),
             },
--- a/src/front/room.rs
+++ b/src/front/room.rs
@@ -19,15 +19,15 @@
 
 /// How much the clients of a front may take up.
 #[derive(Clone, Copy, Debug)]
-pub struct Room {
+pub struct ClientLimits {
     /// Clients connected together without any having to go.
-    pub easy: usize,
+    pub evict_idle_above: usize,
     /// Clients connected together and served.
     pub clients: usize,
     /// Clients beyond these that are connected only to be told to come again.
-    pub crowd: usize,
+    pub overflow: usize,
     /// Connections beyond these that are ended, and wait for their far side to see it.
-    pub leaving: usize,
+    pub lingering: usize,
     /// Bytes of the bodies of open requests, and of what is kept for clients besides.
     pub bytes: usize,
 }
@@ -46,14 +46,14 @@
 impl<P: Protocol> Front<P> {
     /// Whether all places are taken, or were a moment ago when somebody came: a silent client that was closed for a newcomer
     /// leaves a place as soon as that one goes, and the next takes it.
-    pub fn is_crowded(&self, now: Instant) -> bool {
+    pub fn is_at_capacity(&self, now: Instant) -> bool {
         let lately = |at: Instant| now.saturating_duration_since(at) < CROWD_MEMORY;
-        self.in_service() >= self.room.clients || self.full_at.is_some_and(lately)
+        self.in_service() >= self.limits.clients || self.full_at.is_some_and(lately)
     }
 
     /// What clients may take up from now on.
-    pub fn set_room(&mut self, room: Room) {
-        self.room = room;
+    pub fn set_limits(&mut self, limits: ClientLimits) {
+        self.limits = limits;
     }
 
     /// Clients whose requests are taken.
@@ -63,7 +63,7 @@
 
     /// Takes the requests of a client that was to be told to come again, if there is a place by now.
     pub(super) fn serve_if_there_is_a_place(&mut self, id: usize) {
-        if self.in_service() >= self.room.clients {
+        if self.in_service() >= self.limits.clients {
             return;
         }
         if let Some(client) = self.clients.get_mut(&id) {
@@ -74,11 +74,11 @@
     /// Finds a place for a newcomer, and closes whom that takes. Nobody who was served goes for a newcomer while those that
     /// never asked for anything hold more than their part: who opens connections by the hundred displaces its own.
     pub(super) fn admission(&mut self, now: Instant) -> Admission {
-        if self.in_service() >= self.room.clients {
+        if self.in_service() >= self.limits.clients {
             self.full_at = Some(now);
         }
-        while self.in_service() >= self.room.clients {
-            let silent_have_too_much = self.idle.len(Idle::Silent) > self.room.clients / SILENT_PART;
+        while self.in_service() >= self.limits.clients {
+            let silent_have_too_much = self.idle.len(Idle::Silent) > self.limits.clients / SILENT_PART;
             let freed = match silent_have_too_much {
                 true => self.displace_longest_silent(),
                 false => self.close_an_idle_one(now, true),
@@ -87,10 +87,10 @@
                 break;
             }
         }
-        if self.in_service() < self.room.clients {
+        if self.in_service() < self.limits.clients {
             return Admission::Served;
         }
-        if self.crowded < self.room.crowd || self.close_longest(Idle::Crowded) {
+        if self.crowded < self.limits.overflow || self.close_longest(Idle::Crowded) {
             return Admission::Declined;
         }
         // What a silent client leaves is a place in service. Guards the descriptors: the places of the crowd are all taken.
@@ -103,7 +103,7 @@
     /// Whether newcomers wait until those that were let in before them were heard, which makes room at once: requests of
     /// whoever is one too many are only declined.
     pub(super) fn defers_newcomers(&self) -> bool {
-        let full = self.clients.len() >= self.room.clients + self.room.crowd;
+        let full = self.clients.len() >= self.limits.clients + self.limits.overflow;
         let silent = self.idle.len(Idle::Silent) + self.idle.len(Idle::Crowded);
         full && !self.backlog.is_empty() && silent == 0
     }
@@ -119,7 +119,7 @@
     /// again, as long as there are places for that: a client that asks a moment later gets an answer and no reset.
     fn displace_longest_silent(&mut self) -> bool {
         let Some((_, id)) = self.idle.longest(Idle::Silent) else { return false };
-        if self.crowded >= self.room.crowd && !self.close_longest(Idle::Crowded) {
+        if self.crowded >= self.limits.overflow && !self.close_longest(Idle::Crowded) {
             return self.remove(id).is_some();
         }
         let Some(client) = self.clients.get_mut(&id) else { return false };
--- a/src/front/sweep.rs
+++ b/src/front/sweep.rs
@@ -65,7 +65,7 @@
         // Guards against clients that each keep a connection and may hold only so many: the next request would find
         // none. Whoever is idle comes back on a new one.
         while !self.standing.keeps_idle
-            && self.in_service() > self.room.easy
+            && self.in_service() > self.limits.evict_idle_above
             && self.close_an_idle_one(now, false)
         {}
         for id in ended {
--- a/src/front/tests.rs
+++ b/src/front/tests.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 
 /// A front on a port of the system's choice.
-fn front(poll: &Poll, clock: Clock, room: Room) -> Front<resp::Resp> {
+fn front(poll: &Poll, clock: Clock, limits: ClientLimits) -> Front<resp::Resp> {
     let second = Duration::from_secs(1);
     let wire = Wire {
         classes: vec![],
@@ -19,23 +19,23 @@
     };
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let budget = crate::flow::Budget::new(0);
-    let resp = resp::Resp { wire, retry_after: second, most_pending: 64, budget };
-    Front::new(resp, Listener::open(any).unwrap(), Token(0), poll.registry(), clock, room).unwrap()
+    let resp = resp::Resp { wire, retry_after: second, max_pending: 64, budget };
+    Front::new(resp, Listener::open(any).unwrap(), Token(0), poll.registry(), clock, limits).unwrap()
 }
 
 #[test]
 fn one_client_has_a_bounded_say_in_a_turn_of_the_loop() {
     let poll = Poll::new().unwrap();
     let (clock, second, now) = (Clock::start(), Duration::from_secs(1), Instant::now());
-    let room = Room { easy: 4, clients: 4, crowd: 0, leaving: 1, bytes: 1 << 20 };
-    let mut front = front(&poll, clock, room);
+    let limits = ClientLimits { evict_idle_above: 4, clients: 4, overflow: 0, lingering: 1, bytes: 1 << 20 };
+    let mut front = front(&poll, clock, limits);
     let mut core = Core::new(clock, second);
     let mut client = std::net::TcpStream::connect(front.address().unwrap()).unwrap();
     let ping = b"*1\r\n$4\r\nPING\r\n";
     client.write_all(&ping.repeat(3 * MOST_TAKEN)).unwrap();
-    while front.len() == 0 {
+    while front.connection_count() == 0 {
         front.connections_pending();
-        front.turn(now, poll.registry(), || Token(16), &mut core);
+        front.run_iteration(now, poll.registry(), || Token(16), &mut core);
     }
     let mut answered = |front: &mut Front<resp::Resp>, turn: &mut dyn FnMut(&mut Front<resp::Resp>)| {
         turn(front);
@@ -47,7 +47,7 @@
     assert_eq!(first, MOST_TAKEN);
     assert_eq!(front.next_timer(now), now, "it goes on at once");
     let next = &mut |front: &mut Front<resp::Resp>| {
-        front.turn(now, poll.registry(), || Token(20), &mut core);
+        front.run_iteration(now, poll.registry(), || Token(20), &mut core);
     };
     assert_eq!(answered(&mut front, next), MOST_TAKEN);
 }
@@ -57,8 +57,9 @@
     let poll = Poll::new().unwrap();
     let (clock, second, start) = (Clock::start(), Duration::from_secs(1), Instant::now());
     let count = MOST_HEARD + 6;
-    let room = Room { easy: count, clients: count, crowd: 0, leaving: 1, bytes: 1 << 20 };
-    let mut front = front(&poll, clock, room);
+    let limits =
+        ClientLimits { evict_idle_above: count, clients: count, overflow: 0, lingering: 1, bytes: 1 << 20 };
+    let mut front = front(&poll, clock, limits);
     let (mut core, mut token) = (Core::new(clock, second), 0);
     let address = front.address().unwrap();
     let mut clients: Vec<_> = (0..count).map(|_| std::net::TcpStream::connect(address).unwrap()).collect();
@@ -66,9 +67,9 @@
         token += 16;
         Token(token)
     };
-    while front.len() < count {
+    while front.connection_count() < count {
         front.connections_pending();
-        front.turn(start, poll.registry(), &mut next, &mut core);
+        front.run_iteration(start, poll.registry(), &mut next, &mut core);
     }
     clients.iter_mut().for_each(|client| client.write_all(b"*1\r\n$4\r\nPING\r\n").unwrap());
     let ids: Vec<usize> = front.clients.keys().copied().collect();
@@ -77,11 +78,11 @@
     let late = start + SILENT_BEFORE_ROOM * 2;
     assert!(!front.close_an_idle_one(late, true));
     let heard = |front: &Front<resp::Resp>| front.clients.values().filter(|it| !it.queued).count();
-    front.turn(late, poll.registry(), &mut next, &mut core);
+    front.run_iteration(late, poll.registry(), &mut next, &mut core);
     assert_eq!(heard(&front), MOST_HEARD);
     assert_eq!(front.next_timer(late), late, "it goes on at once");
-    front.turn(late, poll.registry(), &mut next, &mut core);
-    assert_eq!((heard(&front), front.len()), (count, count));
+    front.run_iteration(late, poll.registry(), &mut next, &mut core);
+    assert_eq!((heard(&front), front.connection_count()), (count, count));
     for client in &mut clients {
         let mut answer = [0; 7];
         client.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
@@ -91,13 +92,17 @@
 }
 
 /// A front for so many clients, with a client for each place that has said nothing.
-fn full_of_silent_clients(poll: &Poll, room: Room) -> (Front<resp::Resp>, Vec<std::net::TcpStream>, Core) {
+fn full_of_silent_clients(
+    poll: &Poll,
+    limits: ClientLimits,
+) -> (Front<resp::Resp>, Vec<std::net::TcpStream>, Core) {
     let clock = Clock::start();
-    let mut front = front(poll, clock, room);
+    let mut front = front(poll, clock, limits);
     let mut core = Core::new(clock, Duration::from_secs(1));
-    let silent =
-        (0..room.clients).map(|_| std::net::TcpStream::connect(front.address().unwrap()).unwrap()).collect();
-    accept_until(&mut front, poll, &mut core, |front| front.len() >= room.clients);
+    let silent = (0..limits.clients)
+        .map(|_| std::net::TcpStream::connect(front.address().unwrap()).unwrap())
+        .collect();
+    accept_until(&mut front, poll, &mut core, |front| front.connection_count() >= limits.clients);
     (front, silent, core)
 }
 
@@ -109,16 +114,16 @@
 ) {
     let limit = Instant::now() + Duration::from_secs(20);
     while !done(front) {
-        assert!(Instant::now() < limit, "{} clients", front.len());
+        assert!(Instant::now() < limit, "{} clients", front.connection_count());
         let now = Instant::now();
         let mut last = front.clients.keys().copied().max().unwrap_or(0);
-        front.begin_turn(now, false);
+        front.begin_iteration(now, false);
         front.connections_pending();
         let next = || {
             last += 16;
             Token(last)
         };
-        front.turn(now, poll.registry(), next, core);
+        front.run_iteration(now, poll.registry(), next, core);
     }
 }
 
@@ -145,8 +150,9 @@
 #[test]
 fn who_says_nothing_makes_room_and_who_was_answered_stays() {
     let poll = Poll::new().unwrap();
-    let room = Room { easy: 20, clients: 20, crowd: 4, leaving: 4, bytes: 1 << 20 };
-    let (mut front, _silent, mut core) = full_of_silent_clients(&poll, room);
+    let limits =
+        ClientLimits { evict_idle_above: 20, clients: 20, overflow: 4, lingering: 4, bytes: 1 << 20 };
+    let (mut front, _silent, mut core) = full_of_silent_clients(&poll, limits);
     let served: Vec<_> = (0..6).map(|_| asked(&mut front, &poll, &mut core)).collect();
     let ids: Vec<usize> =
         front.clients.iter().filter(|(_, it)| it.session_asked()).map(|(id, _)| *id).collect();
@@ -158,7 +164,7 @@
     let newest = ids.iter().max().copied().unwrap() + 16 * wave.len();
     accept_until(&mut front, &poll, &mut core, |front| front.clients.keys().any(|id| *id >= newest));
     assert!(ids.iter().all(|id| front.clients.contains_key(id)), "a crowd closes no client in service");
-    assert!(front.len() <= room.clients + room.crowd);
+    assert!(front.connection_count() <= limits.clients + limits.overflow);
 }
 
 /// Lets a front know one class and one plan.
@@ -178,14 +184,14 @@
 #[test]
 fn a_client_that_waited_to_be_accepted_is_declined_once_half_of_its_time_is_over() {
     let poll = Poll::new().unwrap();
-    let room = Room { easy: 4, clients: 4, crowd: 1, leaving: 1, bytes: 1 << 20 };
-    let (mut front, _silent, mut core) = full_of_silent_clients(&poll, room);
+    let limits = ClientLimits { evict_idle_above: 4, clients: 4, overflow: 1, lingering: 1, bytes: 1 << 20 };
+    let (mut front, _silent, mut core) = full_of_silent_clients(&poll, limits);
     take_requests(&mut front);
     let mut client = std::net::TcpStream::connect(front.address().unwrap()).unwrap();
     client.write_all(&request_within("400")).unwrap();
     let came = Instant::now();
     std::thread::sleep(Duration::from_millis(260));
-    front.begin_turn(came, false);
+    front.begin_iteration(came, false);
     front.connections_pending();
     accept_until(&mut front, &poll, &mut core, |_| came.elapsed() > Duration::from_millis(300));
     assert_eq!((core.counters.read_late, core.counters.taken), (1, 0), "{:?}", core.counters);
@@ -197,14 +203,14 @@
 #[test]
 fn a_request_is_as_old_as_the_kernel_says_where_the_loop_can_not_tell() {
     let poll = Poll::new().unwrap();
-    let room = Room { easy: 4, clients: 4, crowd: 1, leaving: 1, bytes: 1 << 20 };
-    let (mut front, mut clients, mut core) = full_of_silent_clients(&poll, room);
+    let limits = ClientLimits { evict_idle_above: 4, clients: 4, overflow: 1, lingering: 1, bytes: 1 << 20 };
+    let (mut front, mut clients, mut core) = full_of_silent_clients(&poll, limits);
     let id = *front.clients.keys().min().unwrap();
     take_requests(&mut front);
     clients[0].write_all(&request_within("400")).unwrap();
     std::thread::sleep(Duration::from_millis(260));
     let now = Instant::now();
-    front.begin_turn(now, true);
+    front.begin_iteration(now, true);
     front.readable(now, id, &mut core);
     assert_eq!((core.counters.read_late, core.counters.taken), (1, 0), "{:?}", core.counters);
 }
@@ -215,10 +221,10 @@
 #[test]
 fn a_silent_client_that_lost_its_place_is_told_to_come_again() {
     let poll = Poll::new().unwrap();
-    let room = Room { easy: 4, clients: 4, crowd: 2, leaving: 2, bytes: 1 << 20 };
-    let (mut front, mut silent, mut core) = full_of_silent_clients(&poll, room);
+    let limits = ClientLimits { evict_idle_above: 4, clients: 4, overflow: 2, lingering: 2, bytes: 1 << 20 };
+    let (mut front, mut silent, mut core) = full_of_silent_clients(&poll, limits);
     asked(&mut front, &poll, &mut core);
-    assert_eq!((front.in_service(), front.crowded), (room.clients, 1));
+    assert_eq!((front.in_service(), front.crowded), (limits.clients, 1));
     silent[0].write_all(PING).unwrap();
     let displaced = *front.clients.iter().find(|(_, client)| client.crowded).unwrap().0;
     let limit = Instant::now() + Duration::from_secs(20);
@@ -238,9 +244,9 @@
 #[test]
 fn a_crowd_takes_no_more_places_than_there_are() {
     let poll = Poll::new().unwrap();
-    let room = Room { easy: 4, clients: 4, crowd: 1, leaving: 1, bytes: 1 << 20 };
+    let limits = ClientLimits { evict_idle_above: 4, clients: 4, overflow: 1, lingering: 1, bytes: 1 << 20 };
     let clock = Clock::start();
-    let mut front = front(&poll, clock, room);
+    let mut front = front(&poll, clock, limits);
     let mut core = Core::new(clock, Duration::from_secs(1));
     let address = front.address().unwrap();
     let begun = || {
@@ -250,7 +256,7 @@
     };
     let mut clients = vec![begun(), begun()];
     clients.extend((0..2).map(|_| std::net::TcpStream::connect(address).unwrap()));
-    accept_until(&mut front, &poll, &mut core, |front| front.len() == 4);
+    accept_until(&mut front, &poll, &mut core, |front| front.connection_count() == 4);
     // Together, so that some are accepted before any of them is heard.
     clients.extend((0..8).map(|_| begun()));
     let (start, mut most) = (Instant::now(), 0);
@@ -259,7 +265,7 @@
         accept_until(&mut front, &poll, &mut core, |_| turned.replace(true));
         most = most.max(front.clients.len());
     }
-    assert!(most <= room.clients + room.crowd, "{most} clients");
+    assert!(most <= limits.clients + limits.overflow, "{most} clients");
 }
 
 /// A new connection is writable at once. Where more than a turn hears came together, those beyond it waited to be heard without
@@ -269,8 +275,9 @@
 fn a_connection_that_is_only_writable_is_still_a_silent_one() {
     let poll = Poll::new().unwrap();
     let count = MOST_HEARD + 20;
-    let room = Room { easy: count, clients: count, crowd: 1, leaving: 1, bytes: 1 << 20 };
-    let (mut front, _silent, mut core) = full_of_silent_clients(&poll, room);
+    let limits =
+        ClientLimits { evict_idle_above: count, clients: count, overflow: 1, lingering: 1, bytes: 1 << 20 };
+    let (mut front, _silent, mut core) = full_of_silent_clients(&poll, limits);
     let now = Instant::now();
     let ids: Vec<usize> = front.clients.keys().copied().collect();
     ids.iter().for_each(|id| front.writable(now, *id, &mut core));
@@ -283,13 +290,14 @@
 #[test]
 fn places_are_scarce_for_a_while_after_a_newcomer_found_none() {
     let poll = Poll::new().unwrap();
-    let room = Room { easy: 20, clients: 20, crowd: 4, leaving: 4, bytes: 1 << 20 };
-    let (mut front, _silent, mut core) = full_of_silent_clients(&poll, room);
+    let limits =
+        ClientLimits { evict_idle_above: 20, clients: 20, overflow: 4, lingering: 4, bytes: 1 << 20 };
+    let (mut front, _silent, mut core) = full_of_silent_clients(&poll, limits);
     drop(asked(&mut front, &poll, &mut core));
     let newcomer = front.clients.keys().copied().max().unwrap();
-    front.ended(Instant::now(), newcomer, &mut core);
-    assert!(front.in_service() < room.clients, "it has gone");
+    front.peer_closed(Instant::now(), newcomer, &mut core);
+    assert!(front.in_service() < limits.clients, "it has gone");
     let now = Instant::now();
-    assert!(front.is_crowded(now));
-    assert!(!front.is_crowded(now + room::CROWD_MEMORY), "nobody came since");
+    assert!(front.is_at_capacity(now));
+    assert!(!front.is_at_capacity(now + room::CROWD_MEMORY), "nobody came since");
 }
--- a/src/resp.rs
+++ b/src/resp.rs
@@ -1,7 +1,7 @@
 //! RESP2: reading whole values off an input that comes in pieces, and writing them.
 
 /// A value of at most this many bytes is read whole; what is longer is read by its head, and passed through.
-pub const LARGEST_BULK: usize = 64 * 1024;
+pub const MAX_BULK_BYTES: usize = 64 * 1024;
 /// More elements than any command or answer has.
 const MOST_ELEMENTS: usize = 64;
 /// A line (a length, a status or an error) is not longer.
@@ -39,7 +39,7 @@
         b'-' => Ok(Some((Value::Error(line.to_vec()), start))),
         b':' => Ok(Some((Value::Integer(number(line)?), start))),
         b'$' => {
-            let Some(length) = length(line, LARGEST_BULK)? else {
+            let Some(length) = length(line, MAX_BULK_BYTES)? else {
                 return Ok(Some((Value::Bulk(None), start)));
             };
             let Some(bytes) = input.get(start..start + length + 2) else { return Ok(None) };
@@ -77,7 +77,7 @@
 
 /// Reads an array of bulk strings up to the head of the one at a place, counted from 0: nothing while that has not
 /// come, or where the array is of another form.
-pub fn head(input: &[u8], place: usize, largest: usize) -> Result<Option<Head>, String> {
+pub fn parse_head(input: &[u8], place: usize, largest: usize) -> Result<Option<Head>, String> {
     let line = |at: usize, kind: u8| -> Result<Option<(&[u8], usize)>, String> {
         let rest = input.get(at..).unwrap_or_default();
         if rest.first() != Some(&kind) {
@@ -126,7 +126,7 @@
 }
 
 /// A bulk string.
-pub fn bulk(output: &mut Vec<u8>, bytes: &[u8]) {
+pub fn write_bulk(output: &mut Vec<u8>, bytes: &[u8]) {
     output.extend_from_slice(format!("${}\r\n", bytes.len()).as_bytes());
     output.extend_from_slice(bytes);
     output.extend_from_slice(b"\r\n");
@@ -135,7 +135,7 @@
 /// A command: an array of bulk strings.
 pub fn command(words: &[&[u8]]) -> Vec<u8> {
     let mut output = format!("*{}\r\n", words.len()).into_bytes();
-    words.iter().for_each(|word| bulk(&mut output, word));
+    words.iter().for_each(|word| write_bulk(&mut output, word));
     output
 }
 
--- a/src/resp/tests.rs
+++ b/src/resp/tests.rs
@@ -37,20 +37,23 @@
     let whole = command(&[b"OBJ.PUT", b"x", &[7; 100]]);
     let start = whole.len() - 102;
     for cut in 0..start {
-        assert_eq!(head(&whole[..cut], 2, 100), Ok(None), "cut at {cut}");
+        assert_eq!(parse_head(&whole[..cut], 2, 100), Ok(None), "cut at {cut}");
     }
     let words = vec![b"OBJ.PUT".to_vec(), b"x".to_vec()];
-    assert_eq!(head(&whole[..start], 2, 100), Ok(Some(Head { elements: 3, words, length: 100, start })));
-    assert_eq!(head(&whole, 3, 100), Ok(None), "there is no such place");
-    assert!(head(&whole, 2, 99).is_err(), "too long");
-    assert_eq!(head(b"+OK\r\n", 0, 100), Ok(None));
-    assert_eq!(head(b"*1\r\n$-1\r\n", 0, 100), Ok(None));
+    assert_eq!(
+        parse_head(&whole[..start], 2, 100),
+        Ok(Some(Head { elements: 3, words, length: 100, start }))
+    );
+    assert_eq!(parse_head(&whole, 3, 100), Ok(None), "there is no such place");
+    assert!(parse_head(&whole, 2, 99).is_err(), "too long");
+    assert_eq!(parse_head(b"+OK\r\n", 0, 100), Ok(None));
+    assert_eq!(parse_head(b"*1\r\n$-1\r\n", 0, 100), Ok(None));
 }
 
 proptest::proptest! {
     #[test]
     fn any_bytes_are_read_or_declined(bytes: Vec<u8>) {
-        if let Ok(Some(head)) = head(&bytes, 2, 100) {
+        if let Ok(Some(head)) = parse_head(&bytes, 2, 100) {
             proptest::prop_assert!(head.start <= bytes.len());
         }
         if let Ok(Some((_, length))) = parse(&bytes) {
--- a/src/service/addresses.rs
+++ b/src/service/addresses.rs
@@ -303,8 +303,8 @@
     let mut open = Vec::new();
     for (wire, endpoint) in endpoints {
         match (wire, &lent.iscsi) {
-            (Wire::Iscsi, Some(front)) => open.extend(front.open_at(*endpoint)),
-            _ => open.extend(lent.resp.open_at(*endpoint)),
+            (Wire::Iscsi, Some(front)) => open.extend(front.open_requests_at(*endpoint)),
+            _ => open.extend(lent.resp.open_requests_at(*endpoint)),
         }
     }
     open
--- a/src/target/resp.rs
+++ b/src/target/resp.rs
@@ -63,7 +63,7 @@
                 Ok(Step::Piece(piece))
             }
             None => {
-                let head = resp::head(input, 0, LONGEST).ok().flatten();
+                let head = resp::parse_head(input, 0, LONGEST).ok().flatten();
                 match head.filter(|head| self.long && head.elements == ELEMENTS && head.length > LONG) {
                     Some(head) => {
                         input.drain(..head.start);
--- a/src/target/resp/tests.rs
+++ b/src/target/resp/tests.rs
@@ -38,7 +38,7 @@
 fn a_long_answer_is_passed_on_as_it_comes_and_read_to_its_end_however_it_is_cut() {
     let value: Vec<u8> = (0..LONG + 1).map(|at| at as u8).collect();
     let mut answer = b"*3\r\n".to_vec();
-    resp::bulk(&mut answer, &value);
+    resp::write_bulk(&mut answer, &value);
     answer.extend(b"$14\r\nused=37,cost=4\r\n$-1\r\n");
     for size in [1, 7, 4096, answer.len()] {
         let mut session = Session { left: None, long: true };
--- a/tests/net/helper.rs
+++ b/tests/net/helper.rs
@@ -617,7 +617,7 @@
 /// A node's answer with a value and nothing else.
 fn served(value: &[u8]) -> Vec<u8> {
     let mut answer = b"*3\r\n".to_vec();
-    resp::bulk(&mut answer, value);
+    resp::write_bulk(&mut answer, value);
     answer.extend(b"$-1\r\n$-1\r\n");
     answer
 }
