--- a/src/forwarder/budget.rs
+++ b/src/forwarder/budget.rs
@@ -2,7 +2,7 @@
 
 use crate::config::Config;
 use crate::control::endpoint;
-use crate::front::Room;
+use crate::front::ClientLimits;
 use crate::process;
 
 /// Limit of iSCSI sessions. Each may buffer a window of writes, so a large number of them would exhaust the memory.
@@ -29,7 +29,10 @@
 
 /// Returns the limit of connections to targets and the capacity for clients. `descriptors` and `bytes` are in use by
 /// another process of this initiator and are subtracted from its limits.
-pub(super) fn connection_budget(config: &Config, (descriptors, bytes): (usize, usize)) -> (usize, Room) {
+pub(super) fn connection_budget(
+    config: &Config,
+    (descriptors, bytes): (usize, usize),
+) -> (usize, ClientLimits) {
     let sockets = config.sockets.saturating_sub(descriptors);
     let for_targets = (sockets as f64 * TARGET_DESCRIPTOR_SHARE) as usize;
     let crowd = (sockets as f64 * REJECTED_CLIENT_DESCRIPTOR_SHARE) as usize;
@@ -40,5 +43,8 @@
     let clients = sockets.saturating_sub(for_targets + 2 * crowd + more).max(MAX_ISCSI_SESSIONS / 4);
     let easy = (sockets as f64 * IDLE_CLIENT_DESCRIPTOR_SHARE) as usize;
     let bytes = config.memory.saturating_sub(bytes) / CLIENT_MEMORY_DIVISOR;
-    (for_targets.max(MAX_ISCSI_SESSIONS / 4), Room { easy, clients, crowd, leaving: crowd, bytes })
+    (
+        for_targets.max(MAX_ISCSI_SESSIONS / 4),
+        ClientLimits { evict_idle_above: easy, clients, overflow: crowd, lingering: crowd, bytes },
+    )
 }
--- a/src/forwarder/effects.rs
+++ b/src/forwarder/effects.rs
@@ -62,7 +62,7 @@
     pub(super) fn relay_transfers(&mut self, now: Instant) {
         for attempt in self.targets.blocked_on_client() {
             let Some(origin) = self.core.stream(attempt) else { continue };
-            let room = self.resp.room(origin);
+            let room = self.resp.answer_capacity(origin);
             // Avoids many small reads.
             if room >= WINDOW / 2 {
                 self.targets.grant_credit(now, attempt, room);
@@ -77,19 +77,19 @@
                         if grant.is_some() {
                             self.targets.grant_credit(now, attempt, usize::MAX);
                         }
-                        self.resp.begin(now, origin, length, grant, &mut self.core);
+                        self.resp.begin_answer(now, origin, length, grant, &mut self.core);
                     }
                     None => self.targets.stop(attempt, Outcome::Cancelled),
                 },
                 TransferEvent::AnswerData(piece) => {
                     if let Some(origin) = self.core.stream(attempt) {
-                        self.resp.piece(now, origin, &piece, &mut self.core);
+                        self.resp.write_piece(now, origin, &piece, &mut self.core);
                     }
                 }
                 TransferEvent::Slow => self.core.takes_time(attempt),
                 TransferEvent::BodyProgress => {
                     if let Some(origin) = self.core.origin(attempt.request) {
-                        self.resp.go_on(now, origin.conn, &mut self.core);
+                        self.resp.resume(now, origin.conn, &mut self.core);
                     }
                 }
             }
@@ -99,7 +99,7 @@
     pub(super) fn apply_effect(&mut self, now: Instant, effect: Effect) {
         match effect {
             Effect::Moved { attempt } => self.targets.continue_body(now, attempt),
-            Effect::Finish { origin, whole } => self.resp.finish(now, origin, whole, &mut self.core),
+            Effect::Finish { origin, whole } => self.resp.finish_answer(now, origin, whole, &mut self.core),
             Effect::Answer { origin, answer } => match (Kind::of(origin.conn), &mut self.iscsi) {
                 (Some(Kind::IscsiClient), Some(front)) => front.answer(now, origin, answer, &mut self.core),
                 _ => self.resp.answer(now, origin, answer, &mut self.core),
--- a/src/forwarder/mod.rs
+++ b/src/forwarder/mod.rs
@@ -140,8 +140,8 @@
             self.core.is_late_by(late);
             self.report_loop(now);
             self.arrived_since = now.checked_sub(pace.waited()).unwrap_or(now);
-            self.resp.begin_turn(self.arrived_since, stopped);
-            self.iscsi.iter_mut().for_each(|front| front.begin_turn(self.arrived_since, stopped));
+            self.resp.begin_iteration(self.arrived_since, stopped);
+            self.iscsi.iter_mut().for_each(|front| front.begin_iteration(self.arrived_since, stopped));
             self.answer_overdue_requests(now);
             self.update_sizes();
             if let Some(addresses) = &mut self.addresses {
@@ -197,7 +197,7 @@
         let received: Vec<bool> = ADVERTISEMENTS.iter().map(|token| ready.contains(*token)).collect();
         let discovery = self.discovery.heard();
         let ready_nodes = self.nodes.ready();
-        let (descriptors_used_up, memory) = (self.resp.is_crowded(now), self.config.memory);
+        let (descriptors_used_up, memory) = (self.resp.is_at_capacity(now), self.config.memory);
         self.with_addresses(|addresses, context| {
             for (interface, _) in received.iter().enumerate().filter(|(_, received)| **received) {
                 addresses.ready(interface);
@@ -281,8 +281,8 @@
     /// Passes the service state on to the fronts.
     fn publish_service_state(&mut self) {
         let policy = self.state.client_policy();
-        self.resp.follow_service_state(policy);
-        self.iscsi.iter_mut().for_each(|front| front.follow_service_state(policy));
+        self.resp.set_service_state(policy);
+        self.iscsi.iter_mut().for_each(|front| front.set_service_state(policy));
     }
 
     /// Reads the configuration again and applies what can change without a restart. Nothing changes before all files
@@ -311,9 +311,9 @@
     /// Runs the fronts for one iteration.
     fn run_fronts(&mut self, now: Instant) {
         let (registry, tokens, core) = (self.poll.registry(), &mut self.tokens, &mut self.core);
-        self.resp.turn(now, registry, || tokens.next(Kind::RespClient), core);
+        self.resp.run_iteration(now, registry, || tokens.next(Kind::RespClient), core);
         if let Some(front) = &mut self.iscsi {
-            front.turn(now, registry, || tokens.next(Kind::IscsiClient), core);
+            front.run_iteration(now, registry, || tokens.next(Kind::IscsiClient), core);
         }
     }
 
--- a/src/forwarder/start.rs
+++ b/src/forwarder/start.rs
@@ -12,7 +12,7 @@
 use crate::core::Core;
 use crate::discovery::{self, Discovery, News};
 use crate::flow::Budget;
-use crate::front::{iscsi, resp, Front, Room};
+use crate::front::{iscsi, resp, ClientLimits, Front};
 use crate::interface::{Event, ListKind};
 use crate::listener::Listener;
 use crate::nodes::Nodes;
@@ -70,11 +70,11 @@
         let iscsi = config.iscsi.clone().map(|offered| {
             offered.storage.iter().for_each(|storage| nodes.add_own(storage));
             let deadlines = settings.classes.iter().map(|class| class.deadline).collect();
-            let room = Room {
-                easy: MAX_ISCSI_SESSIONS,
+            let room = ClientLimits {
+                evict_idle_above: MAX_ISCSI_SESSIONS,
                 clients: MAX_ISCSI_SESSIONS,
-                crowd: 0,
-                leaving: MAX_ISCSI_SESSIONS / 4,
+                overflow: 0,
+                lingering: MAX_ISCSI_SESSIONS / 4,
                 ..room
             };
             let address = offered.listen;
@@ -87,7 +87,7 @@
         });
         let budget = Budget::new(config.memory / LONG_VALUE_MEMORY_DIVISOR);
         let most_pending = (max_queued / PIPELINE_DIVISOR).clamp(1, MAX_PIPELINED);
-        let resp = resp::Resp { wire, retry_after, most_pending, budget: budget.clone() };
+        let resp = resp::Resp { wire, retry_after, max_pending: most_pending, budget: budget.clone() };
         let resp = open_listener(ListenerAddress::Resp(config.listen), config.listen)
             .and_then(|listener| Front::new(resp, listener, LISTENER, poll.registry(), clock, room))
             .map_err(|error| format!("{}: {error}", config.listen))?;
--- a/src/forwarder/succession.rs
+++ b/src/forwarder/succession.rs
@@ -25,14 +25,14 @@
 impl Forwarder {
     /// Handles messages of other processes, and hands idle clients to the successor.
     pub(super) fn run_upgrade(&mut self, now: Instant) {
-        let (clients, targets) = (self.resp.len(), self.targets.len());
+        let (clients, targets) = (self.resp.connection_count(), self.targets.len());
         let events = self
             .upgrade
             .run(now, self.poll.registry(), &mut self.tokens, || resource_usage(clients, targets));
         self.handle_upgrade_events(now, events);
         if self.state.is_replaced() {
             let upgrade = &mut self.upgrade;
-            self.resp.hand_over(self.poll.registry(), |client| match client {
+            self.resp.hand_over_idle_clients(self.poll.registry(), |client| match client {
                 None => upgrade.can_send_client(),
                 Some((stream, input)) => {
                     upgrade.send_client(stream, input);
@@ -54,7 +54,7 @@
                     let token = self.tokens.next(Kind::RespClient);
                     let (registry, core) = (self.poll.registry(), &mut self.core);
                     core.counters.clients_taken_over += 1;
-                    self.resp.take_over(now, (stream, input), token, registry, core);
+                    self.resp.adopt_client(now, (stream, input), token, registry, core);
                 }
                 UpgradeEvent::Ban { name, unix, out } => {
                     if let Err(why) = self.ban(now, unix, &name, out) {
@@ -106,7 +106,8 @@
     fn hand_over_to(&mut self, now: Instant, peer: usize, admin_listener: bool) {
         let (planner, nodes, targets) = (&mut self.planner, &self.nodes, &mut self.targets);
         let (fleet, rejoin_at) = (&mut self.fleet, &mut self.rejoin_fleet_at);
-        let (drained, list, clients) = (self.state.is_drained(), self.discovery.version(), self.resp.len());
+        let (drained, list, clients) =
+            (self.state.is_drained(), self.discovery.version(), self.resp.connection_count());
         let handed_over = self.upgrade.send_state(peer, || {
             // The successor needs the descriptors.
             targets.close_all_idle();
@@ -133,9 +134,9 @@
 
     pub(super) fn accept_clients(&mut self, now: Instant, accept: bool) {
         let registry = self.poll.registry();
-        self.resp.accept_newcomers(accept, LISTENER, registry, now);
+        self.resp.set_accepting(accept, LISTENER, registry, now);
         if let Some(front) = &mut self.iscsi {
-            front.accept_newcomers(accept, ISCSI_LISTENER, registry, now);
+            front.set_accepting(accept, ISCSI_LISTENER, registry, now);
         }
     }
 
@@ -145,14 +146,14 @@
         self.targets.set_max_connections(for_targets);
         self.budget
             .resize(self.config.memory.saturating_sub(self.predecessor_usage.1) / LONG_VALUE_MEMORY_DIVISOR);
-        self.resp.set_room(room);
+        self.resp.set_limits(room);
     }
 
     /// Advances the shutdown; true once the process can exit. A client whose connection is closed early has no other
     /// server to ask, so all clients are served for as long as the platform allows.
     pub(super) fn shut_down(&mut self, now: Instant, elapsed: Duration) -> bool {
         let longest = self.longest_deadline().min(MAX_COUNTED_DEADLINE);
-        let clients = self.resp.len() + self.iscsi.as_ref().map_or(0, Front::len);
+        let clients = self.resp.connection_count() + self.iscsi.as_ref().map_or(0, Front::connection_count);
         // New connections go to the successor.
         if (elapsed < ACCEPT_AFTER_SIGTERM && !self.state.is_replaced())
             || (elapsed < longest + STOP_ACCEPTING_AFTER && clients > 0)
--- a/src/service/addresses.rs
+++ b/src/service/addresses.rs
@@ -322,8 +322,8 @@
     let mut open = Vec::new();
     for (wire, endpoint) in endpoints {
         match (wire, &context.iscsi) {
-            (Wire::Iscsi, Some(front)) => open.extend(front.open_at(*endpoint)),
-            _ => open.extend(context.resp.open_at(*endpoint)),
+            (Wire::Iscsi, Some(front)) => open.extend(front.open_requests_at(*endpoint)),
+            _ => open.extend(context.resp.open_requests_at(*endpoint)),
         }
     }
     open
--- a/src/target/resp.rs
+++ b/src/target/resp.rs
@@ -65,7 +65,7 @@
                 Ok(Step::Data(piece))
             }
             None => {
-                let head = resp::head(input, 0, LONGEST).ok().flatten();
+                let head = resp::parse_head(input, 0, LONGEST).ok().flatten();
                 match head
                     .filter(|head| self.may_stream && head.elements == ANSWER_ELEMENTS && head.length > LONG)
                 {
--- a/src/target/resp/tests.rs
+++ b/src/target/resp/tests.rs
@@ -38,7 +38,7 @@
 fn a_long_answer_is_passed_on_in_pieces_and_read_to_its_end_for_any_split() {
     let value: Vec<u8> = (0..LONG + 1).map(|at| at as u8).collect();
     let mut answer = b"*3\r\n".to_vec();
-    resp::bulk(&mut answer, &value);
+    resp::write_bulk(&mut answer, &value);
     answer.extend(b"$14\r\nused=37,cost=4\r\n$-1\r\n");
     for size in [1, 7, 4096, answer.len()] {
         let mut session = Session { value_left: None, may_stream: true };
