--- a/lab/src/hollow/initiator.rs
+++ b/lab/src/hollow/initiator.rs
@@ -10,7 +10,7 @@
 use topazpath::config::Config;
 use topazpath::core::Core;
 use topazpath::discovery::{Discovery, Manner};
-use topazpath::fleet::speaker::Speaker;
+use topazpath::fleet::speaker::Driver;
 use topazpath::interface::{Event, NewRequest, RequestId, VolumeId};
 use topazpath::nodes::Nodes;
 use topazpath::planner::client::Planners;
@@ -41,7 +41,7 @@
     planners: Planners,
     discovery: Discovery,
     nodes: Nodes,
-    fleet: Speaker,
+    fleet: Driver,
     fleet_token: Token,
     fleet_lines: String,
     planner_lines: String,
@@ -91,7 +91,7 @@
         let fleet_token = tokens.next(Kind::Upgrade);
         let part = config.fleet.as_ref().ok_or("no fleet is set up")?;
         let drawn = (clock.unix(now), config.seed);
-        let fleet = Speaker::start(part, drawn, None, fleet_token, registry, now)?;
+        let fleet = Driver::start(part, drawn, None, fleet_token, registry, now)?;
         let mut core = Core::new(clock, config.settings.limits.max_retry_after);
         core.set_classes(&config.settings.classes);
         Ok(Hollow {
@@ -128,7 +128,7 @@
         self.core.is_late_by(late);
         for token in ready {
             if *token == self.fleet_token {
-                self.fleet.ready();
+                self.fleet.set_readable();
             } else if Kind::of(token.0) == Some(Kind::Planner) {
                 self.planners.ready(now, *token);
             } else if let Some(news) = self.discovery.ready(now, now, *token) {
@@ -138,8 +138,8 @@
                 told.push(Told::List(index));
             }
         }
-        self.fleet.turn(now, late);
-        if let Some((lines, _)) = self.fleet.info(now) {
+        self.fleet.poll(now, late);
+        if let Some((lines, _)) = self.fleet.due_report(now) {
             self.fleet_lines = lines;
         }
         self.core.fire(now);
--- a/lab/src/membership/model.rs
+++ b/lab/src/membership/model.rs
@@ -86,20 +86,20 @@
             }
             Message::Promise(from, to, ballot, accepted) => {
                 let own = state.proposals[to].as_mut().filter(|proposal| proposal.ballot == ballot);
-                if let Some(change) = own.and_then(|it| it.vote(&view, &name(from), accepted, [])) {
+                if let Some(change) = own.and_then(|it| it.add_vote(&view, &name(from), accepted, [])) {
                     let all =
                         (0..self.members).map(|it| Message::Propose(to, it, ballot.clone(), change.clone()));
                     self.say(state, all.collect::<Vec<_>>());
                 }
             }
             Message::Propose(from, to, ballot, change) => {
-                if state.acceptors[to].as_mut().is_some_and(|acceptor| acceptor.propose(&ballot, &change)) {
+                if state.acceptors[to].as_mut().is_some_and(|acceptor| acceptor.accept(&ballot, &change)) {
                     self.say(state, [Message::Accepted(to, from, ballot)]);
                 }
             }
             Message::Accepted(from, to, ballot) => {
                 let own = state.proposals[to].as_mut().filter(|proposal| proposal.ballot == ballot);
-                state.decided.extend(own.and_then(|proposal| proposal.accepted(&view, &name(from))));
+                state.decided.extend(own.and_then(|proposal| proposal.add_accepted(&view, &name(from))));
             }
         }
     }
--- a/lab/src/membership/simulation.rs
+++ b/lab/src/membership/simulation.rs
@@ -221,7 +221,7 @@
             gones.extend(gone);
             lasted.extend(gone.zip(suspicion).map(|(gone, suspicion)| gone.saturating_sub(suspicion)));
         }
-        let (least, _) = topazpath::fleet::suspicion::bounds(terms.period, terms.suspicion_periods, size);
+        let (least, _) = topazpath::fleet::suspicion::timeout_bounds(terms.period, terms.suspicion_periods, size);
         let (suspicion, gone) = (spread(&suspicions), spread(&gones));
         let over = spread(&lasted).map(|lasted| lasted / (least.as_secs_f64() * 1000.0));
         println!(
--- a/lab/src/membership/world.rs
+++ b/lab/src/membership/world.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use topazpath::fleet::frame::Frame;
 use topazpath::fleet::member::{Action, Event, Member, Parameters, Phase};
-use topazpath::fleet::suspicion::bounds;
+use topazpath::fleet::suspicion::timeout_bounds;
 use topazpath::fleet::update::Generation;
 use topazpath::fleet::view::{View, ViewId};
 
@@ -251,7 +251,7 @@
             generation,
             seeds,
             period: self.terms.period,
-            answer: self.terms.answer,
+            ack_timeout: self.terms.answer,
             helpers: self.terms.helpers,
             suspicion_periods: self.terms.suspicion_periods,
             seed,
@@ -405,7 +405,7 @@
     /// A process goes on: it learns how late it is, and then what came meanwhile.
     fn go_on(&mut self, who: usize) {
         let Some(since) = self.machines[who].paused.take() else { return };
-        let late = self.tells_lateness.then_some(Event::Late(self.now - since));
+        let late = self.tells_lateness.then_some(Event::Delayed(self.now - since));
         let mut events: Vec<Event> = late.into_iter().collect();
         let inbox = std::mem::take(&mut self.machines[who].inbox);
         // The kernel keeps so many datagrams of a socket.
@@ -452,7 +452,8 @@
             |generation: &(String, Generation)| own.iter().any(|view| generations(view).contains(generation));
         self.breaches.revived +=
             generations(&view).iter().filter(|it| !last.contains(it) && was_in(it)).count();
-        let (_, longest) = bounds(self.terms.period, self.terms.suspicion_periods, view.members.len() + 1);
+        let (_, longest) =
+            timeout_bounds(self.terms.period, self.terms.suspicion_periods, view.members.len() + 1);
         for (name, generation) in last.iter().filter(|it| !generations(&view).contains(it)) {
             let gone = self.machines.iter().find(|machine| machine.name == *name);
             let there = gone.filter(|machine| {
--- a/lab/src/vrrp/cost.rs
+++ b/lab/src/vrrp/cost.rs
@@ -12,7 +12,7 @@
 use topazpath::vrrp::packet::Coverage;
 use topazpath::vrrp::routers::Router;
 use topazpath::vrrp::settings::Interface;
-use topazpath::vrrp::speaker::Speaker;
+use topazpath::vrrp::speaker::Driver;
 use topazpath::vrrp::timers::Timers;
 
 /// The interval of advertisements.
@@ -72,7 +72,7 @@
 fn speak(interface: Interface, routers: Vec<Router>, time: Duration) -> Result<(f64, f64), String> {
     let mut poll = Poll::new().map_err(|error| error.to_string())?;
     let start = Instant::now();
-    let mut speaker = Speaker::start(&[interface], routers, &[], [Token(0)], poll.registry(), start)?;
+    let mut speaker = Driver::start(&[interface], routers, &[], [Token(0)], poll.registry(), start)?;
     let mut events = Events::with_capacity(16);
     let (settled, mut marked) = (start + INTERVAL * 6, None);
     while start.elapsed() < INTERVAL * 6 + time {
@@ -86,9 +86,9 @@
             other => other.map_err(|error| error.to_string())?,
         }
         if !events.is_empty() {
-            speaker.ready(0);
+            speaker.set_readable(0);
         }
-        speaker.turn(Instant::now());
+        speaker.poll(Instant::now());
     }
     let (since, before, bytes) = marked.ok_or("it never settled")?;
     let wall = since.elapsed().as_secs_f64();
--- a/lab/src/vrrp/loss.rs
+++ b/lab/src/vrrp/loss.rs
@@ -4,7 +4,7 @@
 use rand_chacha::ChaCha8Rng;
 use std::net::IpAddr;
 use std::time::Duration;
-use topazpath::vrrp::machine::{Event, Machine, Parameters, Role, Step};
+use topazpath::vrrp::machine::{Event, Parameters, Role, StateMachine, Step};
 
 /// How long a packet takes.
 const WAY: Duration = Duration::from_millis(1);
@@ -22,7 +22,7 @@
 
 struct Sim {
     own: [Parameters; 2],
-    machines: [Machine; 2],
+    machines: [StateMachine; 2],
     /// Packets on their way: when they arrive, at whom, with what priority.
     packets: Vec<(Duration, usize, u8)>,
     loss: f64,
@@ -43,7 +43,7 @@
     }
 
     fn next(&self) -> Duration {
-        let timers = self.machines.iter().filter_map(Machine::timer);
+        let timers = self.machines.iter().filter_map(StateMachine::timer);
         timers.chain(self.packets.iter().map(|packet| packet.0)).min().unwrap_or(Duration::MAX)
     }
 }
@@ -56,7 +56,7 @@
         preempt_delay: Duration::ZERO,
         address: IpAddr::from([192, 0, 2, last]),
     });
-    let machines = [0, 1].map(|at| Machine::new(&own[at], PRIORITIES[at]));
+    let machines = [0, 1].map(|at| StateMachine::new(&own[at], PRIORITIES[at]));
     let random = ChaCha8Rng::seed_from_u64(seed);
     let mut sim = Sim { own, machines, packets: Vec::new(), loss, random, takeovers: 0 };
     // The first is Active before the second starts, so that what is counted is false.
--- a/lab/src/vrrp/model.rs
+++ b/lab/src/vrrp/model.rs
@@ -8,7 +8,7 @@
 use std::net::IpAddr;
 use std::time::Duration;
 use topazpath::handover::{self, Duty, Order};
-use topazpath::vrrp::machine::{Event, Machine, Parameters, Role};
+use topazpath::vrrp::machine::{Event, Parameters, Role, StateMachine};
 
 /// A quarter of an interval, and the interval.
 const TICK: Duration = Duration::from_millis(64);
@@ -90,7 +90,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Node {
     power: Power,
-    machine: Machine,
+    machine: StateMachine,
     duty: Duty,
 }
 
@@ -311,7 +311,7 @@
     fn init_states(&self) -> Vec<World> {
         let node = |(at, priority): (usize, &u8)| Node {
             power: Power::On,
-            machine: Machine::new(&parameters(at), *priority),
+            machine: StateMachine::new(&parameters(at), *priority),
             duty: Duty::Standby,
         };
         let mut world = World {
@@ -396,7 +396,7 @@
                 world.left.crashes -= 1;
                 let node = &mut world.nodes[at];
                 node.power = Power::Off;
-                node.machine = Machine::new(&parameters(at), self.priorities[at]);
+                node.machine = StateMachine::new(&parameters(at), self.priorities[at]);
                 node.duty = Duty::Standby;
                 world.packets.retain(|packet| packet.to as usize != at);
                 for item in &mut world.items {
--- a/src/fleet/frame.rs
+++ b/src/fleet/frame.rs
@@ -9,13 +9,13 @@
 /// The version of this form.
 pub const VERSION: u8 = 1;
 /// A datagram is not longer: it passes most paths in one piece.
-pub const MAX_BYTES: usize = 1400;
+pub const MAX_DATAGRAM_BYTES: usize = 1400;
 /// Bytes of a datagram that updates may take up.
-pub const UPDATE_BYTES: usize = 900;
+pub const MAX_UPDATE_BYTES: usize = 900;
 /// Updates that one datagram can hold at all.
 const MAX_UPDATES: usize = 64;
 /// Entries of a view in one datagram.
-pub const PAGE: usize = 16;
+pub const ENTRIES_PER_PAGE: usize = 16;
 
 /// The message of a frame, besides the updates that are piggybacked on it. The order of the variants is the wire's.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -38,7 +38,7 @@
         /// The number of the request.
         number: u32,
         /// It answered.
-        there: bool,
+        reachable: bool,
     },
     /// The sender asks to be taken in; its update goes along.
     Join,
@@ -121,7 +121,7 @@
 
     /// Reads a datagram; an error says what is wrong with it.
     pub fn read(bytes: &[u8], tag: u64) -> Result<Frame, &'static str> {
-        if bytes.len() > MAX_BYTES {
+        if bytes.len() > MAX_DATAGRAM_BYTES {
             return Err("too long");
         }
         if bytes.first() != Some(&VERSION) {
@@ -152,7 +152,7 @@
         let message = match &self.message {
             Message::IndirectProbe { name, address, .. } => named(name) && address.port() != 0,
             Message::Page { page, pages, entries } => {
-                page < pages && entries.len() <= PAGE && entries.iter().all(entry)
+                page < pages && entries.len() <= ENTRIES_PER_PAGE && entries.iter().all(entry)
             }
             Message::Prepare { leaves, ballot } => {
                 leaves.len() <= MAX_CHANGES && leaves.iter().all(named) && named(&ballot.by)
--- a/src/fleet/frame/tests.rs
+++ b/src/fleet/frame/tests.rs
@@ -1,7 +1,7 @@
 mod recorded;
 
 use super::*;
-use crate::fleet::update::Standing;
+use crate::fleet::update::MemberState;
 
 fn frame(message: Message) -> Frame {
     let address = SocketAddr::from(([127, 0, 0, 1], 7200));
@@ -11,7 +11,7 @@
         address,
         generation: Generation(3),
         incarnation: 1,
-        standing: Standing::Suspect { by },
+        state: MemberState::Suspect { by },
     };
     Frame {
         from: "a".into(),
@@ -34,7 +34,7 @@
     }
     assert_eq!(Frame::read(&[bytes.clone(), vec![0]].concat(), tag), Err("more than a frame"));
     assert_eq!(Frame::read(&[&[9], &bytes[1..]].concat(), tag), Err("another version"));
-    assert_eq!(Frame::read(&[0; MAX_BYTES + 1], tag), Err("too long"));
+    assert_eq!(Frame::read(&[0; MAX_DATAGRAM_BYTES + 1], tag), Err("too long"));
     let long = Frame { from: "x".repeat(MAX_NAME_BYTES + 1), ..whole.clone() };
     assert_eq!(Frame::read(&long.write(tag), tag), Err("out of bounds"));
     let none = frame(Message::Page { page: 1, pages: 1, entries: vec![] });
--- a/src/fleet/frame/tests/recorded.rs
+++ b/src/fleet/frame/tests/recorded.rs
@@ -38,10 +38,11 @@
     let expected =
         [("n1", v4.clone(), 31, 41), ("n2", v6, 32, 42), ("n3", v4.clone(), 33, 43), ("n4", v4, 34, 44)];
     assert_eq!(updates, expected);
-    let standings: Vec<_> = frames[0].updates.iter().map(|update| &update.standing).collect();
-    let [Standing::Joining, Standing::Alive, Standing::Suspect { by }, Standing::Leaving] = standings[..]
+    let states: Vec<_> = frames[0].updates.iter().map(|update| &update.state).collect();
+    let [MemberState::Joining, MemberState::Alive, MemberState::Suspect { by }, MemberState::Leaving] =
+        states[..]
     else {
-        panic!("{standings:?}")
+        panic!("{states:?}")
     };
     assert_eq!(by, "n1");
 }
@@ -50,7 +51,7 @@
 fn recorded_messages_mean_what_they_meant() {
     let frames = frames();
     let messages: Vec<_> = frames.iter().map(|frame| &frame.message).collect();
-    let [Message::Ping(101), Message::Ack(102), Message::IndirectProbe { number: 103, name, address }, Message::IndirectResult { number: 104, there: true }, Message::Join, Message::NameTaken(Generation(105)), Message::Fetch(3), Message::Page { page: 1, pages: 2, entries }, Message::Prepare { ballot: prepare, leaves }, Message::Promise { ballot: promise, accepted: Some((before, kept)), objections }, Message::Promise { ballot: bare, accepted: None, .. }, Message::Propose { ballot: propose, change: first }, Message::Accepted(accepted), Message::Decided { after, change: later }] =
+    let [Message::Ping(101), Message::Ack(102), Message::IndirectProbe { number: 103, name, address }, Message::IndirectResult { number: 104, reachable: true }, Message::Join, Message::NameTaken(Generation(105)), Message::Fetch(3), Message::Page { page: 1, pages: 2, entries }, Message::Prepare { ballot: prepare, leaves }, Message::Promise { ballot: promise, accepted: Some((before, kept)), objections }, Message::Promise { ballot: bare, accepted: None, .. }, Message::Propose { ballot: propose, change: first }, Message::Accepted(accepted), Message::Decided { after, change: later }] =
         messages[..]
     else {
         panic!("{messages:?}")
--- a/src/fleet/health.rs
+++ b/src/fleet/health.rs
@@ -15,17 +15,17 @@
 
 impl Health {
     /// Its own loop was late: it could not have heard what came.
-    pub fn was_late(&mut self) {
+    pub fn record_delay(&mut self) {
         self.score = (self.score + 2).min(MAX_SCORE);
     }
 
     /// Nobody answered in time, not even the helpers: it may receive nothing.
-    pub fn heard_nobody(&mut self) {
+    pub fn probe_unanswered(&mut self) {
         self.score = (self.score + 1).min(MAX_SCORE);
     }
 
     /// It was answered in time.
-    pub fn was_answered(&mut self) {
+    pub fn probe_answered(&mut self) {
         self.score = self.score.saturating_sub(1);
     }
 
--- a/src/fleet/health/tests.rs
+++ b/src/fleet/health/tests.rs
@@ -4,11 +4,11 @@
 fn it_waits_longer_the_worse_its_health_and_only_so_long() {
     let (mut health, second) = (Health::default(), Duration::from_secs(1));
     assert_eq!(health.stretch(second), second);
-    health.was_late();
-    health.heard_nobody();
+    health.record_delay();
+    health.probe_unanswered();
     assert_eq!(health.stretch(second), 4 * second);
-    (0..20).for_each(|_| health.was_late());
+    (0..20).for_each(|_| health.record_delay());
     assert_eq!(health.stretch(second), 8 * second);
-    (0..20).for_each(|_| health.was_answered());
+    (0..20).for_each(|_| health.probe_answered());
     assert_eq!(health.stretch(second), second);
 }
--- a/src/fleet/member/agreement.rs
+++ b/src/fleet/member/agreement.rs
@@ -4,19 +4,19 @@
 use super::receive::Sender;
 use super::{Action, Member, Phase};
 use crate::fleet::frame::Message;
-use crate::fleet::suspicion::{bounds, Suspicion};
-use crate::fleet::update::{Standing, Update};
+use crate::fleet::suspicion::{timeout_bounds, Suspicion};
+use crate::fleet::update::{MemberState, Update};
 use crate::fleet::view::{Ballot, Change, Proposal, ViewId, ViewMember, MAX_CHANGES};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::time::Duration;
 
 /// Periods in which no sign of a fleet may come before one is bootstrapped.
-const BOOTSTRAP_AFTER: u32 = 4;
+const BOOTSTRAP_AFTER_PERIODS: u32 = 4;
 /// Periods after which a proposal is made again.
-const RETRY_AFTER: u32 = 2;
+const RETRY_AFTER_PERIODS: u32 = 2;
 /// Share of a period in which changes are gathered before a proposal.
-const GATHERING: f64 = 0.5;
+const PROPOSAL_DELAY_PERIODS: f64 = 0.5;
 
 impl Member {
     /// Whether a sender has a vote on what comes after its view, and this one counts it.
@@ -58,60 +58,61 @@
 
     /// Accepts a proposal, unless a higher ballot has this member's vote.
     fn accept(&mut self, sender: Sender, ballot: Ballot, change: &Change, actions: &mut Vec<Action>) {
-        if self.acceptor.propose(&ballot, change) {
+        if self.acceptor.accept(&ballot, change) {
             self.send(sender.address, Message::Accepted(ballot), actions);
         }
     }
 
     /// Those of the members that are to go whose going this one objects to.
     fn objections(&self, now: Duration, leaves: Vec<String>) -> Vec<String> {
-        leaves.into_iter().filter(|name| !self.agrees(now, name)).collect()
+        leaves.into_iter().filter(|name| !self.agrees_to_removal(now, name)).collect()
     }
 
     /// Whether a member may go as far as this one knows: it announced that it leaves, or a suspicion of it has stood
     /// unrefuted here for half of the least time. Guards against a suspicion that arose elsewhere and came here just
     /// now.
-    fn agrees(&self, now: Duration, name: &str) -> bool {
+    fn agrees_to_removal(&self, now: Duration, name: &str) -> bool {
         let own = name == self.own.name && self.phase != Phase::Leaving;
         let Some(peer) = self.peers.get(name) else { return !own };
-        let (least, _) = bounds(self.own.period, self.own.suspicion_periods, self.view.members.len());
-        let stands = |suspicion: &Suspicion| now.saturating_sub(suspicion.since) >= least / 2;
-        peer.suspicion.as_ref().is_some_and(stands) || peer.update.standing == Standing::Leaving
+        let (min, _) = timeout_bounds(self.own.period, self.own.suspicion_periods, self.view.members.len());
+        let stands = |suspicion: &Suspicion| now.saturating_sub(suspicion.since) >= min / 2;
+        peer.suspicion.as_ref().is_some_and(stands) || peer.update.state == MemberState::Leaving
     }
 
     /// What the next view is to change, as far as this member knows.
-    fn wanted(&self, now: Duration) -> Change {
+    fn desired(&self, now: Duration) -> Change {
         let bootstrapping = self.view.id == ViewId::default();
-        let bootstrap = bootstrapping.then(|| self.bootstrap_stamp(now).max(self.dead.bootstrap + 1));
-        let leaves = if bootstrapping { Vec::new() } else { self.wanted_leaves() };
-        let joins = self.wanted_joins(bootstrapping, MAX_CHANGES - leaves.len());
+        let bootstrap =
+            bootstrapping.then(|| self.bootstrap_stamp(now).max(self.abandoned_view.bootstrap + 1));
+        let leaves = if bootstrapping { Vec::new() } else { self.desired_leaves() };
+        let joins = self.desired_joins(bootstrapping, MAX_CHANGES - leaves.len());
         Change { bootstrap, joins, leaves }
     }
 
     /// Members of the view that are lost here, or have announced that they leave.
-    fn wanted_leaves(&self) -> Vec<String> {
+    fn desired_leaves(&self) -> Vec<String> {
         let goes = |listed: &&ViewMember| {
             let peer =
                 self.peers.get(&listed.name).filter(|peer| peer.update.generation == listed.generation);
-            peer.is_some_and(|peer| peer.lost || peer.update.standing == Standing::Leaving)
+            peer.is_some_and(|peer| peer.faulty || peer.update.state == MemberState::Leaving)
         };
         let leaves = self.view.members.values().filter(goes).take(MAX_CHANGES);
         leaves.map(|listed| listed.name.clone()).collect()
     }
 
     /// Members that ask to be taken in, at most so many; at a bootstrap this one too.
-    fn wanted_joins(&self, bootstrapping: bool, most: usize) -> Vec<ViewMember> {
+    fn desired_joins(&self, bootstrapping: bool, max: usize) -> Vec<ViewMember> {
         let own = bootstrapping.then(|| self.own_update());
         let updates = self.peers.values().map(|peer| &peer.update).chain(&own);
         let joins = updates.filter(|update| {
-            let comes = bootstrapping || self.view.takes(&update.name, update.generation);
-            comes && !matches!(update.standing, Standing::Leaving | Standing::Suspect { .. })
+            let comes = bootstrapping || self.view.admits(&update.name, update.generation);
+            comes && !matches!(update.state, MemberState::Leaving | MemberState::Suspect { .. })
         });
         let listed = |update: &Update| {
             let (name, generation, address) = (update.name.clone(), update.generation, update.address);
             ViewMember { name, generation, address }
         };
-        joins.take(most).map(listed).collect()
+        joins.take(max).map(listed).collect()
     }
 
     /// When to propose another view: the first of those that are not lost proposes at once, each further one later.
@@ -119,7 +120,7 @@
         if self.propose_at.is_some() || !self.view_may_change {
             return;
         }
-        if self.wanted(now).is_empty() {
+        if self.desired(now).is_empty() {
             self.view_may_change = false;
             return;
         }
@@ -132,25 +133,27 @@
             return;
         }
         let rank = self.rank();
-        let first = if bootstrapping { self.phase_since + self.own.period * BOOTSTRAP_AFTER } else { now };
-        let pause = self.own.period.mul_f64(GATHERING * (1.0 + self.random.draw() / 4.0));
-        self.propose_at = Some(first.max(now) + pause + self.own.period * RETRY_AFTER * rank);
+        let first =
+            if bootstrapping { self.phase_since + self.own.period * BOOTSTRAP_AFTER_PERIODS } else { now };
+        let pause = self.own.period.mul_f64(PROPOSAL_DELAY_PERIODS * (1.0 + self.random.draw() / 4.0));
+        self.propose_at = Some(first.max(now) + pause + self.own.period * RETRY_AFTER_PERIODS * rank);
     }
 
     /// How many of the view come before this member in the order of names and are not lost here.
     fn rank(&self) -> u32 {
-        let lost = |name: &&String| self.peers.get(*name).is_some_and(|peer| peer.lost);
+        let faulty = |name: &&String| self.peers.get(*name).is_some_and(|peer| peer.faulty);
         let before = self.view.members.keys().take_while(|name| **name != self.own.name);
-        before.filter(|name| !lost(name)).count() as u32
+        before.filter(|name| !faulty(name)).count() as u32
     }
 
     /// Proposes the next view, if there is something to change.
     pub(super) fn propose_now(&mut self, now: Duration, actions: &mut Vec<Action>) {
         self.propose_at = None;
-        let change = self.wanted(now);
+        let change = self.desired(now);
         let bootstrapping = self.view.id == ViewId::default();
-        let heard = |listed: &&ViewMember| self.view.members.contains_key(&listed.name);
-        let enough = !bootstrapping || change.joins.iter().filter(heard).count() >= self.view.majority();
+        let seed_member = |listed: &&ViewMember| self.view.members.contains_key(&listed.name);
+        let enough =
+            !bootstrapping || change.joins.iter().filter(seed_member).count() >= self.view.majority();
         if change.is_empty() || !enough {
             return;
         }
@@ -159,7 +162,7 @@
         let ballot = Ballot { round, by: self.own.name.clone() };
         let leaves = change.leaves.clone();
         self.proposal = Some(Proposal::new(ballot.clone(), change));
-        let pause = self.own.period.mul_f64(f64::from(RETRY_AFTER) + self.random.draw());
+        let pause = self.own.period.mul_f64(f64::from(RETRY_AFTER_PERIODS) + self.random.draw());
         self.propose_at = Some(now + pause);
         self.broadcast(&Message::Prepare { ballot: ballot.clone(), leaves: leaves.clone() }, actions);
         if let Some(accepted) = self.acceptor.prepare(&ballot) {
@@ -187,9 +190,9 @@
         actions: &mut Vec<Action>,
     ) {
         let Some(proposal) = self.proposal.as_mut().filter(|it| it.ballot == *ballot) else { return };
-        let Some(change) = proposal.vote(&self.view, from, accepted, objections) else { return };
+        let Some(change) = proposal.add_vote(&self.view, from, accepted, objections) else { return };
         self.broadcast(&Message::Propose { ballot: ballot.clone(), change: change.clone() }, actions);
-        if self.acceptor.propose(ballot, &change) {
+        if self.acceptor.accept(ballot, &change) {
             let own = self.own.name.clone();
             self.count_accepted(now, &own, ballot, actions);
         }
@@ -198,7 +201,7 @@
     /// What this member proposed was accepted by one more: once most have, it is the next view.
     fn count_accepted(&mut self, now: Duration, from: &str, ballot: &Ballot, actions: &mut Vec<Action>) {
         let Some(proposal) = self.proposal.as_mut().filter(|it| it.ballot == *ballot) else { return };
-        let Some(change) = proposal.accepted(&self.view, from) else { return };
+        let Some(change) = proposal.add_accepted(&self.view, from) else { return };
         let (after, next) = (self.view.id, self.view.after(&change));
         let listed = self.view.members.values().chain(change.joins.iter());
         let sent: BTreeSet<SocketAddr> =
--- a/src/fleet/member/bootstrap.rs
+++ b/src/fleet/member/bootstrap.rs
@@ -23,7 +23,7 @@
     /// Identifies a bootstrap that begins now. Guards two of them against one identity: a bootstrapper that never heard
     /// of an earlier fleet comes at another time, and two of the same moment differ in the bits of their names.
     pub(super) fn bootstrap_stamp(&self, now: Duration) -> u64 {
-        let millis = self.own.generation.0 + now.saturating_sub(self.born).as_millis() as u64;
+        let millis = self.own.generation.0 + now.saturating_sub(self.created).as_millis() as u64;
         (millis << BOOTSTRAPPER_BITS) | (tag(&self.own.name) & ((1 << BOOTSTRAPPER_BITS) - 1))
     }
 
@@ -42,7 +42,7 @@
         if self.view.members.len() - ended >= self.view.majority() {
             return;
         }
-        self.dead = self.view.id;
+        self.abandoned_view = self.view.id;
         let before = self.seed_view();
         self.view = before;
         (self.acceptor, self.proposal, self.propose_at, self.fetch) = (Acceptor::default(), None, None, None);
--- a/src/fleet/member/dissemination.rs
+++ b/src/fleet/member/dissemination.rs
@@ -1,14 +1,14 @@
 //! Gossip: updates that wait to go out on the datagrams of probes, each a bounded number of times.
 
-use crate::fleet::frame::UPDATE_BYTES;
-use crate::fleet::update::{Standing, Update};
+use crate::fleet::frame::MAX_UPDATE_BYTES;
+use crate::fleet::update::{MemberState, Update};
 
 /// Times that an update goes out, for each doubling of the fleet.
-const TRANSMISSIONS: f64 = 3.0;
+const TRANSMISSIONS_PER_DOUBLING: f64 = 3.0;
 /// Updates that wait to go out.
-const MAX_QUEUED: usize = 256;
+const MAX_QUEUED_UPDATES: usize = 256;
 /// Bytes of an update besides its names, at most.
-const UPDATE_HEAD: usize = 48;
+const UPDATE_HEADER_BYTES: usize = 48;
 
 /// Updates that wait to go out, with the number of times that each still has to.
 #[derive(Default)]
@@ -20,30 +20,30 @@
     /// Queues an update in a fleet of so many, in the place of those that it supersedes. Where the queue is full it is
     /// dropped: its members are heard of again.
     pub(super) fn push(&mut self, update: Update, members: usize) {
-        let same = |known: &Update| {
+        let is_superseded = |known: &Update| {
             known.name == update.name && (witness(known) == witness(&update) || update.replaces(known))
         };
-        self.queue.retain(|(known, _)| !same(known));
-        let tells = (TRANSMISSIONS * (members as f64 + 2.0).log2()).ceil() as u32;
-        if self.queue.len() < MAX_QUEUED {
-            self.queue.push((update, tells));
+        self.queue.retain(|(known, _)| !is_superseded(known));
+        let transmissions = (TRANSMISSIONS_PER_DOUBLING * (members as f64 + 2.0).log2()).ceil() as u32;
+        if self.queue.len() < MAX_QUEUED_UPDATES {
+            self.queue.push((update, transmissions));
         }
     }
 
     /// Those that went out least often, as many as a datagram takes.
     pub(super) fn next_batch(&mut self) -> Vec<Update> {
-        self.queue.sort_by_key(|(_, left)| std::cmp::Reverse(*left));
-        let (mut sent, mut room) = (Vec::new(), UPDATE_BYTES);
-        for (update, left) in &mut self.queue {
-            let takes = update.name.len() + witness(update).map_or(0, str::len) + UPDATE_HEAD;
-            if takes > room {
+        self.queue.sort_by_key(|(_, remaining_sends)| std::cmp::Reverse(*remaining_sends));
+        let (mut sent, mut remaining) = (Vec::new(), MAX_UPDATE_BYTES);
+        for (update, remaining_sends) in &mut self.queue {
+            let size = update.name.len() + witness(update).map_or(0, str::len) + UPDATE_HEADER_BYTES;
+            if size > remaining {
                 break;
             }
-            room -= takes;
-            *left -= 1;
+            remaining -= size;
+            *remaining_sends -= 1;
             sent.push(update.clone());
         }
-        self.queue.retain(|(_, left)| *left > 0);
+        self.queue.retain(|(_, remaining_sends)| *remaining_sends > 0);
         sent
     }
 
@@ -55,8 +55,8 @@
 
 /// The witness of a suspicion.
 fn witness(update: &Update) -> Option<&str> {
-    match &update.standing {
-        Standing::Suspect { by } => Some(by),
+    match &update.state {
+        MemberState::Suspect { by } => Some(by),
         _ => None,
     }
 }
--- a/src/fleet/member/event.rs
+++ b/src/fleet/member/event.rs
@@ -12,7 +12,7 @@
     /// Time went on.
     Wake,
     /// Its process was kept from its work for so long.
-    Late(Duration),
+    Delayed(Duration),
     /// It is to leave.
     Leave,
 }
--- a/src/fleet/member/fetch.rs
+++ b/src/fleet/member/fetch.rs
@@ -2,16 +2,16 @@
 
 use super::receive::Sender;
 use super::{Action, Member, MAX_MEMBERS};
-use crate::fleet::frame::{Message, PAGE};
+use crate::fleet::frame::{Message, ENTRIES_PER_PAGE};
 use crate::fleet::view::{View, ViewEntry, ViewId};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 
 /// Pages of the largest view that is fetched: its members, and as many names that have ended.
-const MAX_PAGES: usize = 2 * MAX_MEMBERS / PAGE;
+const MAX_PAGES: usize = 2 * MAX_MEMBERS / ENTRIES_PER_PAGE;
 /// A page may take as long as so many answers.
-const ANSWERS_A_PAGE: u32 = 2;
+const PAGE_TIMEOUT_ANSWERS: u32 = 2;
 
 /// A view that is being fetched.
 pub(super) struct Fetch {
@@ -30,7 +30,7 @@
         if self.fetch.as_ref().is_some_and(|fetch| fetch.id >= id && now < fetch.until) {
             return;
         }
-        let until = now + self.own.answer * ANSWERS_A_PAGE;
+        let until = now + self.own.ack_timeout * PAGE_TIMEOUT_ANSWERS;
         let from = sender.name.to_string();
         self.fetch = Some(Fetch { id, from, pages: BTreeMap::new(), count: 0, until });
         self.send(sender.address, Message::Fetch(0), actions);
@@ -41,9 +41,14 @@
         if self.view.id == ViewId::default() {
             return;
         }
-        let pages = self.view.entries().count().div_ceil(PAGE).max(1) as u16;
+        let pages = self.view.entries().count().div_ceil(ENTRIES_PER_PAGE).max(1) as u16;
         if page < pages {
-            let entries = self.view.entries().skip(usize::from(page) * PAGE).take(PAGE).collect();
+            let entries = self
+                .view
+                .entries()
+                .skip(usize::from(page) * ENTRIES_PER_PAGE)
+                .take(ENTRIES_PER_PAGE)
+                .collect();
             self.send(to, Message::Page { page, pages, entries }, actions);
         }
     }
@@ -65,11 +70,11 @@
         fetch.pages.insert(page, entries);
         if fetch.pages.len() < usize::from(fetch.count) {
             let next = (0..pages).find(|page| !fetch.pages.contains_key(page)).unwrap_or(0);
-            fetch.until = now + self.own.answer * ANSWERS_A_PAGE;
+            fetch.until = now + self.own.ack_timeout * PAGE_TIMEOUT_ANSWERS;
             return self.send(sender.address, Message::Fetch(next), actions);
         }
         let Some(fetch) = self.fetch.take() else { return };
-        let view = View::of(id, fetch.pages.into_values().flatten());
+        let view = View::from_entries(id, fetch.pages.into_values().flatten());
         self.install(now, view, &format!("fetched of {}", fetch.from), actions);
     }
 
--- a/src/fleet/member/identity.rs
+++ b/src/fleet/member/identity.rs
@@ -15,7 +15,8 @@
     generation: Generation,
     #[serde(rename = "claim")]
     incarnation: u32,
-    dead: ViewId,
+    #[serde(rename = "dead")]
+    abandoned_view: ViewId,
     view: ViewId,
     entries: Vec<ViewEntry>,
     acceptor: Acceptor,
@@ -24,14 +25,14 @@
 impl Member {
     /// What the next process of this member goes on from. This one is to send nothing after that.
     pub fn identity(&self) -> Identity {
-        let (generation, incarnation, dead, view) =
-            (self.generation, self.incarnation, self.dead, self.view.id);
+        let (generation, incarnation, abandoned_view, view) =
+            (self.generation, self.incarnation, self.abandoned_view, self.view.id);
         let entries = self.view.entries().collect();
         Identity {
             name: self.own.name.clone(),
             generation,
             incarnation,
-            dead,
+            abandoned_view,
             view,
             entries,
             acceptor: self.acceptor.clone(),
@@ -44,11 +45,12 @@
         if identity.name != member.own.name {
             return member;
         }
-        (member.generation, member.incarnation, member.dead) =
-            (identity.generation, identity.incarnation, identity.dead);
+        (member.generation, member.incarnation, member.abandoned_view) =
+            (identity.generation, identity.incarnation, identity.abandoned_view);
         member.acceptor = identity.acceptor;
         if identity.view != ViewId::default() {
-            let before = std::mem::replace(&mut member.view, View::of(identity.view, identity.entries));
+            let before =
+                std::mem::replace(&mut member.view, View::from_entries(identity.view, identity.entries));
             member.update_peers(now, &before);
             if member
                 .view
--- a/src/fleet/member/install.rs
+++ b/src/fleet/member/install.rs
@@ -1,14 +1,14 @@
 //! Installing another view: the table of peers follows it, and the member finds its own place in it.
 
 use super::{Action, Member, Peer, Phase};
-use crate::fleet::update::{Generation, Standing, Update};
+use crate::fleet::update::{Generation, MemberState, Update};
 use crate::fleet::view::{Acceptor, View, ViewId, ViewMember};
 use std::time::Duration;
 
 impl Member {
     /// Installs a view, unless it is not later than the present one.
     pub(super) fn install(&mut self, now: Duration, view: View, evidence: &str, actions: &mut Vec<Action>) {
-        if view.id <= self.view.id.max(self.dead) {
+        if view.id <= self.view.id.max(self.abandoned_view) {
             return;
         }
         let before = std::mem::replace(&mut self.view, view);
@@ -21,7 +21,7 @@
         actions.push(Action::Note { name: format!("view {number}"), what: "view", evidence });
         self.note_departures(&before, actions);
         self.update_peers(now, &before);
-        self.find_own_place(now, actions);
+        self.update_own_phase(now, actions);
     }
 
     /// Notes each generation that was in the view before and is not in this one.
@@ -33,7 +33,7 @@
             self.view.members.get(&listed.name).is_some_and(|now| now.generation == listed.generation)
         };
         for (name, listed) in before.members.iter().filter(|(_, listed)| !stays(listed)) {
-            let left = self.peers.get(name).is_some_and(|it| it.update.standing == Standing::Leaving);
+            let left = self.peers.get(name).is_some_and(|it| it.update.state == MemberState::Leaving);
             let what = if left { "left" } else { "gone" };
             let evidence =
                 format!("generation {} is not in view {}", listed.generation.0, self.view.id.number);
@@ -52,14 +52,16 @@
         });
         // The view itself tells everybody who joined: that needs no updates.
         let in_view = |update: &Update| {
-            let there =
+            let listed =
                 view.members.get(&update.name).is_some_and(|listed| listed.generation == update.generation);
-            there && update.incarnation == 0 && matches!(update.standing, Standing::Joining | Standing::Alive)
+            listed
+                && update.incarnation == 0
+                && matches!(update.state, MemberState::Joining | MemberState::Alive)
         };
         self.gossip.retain(|update| !in_view(update));
         for listed in view.members.values().filter(|listed| listed.name != self.own.name) {
             let (name, address, generation) = (listed.name.clone(), listed.address, listed.generation);
-            let update = Update { name, address, generation, incarnation: 0, standing: Standing::Alive };
+            let update = Update { name, address, generation, incarnation: 0, state: MemberState::Alive };
             match self.peers.get_mut(&listed.name) {
                 Some(peer) if update.replaces(&peer.update) => peer.update = update,
                 Some(_) => {}
@@ -71,11 +73,11 @@
     }
 
     /// Finds its own place in a view that it entered.
-    fn find_own_place(&mut self, now: Duration, actions: &mut Vec<Action>) {
+    fn update_own_phase(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let own = self.view.members.get(&self.own.name).map(|listed| listed.generation);
         match (self.phase, own) {
             (Phase::Joining, Some(generation)) if generation == self.generation => {
-                (self.next_probe, self.heard) = (now, now);
+                (self.next_probe, self.last_received) = (now, now);
                 self.drop_suspicions();
                 self.change_phase(now, Phase::Member, "taken in", actions);
             }
--- a/src/fleet/member/join.rs
+++ b/src/fleet/member/join.rs
@@ -10,9 +10,9 @@
 use std::time::Duration;
 
 /// Joiners that are not heard of any more are forgotten after so many periods.
-const FORGET_AFTER: u32 = 12;
+const FORGET_AFTER_PERIODS: u32 = 12;
 /// Periods for which a leave is announced.
-const LEAVE_FOR: u32 = 4;
+const LEAVE_ANNOUNCEMENT_PERIODS: u32 = 4;
 
 impl Member {
     /// Begins to leave, and announces it to a few at once.
@@ -62,9 +62,9 @@
                 actions,
             ),
             Phase::Member | Phase::Leaving => {
-                self.change_phase(now, Phase::Aside, "another process has its name", actions);
+                self.change_phase(now, Phase::Superseded, "another process has its name", actions);
             }
-            Phase::Aside | Phase::Left => {}
+            Phase::Superseded | Phase::Left => {}
         }
     }
 
@@ -72,7 +72,7 @@
     pub(super) fn announce(&mut self, now: Duration, actions: &mut Vec<Action>) {
         self.next_join = now + self.own.period.mul_f64(0.75 + self.random.draw() / 2.0);
         let leaves = self.phase == Phase::Leaving;
-        if leaves && now.saturating_sub(self.phase_since) > self.own.period * LEAVE_FOR {
+        if leaves && now.saturating_sub(self.phase_since) > self.own.period * LEAVE_ANNOUNCEMENT_PERIODS {
             return self.change_phase(now, Phase::Left, "announced for long enough", actions);
         }
         let others = self.random_members(self.own.helpers.max(2));
@@ -88,10 +88,10 @@
     }
 
     /// Addresses of so many other members, drawn.
-    pub(super) fn random_members(&mut self, most: usize) -> Vec<SocketAddr> {
+    pub(super) fn random_members(&mut self, max: usize) -> Vec<SocketAddr> {
         let mut others: Vec<SocketAddr> =
             self.view.members.values().filter(|it| it.name != self.own.name).map(|it| it.address).collect();
-        while others.len() > most {
+        while others.len() > max {
             let at = self.draw(others.len());
             others.swap_remove(at);
         }
@@ -116,7 +116,7 @@
         if self.peers.len() < self.view.members.len() {
             return;
         }
-        let (view, old) = (&self.view, now.saturating_sub(self.own.period * FORGET_AFTER));
-        self.peers.retain(|name, peer| view.members.contains_key(name) || peer.since >= old);
+        let (view, old) = (&self.view, now.saturating_sub(self.own.period * FORGET_AFTER_PERIODS));
+        self.peers.retain(|name, peer| view.members.contains_key(name) || peer.last_announced >= old);
     }
 }
--- a/src/fleet/member/mod.rs
+++ b/src/fleet/member/mod.rs
@@ -35,7 +35,7 @@
 pub use phase::Phase;
 
 use super::health::Health;
-use super::suspicion::bounds;
+use super::suspicion::timeout_bounds;
 use super::update::{Generation, Update};
 use super::view::{Acceptor, Proposal, View, ViewId};
 use crate::random::Random;
@@ -64,7 +64,7 @@
     /// Views proposed.
     pub proposals: u64,
     /// Datagrams from another address than their sender's.
-    pub strangers: u64,
+    pub wrong_source: u64,
 }
 
 /// One member of a fleet.
@@ -73,18 +73,18 @@
     random: Random,
     generation: Generation,
     /// When it was made, on its own scale.
-    born: Duration,
+    created: Duration,
     incarnation: u32,
     phase: Phase,
     phase_since: Duration,
     view: View,
     /// A view that can decide nothing any more, since most of its generations have ended.
-    dead: ViewId,
+    abandoned_view: ViewId,
     /// The others. Once there is a view, everybody in it but this member is among them.
     peers: BTreeMap<String, Peer>,
     health: Health,
     /// When anything of anybody came.
-    heard: Duration,
+    last_received: Duration,
     /// Members that are still to be probed in this round, the next one last.
     round: Vec<String>,
     next_probe: Duration,
@@ -115,15 +115,15 @@
         let mut member = Member {
             random,
             generation: own.generation,
-            born: now,
+            created: now,
             incarnation: 0,
             phase: Phase::Joining,
             phase_since: now,
             view: View::default(),
-            dead: ViewId::default(),
+            abandoned_view: ViewId::default(),
             peers: BTreeMap::new(),
             health: Health::default(),
-            heard: now,
+            last_received: now,
             round: Vec::new(),
             next_probe: now + drawn,
             probe: None,
@@ -172,13 +172,13 @@
 
     /// Whether it is, as far as it can tell, with a majority of its view.
     pub fn is_quorate(&self, now: Duration) -> bool {
-        let (_, longest) = bounds(self.own.period, self.own.suspicion_periods, self.view.members.len());
-        let lost = |name: &&String| self.peers.get(*name).is_some_and(|peer| peer.lost);
-        let there = self.view.members.keys().filter(|name| !lost(name)).count();
+        let (_, max) = timeout_bounds(self.own.period, self.own.suspicion_periods, self.view.members.len());
+        let faulty = |name: &&String| self.peers.get(*name).is_some_and(|peer| peer.faulty);
+        let reachable = self.view.members.keys().filter(|name| !faulty(name)).count();
         let alone = self.view.members.len() == 1;
         self.phase == Phase::Member
-            && there >= self.view.majority()
-            && (alone || now.saturating_sub(self.heard) < longest)
+            && reachable >= self.view.majority()
+            && (alone || now.saturating_sub(self.last_received) < max)
     }
 
     /// Takes what has happened, and adds what is to be done.
@@ -188,7 +188,7 @@
         }
         match event {
             Event::Frame(frame, from) => self.receive(now, *frame, from, actions),
-            Event::Late(by) => self.was_late(now, by),
+            Event::Delayed(by) => self.record_delay(now, by),
             Event::Leave => self.leave(now, actions),
             Event::Wake => {}
         }
@@ -197,7 +197,7 @@
 
     /// When it has something to do by itself.
     pub fn next_timer(&self) -> Option<Duration> {
-        if matches!(self.phase, Phase::Aside | Phase::Left) {
+        if matches!(self.phase, Phase::Superseded | Phase::Left) {
             return None;
         }
         let joins = matches!(self.phase, Phase::Joining | Phase::Leaving).then_some(self.next_join);
@@ -218,7 +218,7 @@
             Phase::Member => self.run_probes(now, actions),
             _ => {}
         }
-        if matches!(self.phase, Phase::Aside | Phase::Left) {
+        if matches!(self.phase, Phase::Superseded | Phase::Left) {
             return;
         }
         self.expire_suspicions(now, actions);
--- a/src/fleet/member/parameters.rs
+++ b/src/fleet/member/parameters.rs
@@ -19,7 +19,7 @@
     /// One member is probed a period.
     pub period: Duration,
     /// How long an answer may take before helpers are asked for an indirect probe.
-    pub answer: Duration,
+    pub ack_timeout: Duration,
     /// How many helpers.
     pub helpers: usize,
     /// How long a suspicion lasts at least, in periods, in a fleet of ten.
--- a/src/fleet/member/peer.rs
+++ b/src/fleet/member/peer.rs
@@ -10,22 +10,30 @@
     /// The latest update about it.
     pub update: Update,
     /// When a datagram of it last came.
-    pub heard: Option<Duration>,
+    pub last_received: Option<Duration>,
     /// When it answered a probe of this member.
-    pub answered: Option<Duration>,
+    pub last_ack: Option<Duration>,
     /// When a helper last reached it, and which.
-    pub found: Option<(Duration, String)>,
+    pub last_indirect_ack: Option<(Duration, String)>,
     /// A suspicion that nothing has refuted.
     pub suspicion: Option<Suspicion>,
     /// The suspicion has lasted its time.
-    pub lost: bool,
+    pub faulty: bool,
     /// When it last asked to be taken in.
-    pub(super) since: Duration,
+    pub(super) last_announced: Duration,
 }
 
 impl Peer {
     /// One of which only this update is known.
     pub(super) fn new(update: Update, now: Duration) -> Self {
-        Peer { update, heard: None, answered: None, found: None, suspicion: None, lost: false, since: now }
+        Peer {
+            update,
+            last_received: None,
+            last_ack: None,
+            last_indirect_ack: None,
+            suspicion: None,
+            faulty: false,
+            last_announced: now,
+        }
     }
 }
--- a/src/fleet/member/phase.rs
+++ b/src/fleet/member/phase.rs
@@ -8,7 +8,7 @@
     /// It is in the view that it knows.
     Member,
     /// Another process has its name: it takes no part.
-    Aside,
+    Superseded,
     /// It announces that it leaves.
     Leaving,
     /// It has left.
@@ -21,7 +21,7 @@
         match self {
             Phase::Joining => "joining",
             Phase::Member => "member",
-            Phase::Aside => "aside",
+            Phase::Superseded => "aside",
             Phase::Leaving => "leaving",
             Phase::Left => "left",
         }
--- a/src/fleet/member/probe.rs
+++ b/src/fleet/member/probe.rs
@@ -3,7 +3,7 @@
 
 use super::{Action, Member};
 use crate::fleet::frame::Message;
-use crate::fleet::update::{Standing, Update};
+use crate::fleet::update::{MemberState, Update};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -26,8 +26,8 @@
 pub(super) struct RelayedProbe {
     pub(super) number: u32,
     pub(super) until: Duration,
-    pub(super) asker: SocketAddr,
-    pub(super) theirs: u32,
+    pub(super) requester: SocketAddr,
+    pub(super) requester_number: u32,
 }
 
 impl Member {
@@ -48,7 +48,7 @@
     /// When helpers are asked about a probe that has no answer yet.
     pub(super) fn next_indirect_probe(&self) -> Option<Duration> {
         let probe = self.probe.as_ref().filter(|probe| probe.asked == 0 && !probe.answered);
-        probe.map(|probe| probe.sent + self.health.stretch(self.own.answer))
+        probe.map(|probe| probe.sent + self.health.stretch(self.own.ack_timeout))
     }
 
     /// Probes the next member of the round.
@@ -109,14 +109,14 @@
     pub(super) fn relay_probe(
         &mut self,
         now: Duration,
-        theirs: u32,
+        requester_number: u32,
         address: SocketAddr,
-        asker: SocketAddr,
+        requester: SocketAddr,
         actions: &mut Vec<Action>,
     ) {
         self.last_number = self.last_number.wrapping_add(1);
-        let (number, until) = (self.last_number, now + self.own.answer);
-        self.relayed.push(RelayedProbe { number, until, asker, theirs });
+        let (number, until) = (self.last_number, now + self.own.ack_timeout);
+        self.relayed.push(RelayedProbe { number, until, requester, requester_number });
         self.relayed.truncate(MAX_RELAYED);
         self.send(address, Message::Ping(number), actions);
     }
@@ -126,8 +126,8 @@
         while let Some(at) = self.relayed.iter().position(|relayed| relayed.until <= now) {
             let relayed = self.relayed.swap_remove(at);
             self.send(
-                relayed.asker,
-                Message::IndirectResult { number: relayed.theirs, there: false },
+                relayed.requester,
+                Message::IndirectResult { number: relayed.requester_number, reachable: false },
                 actions,
             );
         }
@@ -138,8 +138,8 @@
         if let Some(at) = self.relayed.iter().position(|relayed| relayed.number == number) {
             let relayed = self.relayed.swap_remove(at);
             return self.send(
-                relayed.asker,
-                Message::IndirectResult { number: relayed.theirs, there: true },
+                relayed.requester,
+                Message::IndirectResult { number: relayed.requester_number, reachable: true },
                 actions,
             );
         }
@@ -147,11 +147,11 @@
             return;
         };
         probe.answered = true;
-        if now.saturating_sub(probe.sent) <= self.own.answer {
-            self.health.was_answered();
+        if now.saturating_sub(probe.sent) <= self.own.ack_timeout {
+            self.health.probe_answered();
         }
         if let Some(peer) = self.peers.get_mut(from) {
-            peer.answered = Some(now);
+            peer.last_ack = Some(now);
         }
         self.clear_suspicion(from, "answered", actions);
     }
@@ -161,18 +161,18 @@
         &mut self,
         now: Duration,
         number: u32,
-        there: bool,
+        reachable: bool,
         by: &str,
         actions: &mut Vec<Action>,
     ) {
         let Some(probe) = self.probe.as_mut().filter(|probe| probe.number == number) else { return };
         probe.reports += 1;
         let all_reported = probe.reports >= probe.asked;
-        if there {
+        if reachable {
             probe.answered = true;
             let name = probe.name.clone();
             if let Some(peer) = self.peers.get_mut(&name) {
-                peer.found = Some((now, by.to_string()));
+                peer.last_indirect_ack = Some((now, by.to_string()));
             }
             self.clear_suspicion(&name, "found by another", actions);
         } else if all_reported {
@@ -184,10 +184,10 @@
     /// Ends the probe: without any answer its member is suspected, or this member lowers its own health.
     fn conclude_probe(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let Some(probe) = self.probe.take().filter(|probe| !probe.answered) else { return };
-        let few = self.view.members.len() <= 2;
-        if probe.reports == 0 && !few {
+        let no_helpers = self.view.members.len() <= 2;
+        if probe.reports == 0 && !no_helpers {
             // Nobody answered at all: it suspects itself first.
-            return self.health.heard_nobody();
+            return self.health.probe_unanswered();
         }
         let Some(peer) = self.peers.get(&probe.name) else { return };
         let in_view = self
@@ -195,11 +195,11 @@
             .members
             .get(&probe.name)
             .is_some_and(|listed| listed.generation == peer.update.generation);
-        if peer.update.standing == Standing::Leaving || !in_view {
+        if peer.update.state == MemberState::Leaving || !in_view {
             return;
         }
-        let standing = Standing::Suspect { by: self.own.name.clone() };
-        let update = Update { standing, ..peer.update.clone() };
+        let state = MemberState::Suspect { by: self.own.name.clone() };
+        let update = Update { state, ..peer.update.clone() };
         if peer.suspicion.is_none() {
             self.counters.suspicions += 1;
         }
--- a/src/fleet/member/receive.rs
+++ b/src/fleet/member/receive.rs
@@ -35,20 +35,20 @@
         let sender = Sender { name: &from, generation, view, address: source };
         // Guards the members against whoever speaks in their name from elsewhere.
         if self.known_address(sender, &updates) != Some(source) {
-            self.counters.strangers += 1;
+            self.counters.wrong_source += 1;
             return;
         }
-        if self.phase == Phase::Aside {
+        if self.phase == Phase::Superseded {
             return;
         }
-        self.heard = now;
+        self.last_received = now;
         for update in updates {
             self.receive_update(now, update, actions);
         }
         if let Some(peer) = self.peers.get_mut(&from).filter(|peer| peer.update.generation == generation) {
-            peer.heard = Some(now);
+            peer.last_received = Some(now);
         }
-        if view > self.view.id.max(self.dead) {
+        if view > self.view.id.max(self.abandoned_view) {
             self.request_view(now, sender, actions);
         }
         self.dispatch(now, sender, message, actions);
@@ -72,8 +72,8 @@
             Message::IndirectProbe { number, name: _, address } => {
                 self.relay_probe(now, number, address, sender.address, actions);
             }
-            Message::IndirectResult { number, there } => {
-                self.receive_indirect_result(now, number, there, sender.name, actions)
+            Message::IndirectResult { number, reachable } => {
+                self.receive_indirect_result(now, number, reachable, sender.name, actions)
             }
             Message::Join => self.answer_join(sender, actions),
             Message::NameTaken(theirs) if self.phase == Phase::Joining && theirs >= self.generation => {
--- a/src/fleet/member/send.rs
+++ b/src/fleet/member/send.rs
@@ -2,7 +2,7 @@
 
 use super::{Action, Member, Phase};
 use crate::fleet::frame::{Frame, Message};
-use crate::fleet::update::{Standing, Update};
+use crate::fleet::update::{MemberState, Update};
 use std::net::SocketAddr;
 
 impl Member {
@@ -23,12 +23,12 @@
 
     /// The update about this member.
     pub(super) fn own_update(&self) -> Update {
-        let standing = match self.phase {
-            Phase::Member => Standing::Alive,
-            Phase::Leaving => Standing::Leaving,
-            _ => Standing::Joining,
+        let state = match self.phase {
+            Phase::Member => MemberState::Alive,
+            Phase::Leaving => MemberState::Leaving,
+            _ => MemberState::Joining,
         };
         let (name, address) = (self.own.name.clone(), self.own.address);
-        Update { name, address, generation: self.generation, incarnation: self.incarnation, standing }
+        Update { name, address, generation: self.generation, incarnation: self.incarnation, state }
     }
 }
--- a/src/fleet/member/suspect.rs
+++ b/src/fleet/member/suspect.rs
@@ -2,7 +2,7 @@
 
 use super::{Action, Member};
 use crate::fleet::suspicion::Suspicion;
-use crate::fleet::update::{Standing, Update};
+use crate::fleet::update::{MemberState, Update};
 use std::time::Duration;
 
 /// Members that probe a suspect of another's themselves, in the mean.
@@ -11,7 +11,7 @@
 impl Member {
     /// A witness suspects a member.
     pub(super) fn suspect(&mut self, now: Duration, update: &Update, actions: &mut Vec<Action>) {
-        let Standing::Suspect { by } = &update.standing else { return };
+        let MemberState::Suspect { by } = &update.state else { return };
         let Some(peer) = self.peers.get_mut(&update.name) else { return };
         let fresh = match &mut peer.suspicion {
             Some(suspicion) => suspicion.witnesses.insert(by.clone()),
@@ -40,7 +40,7 @@
     pub(super) fn clear_suspicion(&mut self, name: &str, evidence: &str, actions: &mut Vec<Action>) {
         let Some(peer) = self.peers.get_mut(name) else { return };
         if peer.suspicion.take().is_some() {
-            peer.lost = false;
+            peer.faulty = false;
             let evidence = evidence.to_string();
             actions.push(Action::Note { name: name.to_string(), what: "alive", evidence });
         }
@@ -52,12 +52,12 @@
         let members = self.view.members.len();
         let (peers, view_may_change) = (&mut self.peers, &mut self.view_may_change);
         self.suspects.retain(|name| {
-            let Some(peer) = peers.get_mut(name).filter(|peer| !peer.lost) else { return false };
+            let Some(peer) = peers.get_mut(name).filter(|peer| !peer.faulty) else { return false };
             let Some(suspicion) = &peer.suspicion else { return false };
             if now < suspicion.expires(period, suspicion_periods, members) {
                 return true;
             }
-            (peer.lost, *view_may_change) = (true, true);
+            (peer.faulty, *view_may_change) = (true, true);
             let witnesses: Vec<&str> = suspicion.witnesses.iter().map(String::as_str).collect();
             let evidence = format!("suspected by {} for {:?}", witnesses.join(", "), now - suspicion.since);
             actions.push(Action::Note { name: name.clone(), what: "lost", evidence });
@@ -68,7 +68,7 @@
     /// When the first suspicion expires, if nothing refutes it.
     pub(super) fn next_expiry(&self) -> Option<Duration> {
         let suspected = self.suspects.iter().filter_map(|name| self.peers.get(name));
-        let suspicions = suspected.filter(|peer| !peer.lost).filter_map(|peer| peer.suspicion.as_ref());
+        let suspicions = suspected.filter(|peer| !peer.faulty).filter_map(|peer| peer.suspicion.as_ref());
         let members = self.view.members.len();
         suspicions
             .map(|suspicion| suspicion.expires(self.own.period, self.own.suspicion_periods, members))
@@ -78,24 +78,24 @@
     /// Drops all suspicions: those of a time in which it was not with most of the others say nothing about them.
     pub(super) fn drop_suspicions(&mut self) {
         self.suspects.clear();
-        self.gossip.retain(|update| !matches!(update.standing, Standing::Suspect { .. }));
+        self.gossip.retain(|update| !matches!(update.state, MemberState::Suspect { .. }));
         for peer in self.peers.values_mut() {
-            (peer.suspicion, peer.lost) = (None, false);
+            (peer.suspicion, peer.faulty) = (None, false);
         }
     }
 
     /// This member's process was kept from its work for so long.
-    pub(super) fn was_late(&mut self, now: Duration, by: Duration) {
-        self.health.was_late();
+    pub(super) fn record_delay(&mut self, now: Duration, by: Duration) {
+        self.health.record_delay();
         // It received nothing meanwhile: what it missed counts against nobody, and suspicions have not aged.
-        self.heard += by;
+        self.last_received += by;
         for suspicion in self.peers.values_mut().filter_map(|peer| peer.suspicion.as_mut()) {
             suspicion.since = (suspicion.since + by).min(now);
         }
         self.probe = None;
         self.relayed.clear();
         let own = self.own.name.clone();
-        self.gossip.retain(|update| !matches!(&update.standing, Standing::Suspect { by } if *by == own));
+        self.gossip.retain(|update| !matches!(&update.state, MemberState::Suspect { by } if *by == own));
         self.next_probe = self.next_probe.max(now);
     }
 }
--- a/src/fleet/member/tests.rs
+++ b/src/fleet/member/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::fleet::frame::{Frame, Message};
-use crate::fleet::update::Standing;
+use crate::fleet::update::MemberState;
 use std::net::SocketAddr;
 
 const PERIOD: Duration = Duration::from_millis(500);
@@ -17,7 +17,7 @@
         generation: Generation(1_000),
         seeds: BTreeMap::from([("a".to_string(), address(1))]),
         period: PERIOD,
-        answer: Duration::from_millis(150),
+        ack_timeout: Duration::from_millis(150),
         helpers: 3,
         suspicion_periods: 6.0,
         seed: 7,
@@ -39,9 +39,9 @@
 }
 
 /// A datagram of another member, with an update about itself.
-fn datagram(name: &str, port: u16, standing: Standing) -> Event {
+fn datagram(name: &str, port: u16, state: MemberState) -> Event {
     let (generation, address) = (Generation(2_000), address(port));
-    let update = Update { name: name.into(), address, generation, incarnation: 0, standing };
+    let update = Update { name: name.into(), address, generation, incarnation: 0, state };
     let (view, message) = (ViewId::default(), Message::Ack(0));
     let frame = Frame { from: name.into(), generation, view, message, updates: vec![update] };
     Event::Frame(Box::new(frame), address)
@@ -50,11 +50,11 @@
 #[test]
 fn who_is_not_in_the_view_is_forgotten_after_a_silence_and_members_are_not() {
     let (mut member, now) = alone();
-    member.handle(now, datagram("b", 2, Standing::Joining), &mut Vec::new());
+    member.handle(now, datagram("b", 2, MemberState::Joining), &mut Vec::new());
     let now = run(&mut member, now, now + 4 * PERIOD);
     assert_eq!(member.view().unwrap().members.len(), 2, "b was taken in");
     // It announces that it leaves before it was ever a member: it is not taken in.
-    member.handle(now, datagram("c", 3, Standing::Leaving), &mut Vec::new());
+    member.handle(now, datagram("c", 3, MemberState::Leaving), &mut Vec::new());
     let now = run(&mut member, now, now + 8 * PERIOD);
     assert!(member.peers().contains_key("c"), "it may still be heard of");
     run(&mut member, now, now + 8 * PERIOD);
@@ -67,11 +67,11 @@
 fn lines_and_json_for_operators_are_written_as_they_were() {
     use crate::fleet::{report, traffic::Traffic};
     let (mut member, now) = alone();
-    for (name, port, standing) in [("b", 2, Standing::Alive), ("c", 3, Standing::Leaving)] {
-        member.handle(now, datagram(name, port, standing), &mut Vec::new());
+    for (name, port, state) in [("b", 2, MemberState::Alive), ("c", 3, MemberState::Leaving)] {
+        member.handle(now, datagram(name, port, state), &mut Vec::new());
     }
     let traffic = Traffic { datagrams_in: 1, datagrams_out: 2, bytes_out: 3, unreadable: 4, not_sent: 5 };
-    let (lines, json) = report::of(&member, traffic, now);
+    let (lines, json) = report::render(&member, traffic, now);
     assert_eq!(lines.replace('\r', ""), include_str!("../../../tests/fixtures/reports/fleet.txt"));
     assert_eq!(json + "\n", include_str!("../../../tests/fixtures/reports/fleet.json"));
 }
--- a/src/fleet/member/updates.rs
+++ b/src/fleet/member/updates.rs
@@ -2,7 +2,7 @@
 
 use super::{Action, Member, Peer, Phase, MAX_MEMBERS};
 use crate::fleet::frame::Message;
-use crate::fleet::update::{Standing, Update};
+use crate::fleet::update::{MemberState, Update};
 use std::time::Duration;
 
 impl Member {
@@ -13,7 +13,7 @@
         }
         let in_view =
             self.view.members.get(&update.name).is_some_and(|listed| listed.generation == update.generation);
-        let suspected = matches!(update.standing, Standing::Suspect { .. });
+        let suspected = matches!(update.state, MemberState::Suspect { .. });
         // An update of a generation that has ended, or a suspicion of one that has not joined, changes nothing.
         if self.has_ended(&update) || (suspected && !in_view) {
             return;
@@ -23,7 +23,7 @@
         };
         if !in_view && update.generation >= peer.update.generation {
             // It still asks to be taken in.
-            peer.since = now;
+            peer.last_announced = now;
         }
         if update.replaces(&peer.update) {
             self.replace(now, update, actions);
@@ -49,7 +49,7 @@
         self.peers.insert(update.name.clone(), Peer::new(update.clone(), now));
         self.view_may_change = true;
         self.enqueue(update.clone());
-        if matches!(update.standing, Standing::Suspect { .. }) {
+        if matches!(update.state, MemberState::Suspect { .. }) {
             self.suspect(now, &update, actions);
         }
     }
@@ -62,13 +62,13 @@
         let address = if another { update.address } else { peer.update.address };
         let update = Update { address, ..update };
         if another {
-            (peer.heard, peer.answered, peer.found) = (None, None, None);
+            (peer.last_received, peer.last_ack, peer.last_indirect_ack) = (None, None, None);
         }
         peer.update = update.clone();
-        if matches!(update.standing, Standing::Suspect { .. }) {
+        if matches!(update.state, MemberState::Suspect { .. }) {
             return self.suspect(now, &update, actions);
         }
-        peer.lost = false;
+        peer.faulty = false;
         if peer.suspicion.take().is_some() && !another {
             let evidence = format!("incarnation {}", update.incarnation);
             actions.push(Action::Note { name: update.name.clone(), what: "refuted", evidence });
@@ -82,7 +82,7 @@
         if update.generation > self.generation {
             return self.resolve_name_conflict(now, update.generation, actions);
         }
-        let suspected = matches!(update.standing, Standing::Suspect { .. });
+        let suspected = matches!(update.state, MemberState::Suspect { .. });
         if update.generation == self.generation
             && suspected
             && update.incarnation >= self.incarnation
--- a/src/fleet/report.rs
+++ b/src/fleet/report.rs
@@ -2,39 +2,39 @@
 
 use super::member::{Member, Peer};
 use super::traffic::Traffic;
-use super::update::Standing;
+use super::update::MemberState;
 use serde_json::json;
 use std::time::Duration;
 
 /// How another member stands, by all that is known here.
-fn state(member: &Member, name: &str, peer: &Peer) -> &'static str {
+fn peer_state(member: &Member, name: &str, peer: &Peer) -> &'static str {
     let listed = member.view().and_then(|view| view.members.get(name));
     match () {
         () if listed.is_none_or(|listed| listed.generation != peer.update.generation) => "joining",
-        () if peer.update.standing == Standing::Leaving => "leaving",
-        () if peer.lost => "lost",
+        () if peer.update.state == MemberState::Leaving => "leaving",
+        () if peer.faulty => "lost",
         () if peer.suspicion.is_some() => "suspect",
         () => "alive",
     }
 }
 
 /// Lines and JSON of a member at this time of its own scale. Ages are in milliseconds.
-pub fn of(member: &Member, traffic: Traffic, now: Duration) -> (String, String) {
+pub fn render(member: &Member, traffic: Traffic, now: Duration) -> (String, String) {
     let age = |at: Option<Duration>| at.map(|at| now.saturating_sub(at).as_millis() as u64);
     let peers = member.peers().iter().map(|(name, peer)| {
         let witnesses: Vec<&String> =
             peer.suspicion.iter().flat_map(|suspicion| &suspicion.witnesses).collect();
-        let found = peer.found.as_ref();
+        let indirect_ack = peer.last_indirect_ack.as_ref();
         json!({
             "name": name,
             "address": peer.update.address,
             "life": peer.update.generation.0,
             "claim": peer.update.incarnation,
-            "state": state(member, name, peer),
-            "heard_ms": age(peer.heard),
-            "reached_ms": age(peer.answered),
-            "found_ms": age(found.map(|(at, _)| *at)),
-            "found_by": found.map(|(_, by)| by),
+            "state": peer_state(member, name, peer),
+            "heard_ms": age(peer.last_received),
+            "reached_ms": age(peer.last_ack),
+            "found_ms": age(indirect_ack.map(|(at, _)| *at)),
+            "found_by": indirect_ack.map(|(_, by)| by),
             "witnesses": witnesses,
         })
     });
@@ -56,7 +56,7 @@
         "counters": {
             "probes": counters.probes, "looks": counters.indirect_probes, "doubts": counters.suspicions,
             "refuted": counters.refuted, "views": counters.views, "tries": counters.proposals,
-            "strangers": counters.strangers, "datagrams_in": traffic.datagrams_in,
+            "strangers": counters.wrong_source, "datagrams_in": traffic.datagrams_in,
             "datagrams_out": traffic.datagrams_out, "bytes_out": traffic.bytes_out,
             "unreadable": traffic.unreadable, "not_sent": traffic.not_sent,
         },
--- a/src/fleet/settings.rs
+++ b/src/fleet/settings.rs
@@ -11,9 +11,9 @@
 /// Most seeds that may be given.
 const MAX_SEEDS: usize = 16;
 /// Periods may be so long, in milliseconds.
-const PERIODS: std::ops::RangeInclusive<u64> = 20..=60_000;
+const PERIOD_RANGE_MS: std::ops::RangeInclusive<u64> = 20..=60_000;
 /// An answer may take such a part of a period: helpers answer within the rest.
-const ANSWER_PART: u64 = 3;
+const MIN_PERIOD_PER_ANSWER: u64 = 3;
 
 /// Everything that the file says, under its names.
 #[derive(Clone, Debug, PartialEq)]
@@ -31,11 +31,11 @@
     /// One member is probed a period.
     pub period: Duration,
     /// How long an answer may take before helpers are asked for an indirect probe.
-    pub answer: Duration,
+    pub ack_timeout: Duration,
     /// How many helpers.
-    pub lookers: usize,
+    pub helpers: usize,
     /// How long a suspicion lasts at least, in periods, in a fleet of ten.
-    pub doubt_periods: f64,
+    pub suspicion_periods: f64,
 }
 
 #[derive(Deserialize)]
@@ -52,10 +52,10 @@
     period_ms: u64,
     #[serde(default = "answer_ms")]
     answer_ms: u64,
-    #[serde(default = "lookers")]
-    lookers: usize,
-    #[serde(default = "doubt_periods")]
-    doubt_periods: f64,
+    #[serde(rename = "lookers", default = "helpers")]
+    helpers: usize,
+    #[serde(rename = "doubt_periods", default = "suspicion_periods")]
+    suspicion_periods: f64,
 }
 
 #[derive(Deserialize)]
@@ -73,11 +73,11 @@
     150
 }
 
-fn lookers() -> usize {
+fn helpers() -> usize {
     3
 }
 
-fn doubt_periods() -> f64 {
+fn suspicion_periods() -> f64 {
     6.0
 }
 
@@ -91,17 +91,21 @@
         };
         named("fleet", &file.fleet)?;
         named("name", &file.name)?;
-        if !PERIODS.contains(&file.period_ms) {
-            return Err(format!("period_ms: {} to {} are allowed", PERIODS.start(), PERIODS.end()));
+        if !PERIOD_RANGE_MS.contains(&file.period_ms) {
+            return Err(format!(
+                "period_ms: {} to {} are allowed",
+                PERIOD_RANGE_MS.start(),
+                PERIOD_RANGE_MS.end()
+            ));
         }
-        let most = file.period_ms / ANSWER_PART;
-        if !(1..=most).contains(&file.answer_ms) {
-            return Err(format!("answer_ms: 1 to {most} are allowed, a third of period_ms"));
+        let max = file.period_ms / MIN_PERIOD_PER_ANSWER;
+        if !(1..=max).contains(&file.answer_ms) {
+            return Err(format!("answer_ms: 1 to {max} are allowed, a third of period_ms"));
         }
-        if !(1..=8).contains(&file.lookers) {
+        if !(1..=8).contains(&file.helpers) {
             return Err("lookers: 1 to 8 are allowed".into());
         }
-        if !(2.0..=100.0).contains(&file.doubt_periods) {
+        if !(2.0..=100.0).contains(&file.suspicion_periods) {
             return Err("doubt_periods: 2 to 100 are allowed".into());
         }
         if file.seed.is_empty() || file.seed.len() > MAX_SEEDS {
@@ -128,9 +132,9 @@
             advertise,
             seeds,
             period: Duration::from_millis(file.period_ms),
-            answer: Duration::from_millis(file.answer_ms),
-            lookers: file.lookers,
-            doubt_periods: file.doubt_periods,
+            ack_timeout: Duration::from_millis(file.answer_ms),
+            helpers: file.helpers,
+            suspicion_periods: file.suspicion_periods,
         }))
     }
 
@@ -142,9 +146,9 @@
             generation: Generation(unix.as_millis() as u64),
             seeds: self.seeds.clone(),
             period: self.period,
-            answer: self.answer,
-            helpers: self.lookers,
-            suspicion_periods: self.doubt_periods,
+            ack_timeout: self.ack_timeout,
+            helpers: self.helpers,
+            suspicion_periods: self.suspicion_periods,
             seed,
         }
     }
--- a/src/fleet/speaker.rs
+++ b/src/fleet/speaker.rs
@@ -1,6 +1,6 @@
 //! The socket of a member: carries its frames over UDP, and hands it its own lateness before anything that came.
 
-use super::frame::{tag, Frame, MAX_BYTES};
+use super::frame::{tag, Frame, MAX_DATAGRAM_BYTES};
 use super::member::{Action, Event, Identity, Member};
 use super::report;
 use super::settings::Settings;
@@ -13,27 +13,27 @@
 /// The name of its report.
 pub const REPORT: &str = "fleet";
 /// Datagrams read in one turn of the loop. Guards requests against a flood; the kernel drops what is too much.
-const MAX_READ: usize = 64;
-/// Least time between two reports, for each [`PEERS_A_REPORT`] peers.
-const REPORT_PAUSE: Duration = Duration::from_millis(100);
-/// Peers that a report of [`REPORT_PAUSE`] may have: larger ones are made more seldom.
-const PEERS_A_REPORT: u32 = 64;
+const MAX_READS_PER_POLL: usize = 64;
+/// Least time between two reports, for each [`PEERS_PER_REPORT_INTERVAL`] peers.
+const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(100);
+/// Peers that a report of [`MIN_REPORT_INTERVAL`] may have: larger ones are made more seldom.
+const PEERS_PER_REPORT_INTERVAL: u32 = 64;
 
 /// A member with its socket.
-pub struct Speaker {
+pub struct Driver {
     socket: UdpSocket,
     member: Member,
     tag: u64,
     /// Where the member's scale of time begins.
     origin: Instant,
     /// Late by more than this it may not have heard an answer.
-    patience: Duration,
+    max_lateness: Duration,
     readable: bool,
     traffic: Traffic,
     reported: Option<Instant>,
 }
 
-impl Speaker {
+impl Driver {
     /// Binds its address and begins to join, or goes on in the place of the process before.
     pub fn start(
         settings: &Settings,
@@ -53,12 +53,12 @@
             Some(identity) => Member::resume(own, identity, Duration::ZERO),
             None => Member::new(own, Duration::ZERO),
         };
-        Ok(Speaker {
+        Ok(Driver {
             socket,
             member,
             tag: tag(&settings.fleet),
             origin: now,
-            patience: settings.answer,
+            max_lateness: settings.ack_timeout,
             readable: true,
             traffic: Traffic::default(),
             reported: None,
@@ -66,7 +66,7 @@
     }
 
     /// Datagrams wait.
-    pub fn ready(&mut self) {
+    pub fn set_readable(&mut self) {
         self.readable = true;
     }
 
@@ -79,16 +79,16 @@
     }
 
     /// One turn of the loop, which came late by so much: takes what came and does what is due.
-    pub fn turn(&mut self, now: Instant, late: Duration) {
+    pub fn poll(&mut self, now: Instant, late: Duration) {
         let at = now.saturating_duration_since(self.origin);
         let mut actions = Vec::new();
-        if late > self.patience {
-            self.member.handle(at, Event::Late(late), &mut actions);
+        if late > self.max_lateness {
+            self.member.handle(at, Event::Delayed(late), &mut actions);
         }
         self.read(at, &mut actions);
         // What has come is heard before what is due: an answer may lie there that a suspicion waits for. A flood holds
         // that up for as long as an answer may take, and no longer.
-        let wait = if self.readable { self.patience } else { Duration::ZERO };
+        let wait = if self.readable { self.max_lateness } else { Duration::ZERO };
         if self.member.next_timer().is_some_and(|due| due + wait <= at) {
             self.member.handle(at, Event::Wake, &mut actions);
         }
@@ -109,8 +109,8 @@
     }
 
     fn read(&mut self, at: Duration, actions: &mut Vec<Action>) {
-        let mut bytes = [0; MAX_BYTES + 1];
-        for _ in 0..MAX_READ {
+        let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
+        for _ in 0..MAX_READS_PER_POLL {
             match self.socket.recv_from(&mut bytes) {
                 Ok((length, from)) => {
                     self.traffic.datagrams_in += 1;
@@ -151,12 +151,12 @@
     }
 
     /// Its report, as lines and as JSON, where one is due.
-    pub fn info(&mut self, now: Instant) -> Option<(String, String)> {
-        let pause = REPORT_PAUSE * (1 + self.member.peers().len() as u32 / PEERS_A_REPORT);
+    pub fn due_report(&mut self, now: Instant) -> Option<(String, String)> {
+        let pause = MIN_REPORT_INTERVAL * (1 + self.member.peers().len() as u32 / PEERS_PER_REPORT_INTERVAL);
         if self.reported.is_some_and(|at| now - at < pause) {
             return None;
         }
         self.reported = Some(now);
-        Some(report::of(&self.member, self.traffic, now.saturating_duration_since(self.origin)))
+        Some(report::render(&self.member, self.traffic, now.saturating_duration_since(self.origin)))
     }
 }
--- a/src/fleet/suspicion/tests.rs
+++ b/src/fleet/suspicion/tests.rs
@@ -12,9 +12,9 @@
         assert!(next < last);
         last = next;
     }
-    assert_eq!(last, bounds(period, 2.0, 50).0);
+    assert_eq!(last, timeout_bounds(period, 2.0, 50).0);
     suspicion.witnesses.insert("e".into());
     assert_eq!(suspicion.expires(period, 2.0, 50) - start, last, "never sooner than the least");
-    assert_eq!(Suspicion::new(start, "a").expires(period, 2.0, 3) - start, bounds(period, 2.0, 3).0);
-    assert!(bounds(period, 2.0, 3000).0 > bounds(period, 2.0, 50).0);
+    assert_eq!(Suspicion::new(start, "a").expires(period, 2.0, 3) - start, timeout_bounds(period, 2.0, 3).0);
+    assert!(timeout_bounds(period, 2.0, 3000).0 > timeout_bounds(period, 2.0, 50).0);
 }
--- a/src/fleet/update.rs
+++ b/src/fleet/update.rs
@@ -14,7 +14,7 @@
 
 /// The state of a member, as somebody states it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Standing {
+pub enum MemberState {
     /// It asks to be taken into the view.
     Joining,
     /// It is there.
@@ -40,7 +40,7 @@
     /// Grows each time that it contradicts a suspicion.
     pub incarnation: u32,
     /// Its state.
-    pub standing: Standing,
+    pub state: MemberState,
 }
 
 impl Update {
@@ -48,27 +48,27 @@
     /// a generation a suspicion beats the incarnation it was raised against, a higher incarnation beats the suspicion,
     /// and leaving is final.
     pub fn replaces(&self, known: &Update) -> bool {
-        let rank = |standing: &Standing| match standing {
-            Standing::Joining => 0,
-            Standing::Alive => 1,
-            Standing::Suspect { .. } => 2,
-            Standing::Leaving => 3,
+        let rank = |state: &MemberState| match state {
+            MemberState::Joining => 0,
+            MemberState::Alive => 1,
+            MemberState::Suspect { .. } => 2,
+            MemberState::Leaving => 3,
         };
-        let leaves = |update: &Update| update.standing == Standing::Leaving;
+        let leaves = |update: &Update| update.state == MemberState::Leaving;
         if self.generation != known.generation {
             return self.generation > known.generation;
         }
         match (leaves(self), leaves(known)) {
             (new, old) if new != old => new,
-            _ => (self.incarnation, rank(&self.standing)) > (known.incarnation, rank(&known.standing)),
+            _ => (self.incarnation, rank(&self.state)) > (known.incarnation, rank(&known.state)),
         }
     }
 
     /// Whether it can be one: bounds of what comes from outside.
     pub fn is_valid(&self) -> bool {
         let named = |name: &str| !name.is_empty() && name.len() <= MAX_NAME_BYTES;
-        let witness = match &self.standing {
-            Standing::Suspect { by } => named(by),
+        let witness = match &self.state {
+            MemberState::Suspect { by } => named(by),
             _ => true,
         };
         named(&self.name) && witness && self.address.port() != 0
--- a/src/fleet/view.rs
+++ b/src/fleet/view.rs
@@ -114,7 +114,7 @@
         for name in &change.leaves {
             ended.extend(members.remove(name).map(|listed| (listed.name, listed.generation)));
         }
-        for listed in change.joins.iter().filter(|listed| self.takes(&listed.name, listed.generation)) {
+        for listed in change.joins.iter().filter(|listed| self.admits(&listed.name, listed.generation)) {
             let before = members.insert(listed.name.clone(), listed.clone());
             ended.extend(before.map(|listed| (listed.name, listed.generation)));
         }
@@ -129,19 +129,19 @@
     }
 
     /// Whether a generation may come into the next view: none before it was later.
-    pub fn takes(&self, name: &str, generation: Generation) -> bool {
+    pub fn admits(&self, name: &str, generation: Generation) -> bool {
         let later = |known: Option<Generation>| known.is_none_or(|known| known < generation);
         later(self.ended.get(name).copied()) && later(self.members.get(name).map(|listed| listed.generation))
     }
 
     /// All of it, as it is fetched.
     pub fn entries(&self) -> impl Iterator<Item = ViewEntry> + '_ {
-        let there = self.members.values().cloned().map(ViewEntry::Member);
-        there.chain(self.ended.iter().map(|(name, generation)| ViewEntry::Ended(name.clone(), *generation)))
+        let members = self.members.values().cloned().map(ViewEntry::Member);
+        members.chain(self.ended.iter().map(|(name, generation)| ViewEntry::Ended(name.clone(), *generation)))
     }
 
     /// One that was fetched.
-    pub fn of(id: ViewId, entries: impl IntoIterator<Item = ViewEntry>) -> View {
+    pub fn from_entries(id: ViewId, entries: impl IntoIterator<Item = ViewEntry>) -> View {
         let mut view = View { id, ..View::default() };
         for entry in entries {
             match entry {
@@ -171,7 +171,7 @@
     }
 
     /// Accepts a change, unless a higher ballot has this vote.
-    pub fn propose(&mut self, ballot: &Ballot, change: &Change) -> bool {
+    pub fn accept(&mut self, ballot: &Ballot, change: &Change) -> bool {
         if *ballot < self.promised {
             return false;
         }
@@ -199,7 +199,7 @@
     /// Its ballot.
     pub ballot: Ballot,
     /// What it would change.
-    wanted: Change,
+    desired: Change,
     votes: BTreeMap<String, Vote>,
     /// What it proposed, once most had voted.
     pub proposed: Option<Change>,
@@ -208,18 +208,18 @@
 
 impl Proposal {
     /// Begins one.
-    pub fn new(ballot: Ballot, wanted: Change) -> Self {
-        Proposal { ballot, wanted, votes: BTreeMap::new(), proposed: None, accepted: BTreeSet::new() }
+    pub fn new(ballot: Ballot, desired: Change) -> Self {
+        Proposal { ballot, desired, votes: BTreeMap::new(), proposed: None, accepted: BTreeSet::new() }
     }
 
     /// Members that it would take out.
     pub fn leaves(&self) -> &[String] {
-        &self.wanted.leaves
+        &self.desired.leaves
     }
 
     /// A vote came. What is to be proposed now, if most have voted: what was accepted at the highest ballot, else what
     /// is wanted, less the members for whose going not most of the view are. An empty change is proposed to nobody.
-    pub fn vote(
+    pub fn add_vote(
         &mut self,
         view: &View,
         from: &str,
@@ -241,8 +241,8 @@
                     self.votes.values().filter(|vote| !vote.objections.contains(name)).count()
                         >= view.majority()
                 };
-                let leaves = self.wanted.leaves.iter().filter(|name| agreed(name)).cloned().collect();
-                Change { leaves, ..self.wanted.clone() }
+                let leaves = self.desired.leaves.iter().filter(|name| agreed(name)).cloned().collect();
+                Change { leaves, ..self.desired.clone() }
             }
         };
         if change.is_empty() {
@@ -253,7 +253,7 @@
     }
 
     /// It was accepted by a member: the change, once most of the view have.
-    pub fn accepted(&mut self, view: &View, from: &str) -> Option<Change> {
+    pub fn add_accepted(&mut self, view: &View, from: &str) -> Option<Change> {
         let change = self.proposed.as_ref().filter(|_| view.members.contains_key(from))?;
         self.accepted.insert(from.to_string());
         (self.accepted.len() >= view.majority()).then(|| change.clone())
--- a/src/fleet/view/tests.rs
+++ b/src/fleet/view/tests.rs
@@ -18,23 +18,27 @@
     Ballot { round, by: by.into() }
 }
 
-fn takes_out(name: &str) -> Change {
+fn removal_of(name: &str) -> Change {
     Change { leaves: vec![name.into()], ..Change::default() }
 }
 
 #[test]
 fn a_member_goes_only_where_most_of_the_view_cannot_reach_it() {
     let view = view(&["a", "b", "c", "d", "e"]);
-    let mut proposal = Proposal::new(ballot(1, "a"), takes_out("e"));
-    assert_eq!(proposal.vote(&view, "x", None, []), None, "no member");
-    assert_eq!(proposal.vote(&view, "a", None, []), None);
-    assert_eq!(proposal.vote(&view, "b", None, []), None);
-    assert_eq!(proposal.vote(&view, "c", None, ["e".to_string()]), None, "two are for it, three are most");
-    assert_eq!(proposal.vote(&view, "d", None, []), Some(takes_out("e")));
-    assert_eq!(proposal.accepted(&view, "a"), None);
-    assert_eq!(proposal.accepted(&view, "a"), None, "who says it twice counts once");
-    assert_eq!(proposal.accepted(&view, "b"), None);
-    let decided = proposal.accepted(&view, "c").unwrap();
+    let mut proposal = Proposal::new(ballot(1, "a"), removal_of("e"));
+    assert_eq!(proposal.add_vote(&view, "x", None, []), None, "no member");
+    assert_eq!(proposal.add_vote(&view, "a", None, []), None);
+    assert_eq!(proposal.add_vote(&view, "b", None, []), None);
+    assert_eq!(
+        proposal.add_vote(&view, "c", None, ["e".to_string()]),
+        None,
+        "two are for it, three are most"
+    );
+    assert_eq!(proposal.add_vote(&view, "d", None, []), Some(removal_of("e")));
+    assert_eq!(proposal.add_accepted(&view, "a"), None);
+    assert_eq!(proposal.add_accepted(&view, "a"), None, "who says it twice counts once");
+    assert_eq!(proposal.add_accepted(&view, "b"), None);
+    let decided = proposal.add_accepted(&view, "c").unwrap();
     let next = view.after(&decided);
     assert_eq!((next.id.number, next.members.len(), next.majority()), (2, 4, 3));
 }
@@ -42,16 +46,16 @@
 #[test]
 fn a_generation_that_has_ended_does_not_come_again_and_a_later_one_does() {
     let view = view(&["a", "b", "c"]);
-    let next = view.after(&takes_out("c"));
-    let comes = |generation| Change {
+    let next = view.after(&removal_of("c"));
+    let joining = |generation| Change {
         joins: vec![ViewMember { generation: Generation(generation), ..listed("c") }],
         ..Change::default()
     };
-    assert_eq!(next.after(&comes(1)).members.len(), 2);
-    let again = next.after(&comes(2));
+    assert_eq!(next.after(&joining(1)).members.len(), 2);
+    let again = next.after(&joining(2));
     assert_eq!((again.members["c"].generation, again.ended["c"]), (Generation(2), Generation(1)));
-    assert_eq!(View::of(again.id, again.entries()), again);
-    assert!(!again.takes("c", Generation(2)) && again.takes("c", Generation(3)));
+    assert_eq!(View::from_entries(again.id, again.entries()), again);
+    assert!(!again.admits("c", Generation(2)) && again.admits("c", Generation(3)));
 }
 
 #[test]
@@ -59,15 +63,15 @@
     let view = view(&["a", "b", "c"]);
     let (mut a, mut b, mut c) = (Acceptor::default(), Acceptor::default(), Acceptor::default());
     let (first, second) = (ballot(1, "a"), ballot(2, "b"));
-    let mut proposal = Proposal::new(first.clone(), takes_out("c"));
-    proposal.vote(&view, "a", a.prepare(&first).unwrap(), []);
-    let change = proposal.vote(&view, "b", b.prepare(&first).unwrap(), []).unwrap();
-    assert!(a.propose(&first, &change));
+    let mut proposal = Proposal::new(first.clone(), removal_of("c"));
+    proposal.add_vote(&view, "a", a.prepare(&first).unwrap(), []);
+    let change = proposal.add_vote(&view, "b", b.prepare(&first).unwrap(), []).unwrap();
+    assert!(a.accept(&first, &change));
     // Another one tries before it hears of it, and finds what one of most has accepted.
-    let mut other = Proposal::new(second.clone(), takes_out("a"));
-    other.vote(&view, "c", c.prepare(&second).unwrap(), []);
-    assert_eq!(other.vote(&view, "a", a.prepare(&second).unwrap(), []), Some(takes_out("c")));
-    assert!(!a.propose(&first, &change), "the lower ballot comes too late");
+    let mut other = Proposal::new(second.clone(), removal_of("a"));
+    other.add_vote(&view, "c", c.prepare(&second).unwrap(), []);
+    assert_eq!(other.add_vote(&view, "a", a.prepare(&second).unwrap(), []), Some(removal_of("c")));
+    assert!(!a.accept(&first, &change), "the lower ballot comes too late");
     assert_eq!(b.prepare(&second), Some(None));
     assert_eq!(b.prepare(&first), None);
 }
--- a/src/forwarder/gather.rs
+++ b/src/forwarder/gather.rs
@@ -42,7 +42,7 @@
             // Read before all else in a turn.
             ADMIN_LISTENER => {}
             UPGRADE => self.upgrade.connections_pending(),
-            FLEET => self.fleet.iter_mut().for_each(fleet::speaker::Speaker::ready),
+            FLEET => self.fleet.iter_mut().for_each(fleet::speaker::Driver::set_readable),
             token if ADVERTISEMENTS.contains(&token) => {}
             SIGNAL => {
                 if drained(&mut self.signal) {
--- a/src/forwarder/mod.rs
+++ b/src/forwarder/mod.rs
@@ -79,7 +79,7 @@
     /// Addresses that move between machines.
     addresses: Option<Addresses>,
     /// Membership among initiators, where they may talk.
-    fleet: Option<fleet::speaker::Speaker>,
+    fleet: Option<fleet::speaker::Driver>,
     /// When it is to be joined again: the address may still be that of a process that has just died.
     fleet_again: Option<Instant>,
     /// Where operators call.
@@ -210,7 +210,7 @@
         let Some(settings) = &self.config.fleet else { return Ok(()) };
         let (unix, registry) = (self.clock.unix(now), self.poll.registry());
         let drawn = (unix, self.config.seed);
-        self.fleet = Some(fleet::speaker::Speaker::start(settings, drawn, identity, FLEET, registry, now)?);
+        self.fleet = Some(fleet::speaker::Driver::start(settings, drawn, identity, FLEET, registry, now)?);
         Ok(())
     }
 
@@ -223,8 +223,8 @@
             }
         }
         let Some(fleet) = &mut self.fleet else { return };
-        fleet.turn(now, late);
-        if let Some((lines, json)) = fleet.info(now) {
+        fleet.poll(now, late);
+        if let Some((lines, json)) = fleet.due_report(now) {
             self.core.set_report(fleet::speaker::REPORT, lines, json);
         }
     }
--- a/src/forwarder/succession.rs
+++ b/src/forwarder/succession.rs
@@ -2,7 +2,7 @@
 
 use super::budget::{connection_budget, holds, LONG_PART};
 use super::{Forwarder, ADMIN_LISTENER, ISCSI_LISTENER, LISTENER};
-use crate::fleet::speaker::{Speaker, REPORT};
+use crate::fleet::speaker::{Driver, REPORT};
 use crate::front::Front;
 use crate::service::addresses::Addresses;
 use crate::tokens::Kind;
@@ -105,7 +105,7 @@
             let holds = holds(clients, targets.len());
             let scheduler = Some(planner.hand_over(now));
             *again = None;
-            let fleet = fleet.take().map(Speaker::hand_over);
+            let fleet = fleet.take().map(Driver::hand_over);
             Carried { drained, nodes: nodes.carry(now), list, scheduler, holds, fleet }
         });
         if given {
--- a/src/planner/server.rs
+++ b/src/planner/server.rs
@@ -11,7 +11,7 @@
 use crate::shares::planner::{Planner, Settings};
 use crate::shares::PlannerId;
 use crate::vrrp::machine::Role as ElectionRole;
-use crate::vrrp::speaker::Speaker;
+use crate::vrrp::speaker::Driver;
 use mio::net::UnixStream;
 use mio::{Events, Interest, Poll, Token};
 use std::collections::{BTreeSet, HashMap};
@@ -41,7 +41,7 @@
 pub struct Server {
     poll: Poll,
     config: Config,
-    election: Speaker,
+    election: Driver,
     listener: Listener,
     connections: HashMap<usize, Connection>,
     /// By partition, where it leads.
@@ -83,7 +83,7 @@
         let interfaces = std::slice::from_ref(&config.interface);
         let routers = config.routers.clone();
         let leads = routers.iter().map(|_| None).collect();
-        let election = Speaker::start(interfaces, routers, &[], [ELECTION], poll.registry(), started)?;
+        let election = Driver::start(interfaces, routers, &[], [ELECTION], poll.registry(), started)?;
         Ok(Server {
             poll,
             config,
@@ -115,9 +115,9 @@
             let now = Instant::now();
             // First of all: a planner that was stopped may have been replaced, and plans nothing more then.
             if events.iter().any(|event| event.token() == ELECTION) {
-                self.election.ready(0);
+                self.election.set_readable(0);
             }
-            self.election.turn(now);
+            self.election.poll(now);
             self.follow_election(now);
             let mut ready = std::mem::take(&mut self.unfinished);
             for event in &events {
--- a/src/service/addresses.rs
+++ b/src/service/addresses.rs
@@ -8,11 +8,11 @@
 use crate::handover::{Duty, Event, Handover, Order};
 use crate::process::resident;
 use crate::tokens::{Kind, Tokens};
-use crate::vrrp::address::{address, Address, Progress, PAUSE};
+use crate::vrrp::address::{address_takeover, AddressTakeover, Progress, POLL_INTERVAL};
 use crate::vrrp::machine::{Role, Transition};
-use crate::vrrp::report::{Served, Snapshot};
+use crate::vrrp::report::{ServiceStatus, Snapshot};
 use crate::vrrp::settings::Settings;
-use crate::vrrp::speaker::Speaker;
+use crate::vrrp::speaker::Driver;
 use crate::vrrp::track::Condition;
 use mio::{Registry, Token};
 use std::time::{Duration, Instant};
@@ -49,7 +49,7 @@
 
 /// One address on this machine.
 struct Place {
-    address: Box<dyn Address>,
+    address: Box<dyn AddressTakeover>,
     /// Endpoints of the fronts, in the order of the address's listeners.
     endpoints: Vec<(Wire, usize)>,
     /// Something was asked of the address that has not come about.
@@ -60,7 +60,7 @@
 /// All addresses that this machine serves in turn with others.
 pub struct Addresses {
     settings: Settings,
-    speaker: Speaker,
+    speaker: Driver,
     handover: Handover,
     places: Vec<Place>,
     started: Instant,
@@ -96,11 +96,11 @@
                 listen.push(at);
                 endpoints.push((Wire::Iscsi, front.add_endpoint()));
             }
-            let address = address(&settings.means, &service.router, listen);
+            let address = address_takeover(&settings.takeover, &service.router, listen);
             places.push(Place { address, endpoints, pending: false, failing: false });
         }
         let (routers, rules) = (settings.routers(), &settings.tracking.rules);
-        let speaker = Speaker::start(&settings.interfaces, routers, rules, interfaces, lent.registry, now)?;
+        let speaker = Driver::start(&settings.interfaces, routers, rules, interfaces, lent.registry, now)?;
         let handover = Handover::new(places.len(), finish);
         let (next_look, slowest) = (now, Duration::ZERO);
         Ok(Addresses {
@@ -117,7 +117,7 @@
 
     /// Advertisements came on an interface, by position.
     pub fn ready(&mut self, interface: usize) {
-        self.speaker.ready(interface);
+        self.speaker.set_readable(interface);
     }
 
     /// When [`Addresses::turn`] or [`Addresses::look`] has something to do.
@@ -129,7 +129,7 @@
     /// What comes first in each turn of the loop: a process that was stopped learns here, before it takes or sends
     /// anything, that another may serve its addresses.
     pub fn turn(&mut self, now: Instant, lent: &mut Lent) {
-        let changes = self.speaker.turn(now);
+        let changes = self.speaker.poll(now);
         self.follow(now, changes, lent);
         if self.next_turn.is_some_and(|at| at <= now) {
             self.turn_to_places(now, lent);
@@ -146,7 +146,7 @@
         if self.next_look > now {
             return;
         }
-        self.next_look = now + self.settings.tracking.every;
+        self.next_look = now + self.settings.tracking.check_interval;
         let (seen, slowest) = (seen(), std::mem::take(&mut self.slowest));
         let tracking = self.settings.tracking.clone();
         for rule in &tracking.rules {
@@ -162,7 +162,7 @@
                 Condition::File => tracking.file.as_ref().is_some_and(|file| file.exists()),
                 Condition::Address => self.places.iter().any(|place| place.failing),
             };
-            let changes = self.speaker.look(now, rule.condition, found);
+            let changes = self.speaker.record_check(now, rule.condition, found);
             self.follow(now, changes, lent);
         }
         self.report(now, lent);
@@ -170,10 +170,10 @@
 
     /// Goes by another file as far as that needs no restart.
     pub fn change(&mut self, now: Instant, new: Settings, lent: &mut Lent) {
-        for what in self.settings.fixed_changes(&new) {
+        for what in self.settings.changes_needing_restart(&new) {
             tracing::warn!("a change of {what} in the VRRP file needs a restart");
         }
-        let changes = self.speaker.change(now, &new.routers(), &new.tracking.rules);
+        let changes = self.speaker.reconfigure(now, &new.routers(), &new.tracking.rules);
         for (old, new) in self.settings.services.iter_mut().zip(&new.services) {
             if old.router.vrid == new.router.vrid {
                 old.router.priority = new.router.priority;
@@ -211,12 +211,12 @@
     }
 
     fn step(&mut self, now: Instant, router: usize, event: Event, lent: &mut Lent) {
-        let order = self.handover.step(self.speaker.scale(now), router, event);
+        let order = self.handover.step(self.speaker.since_start(now), router, event);
         let place = &mut self.places[router];
         match order {
             None => {}
             Some(Order::Take) => {
-                place.address.take(now);
+                place.address.acquire(now);
                 place.pending = true;
             }
             Some(Order::Release) => {
@@ -248,16 +248,16 @@
         for router in 0..self.places.len() {
             let place = &mut self.places[router];
             if place.pending {
-                match place.address.turn(now) {
+                match place.address.poll(now) {
                     Progress::Pending => {}
                     // Guards the priority against an address that nobody wants any more.
-                    Progress::Gone => (place.pending, place.failing) = (false, false),
-                    Progress::Failing(why) => {
+                    Progress::Released => (place.pending, place.failing) = (false, false),
+                    Progress::Failed(why) => {
                         if !std::mem::replace(&mut place.failing, true) {
                             tracing::warn!("an address cannot be had, and is tried on: {why}");
                         }
                     }
-                    Progress::Here(listeners) => {
+                    Progress::Acquired(listeners) => {
                         (place.pending, place.failing) = (false, false);
                         let endpoints = place.endpoints.clone();
                         for ((wire, endpoint), listener) in endpoints.into_iter().zip(listeners) {
@@ -285,11 +285,11 @@
         }
         let finishes = |router| matches!(self.handover.duty(router), Duty::Retired { .. });
         let busy = (0..self.places.len()).any(|router| self.places[router].pending || finishes(router));
-        self.next_turn = busy.then_some(now + PAUSE);
+        self.next_turn = busy.then_some(now + POLL_INTERVAL);
     }
 
     fn report(&mut self, now: Instant, lent: &mut Lent) {
-        let served = |router: usize| Served {
+        let served = |router: usize| ServiceStatus {
             duty: self.handover.duty(router).name(),
             open_requests: open_at(&self.places[router].endpoints, lent).len(),
         };
--- a/src/vrrp/address/tests.rs
+++ b/src/vrrp/address/tests.rs
@@ -21,10 +21,10 @@
     words.iter().map(|word| word.to_string()).collect()
 }
 
-fn until<T>(address: &mut Box<dyn Address>, mut wanted: impl FnMut(Progress) -> Option<T>) -> T {
+fn poll_until<T>(address: &mut Box<dyn AddressTakeover>, mut wanted: impl FnMut(Progress) -> Option<T>) -> T {
     let start = Instant::now();
     loop {
-        if let Some(found) = wanted(address.turn(Instant::now())) {
+        if let Some(found) = wanted(address.poll(Instant::now())) {
             return found;
         }
         assert!(start.elapsed() < Duration::from_secs(20), "never came true");
@@ -32,29 +32,30 @@
     }
 }
 
-fn here(progress: Progress) -> Option<Vec<TcpListener>> {
+fn acquired(progress: Progress) -> Option<Vec<TcpListener>> {
     match progress {
-        Progress::Here(listeners) => Some(listeners),
+        Progress::Acquired(listeners) => Some(listeners),
         _ => None,
     }
 }
 
-fn failing(progress: Progress) -> Option<String> {
+fn failure(progress: Progress) -> Option<String> {
     match progress {
-        Progress::Failing(why) => Some(why),
+        Progress::Failed(why) => Some(why),
         _ => None,
     }
 }
 
 #[test]
 fn a_listener_may_be_at_an_address_that_is_not_local_and_is_told_once() {
-    let mut address = address(&Means::Bind, &router(), vec!["127.0.0.1:0".parse().unwrap()]);
+    let mut address =
+        address_takeover(&TakeoverMethod::Bind, &router(), vec!["127.0.0.1:0".parse().unwrap()]);
     let now = Instant::now();
-    assert!(matches!(address.turn(now), Progress::Gone));
-    address.take(now);
-    let listeners = until(&mut address, here);
+    assert!(matches!(address.poll(now), Progress::Released));
+    address.acquire(now);
+    let listeners = poll_until(&mut address, acquired);
     assert_eq!(nix::sys::socket::getsockopt(&listeners[0], nix::sys::socket::sockopt::IpFreebind), Ok(true));
-    assert!(matches!(address.turn(now), Progress::Pending));
+    assert!(matches!(address.poll(now), Progress::Pending));
     let six = listener::bind("[::1]:0".parse().unwrap(), Locality::Any).unwrap();
     assert!(socket2::SockRef::from(&six).freebind_v6().unwrap());
 }
@@ -62,33 +63,34 @@
 #[test]
 fn an_address_in_use_is_tried_until_it_is_free() {
     let other = TcpListener::bind("127.0.0.1:0").unwrap();
-    let mut address = address(&Means::Bind, &router(), vec![other.local_addr().unwrap()]);
-    address.take(Instant::now());
-    until(&mut address, failing);
+    let mut address = address_takeover(&TakeoverMethod::Bind, &router(), vec![other.local_addr().unwrap()]);
+    address.acquire(Instant::now());
+    poll_until(&mut address, failure);
     drop(other);
-    assert_eq!(until(&mut address, here).len(), 1);
+    assert_eq!(poll_until(&mut address, acquired).len(), 1);
 }
 
 #[test]
 fn a_command_moves_it_and_is_told_what() {
     let file = std::env::temp_dir().join(format!("topazpath-address-{}", std::process::id()));
-    let say = |what: &str| {
+    let log_command = |what: &str| {
         let line = format!(
             "echo {what} $TOPAZPATH_ROUTER $TOPAZPATH_VRID $TOPAZPATH_ADDRESSES >> {}",
             file.display()
         );
         words(&["/bin/sh", "-c", &line])
     };
-    let limit = Duration::from_secs(20);
-    let means = Means::Command { take: say("take"), release: say("release"), limit };
-    let mut address = address(&means, &router(), vec!["127.0.0.1:0".parse().unwrap()]);
-    address.take(Instant::now());
-    drop(until(&mut address, here));
+    let timeout = Duration::from_secs(20);
+    let method =
+        TakeoverMethod::Command { take: log_command("take"), release: log_command("release"), timeout };
+    let mut address = address_takeover(&method, &router(), vec!["127.0.0.1:0".parse().unwrap()]);
+    address.acquire(Instant::now());
+    drop(poll_until(&mut address, acquired));
     address.release(Instant::now());
-    until(&mut address, |progress| matches!(progress, Progress::Gone).then_some(()));
-    let said = std::fs::read_to_string(&file).unwrap();
+    poll_until(&mut address, |progress| matches!(progress, Progress::Released).then_some(()));
+    let written = std::fs::read_to_string(&file).unwrap();
     std::fs::remove_file(&file).unwrap();
-    assert_eq!(said, "take a 9 192.0.2.1 192.0.2.2\nrelease a 9 192.0.2.1 192.0.2.2\n");
+    assert_eq!(written, "take a 9 192.0.2.1 192.0.2.2\nrelease a 9 192.0.2.1 192.0.2.2\n");
 }
 
 #[test]
@@ -96,12 +98,12 @@
     let file = std::env::temp_dir().join(format!("topazpath-again-{}", std::process::id()));
     let line = format!("echo x >> {}; exit 1", file.display());
     let (take, release) = (words(&["/bin/sh", "-c", &line]), words(&["/bin/true"]));
-    let means = Means::Command { take, release, limit: Duration::from_secs(20) };
-    let mut address = address(&means, &router(), vec![]);
+    let method = TakeoverMethod::Command { take, release, timeout: Duration::from_secs(20) };
+    let mut address = address_takeover(&method, &router(), vec![]);
     let start = Instant::now();
-    address.take(start);
-    (0..2).for_each(|_| drop(until(&mut address, failing)));
-    assert!(start.elapsed() >= AGAIN);
+    address.acquire(start);
+    (0..2).for_each(|_| drop(poll_until(&mut address, failure)));
+    assert!(start.elapsed() >= COMMAND_RETRY_DELAY);
     assert_eq!(std::fs::read_to_string(&file).unwrap(), "x\nx\n");
     std::fs::remove_file(&file).unwrap();
 }
@@ -114,12 +116,12 @@
         (words(&["/bin/false"]), "exit status: 1"),
         (words(&[&file]), "No such file"),
     ] {
-        let limit = if expected.contains("30 ms") { 30 } else { 20_000 };
-        let (release, limit) = (words(&["/bin/true"]), Duration::from_millis(limit));
-        let means = Means::Command { take, release, limit };
-        let mut address = address(&means, &router(), vec![]);
-        address.take(Instant::now());
-        let why = until(&mut address, failing);
+        let timeout = if expected.contains("30 ms") { 30 } else { 20_000 };
+        let (release, timeout) = (words(&["/bin/true"]), Duration::from_millis(timeout));
+        let method = TakeoverMethod::Command { take, release, timeout };
+        let mut address = address_takeover(&method, &router(), vec![]);
+        address.acquire(Instant::now());
+        let why = poll_until(&mut address, failure);
         assert!(why.contains(expected), "{why}");
     }
 }
--- a/src/vrrp/machine.rs
+++ b/src/vrrp/machine.rs
@@ -10,9 +10,9 @@
 use std::time::Duration;
 
 /// Intervals without an advertisement before another is taken to be gone.
-const INTERVALS_DOWN: u32 = 3;
+const ACTIVE_DOWN_INTERVALS: u32 = 3;
 /// An Active router that has advertised within this part of its interval does not do so again for what it hears.
-const ASSERTED: u32 = 10;
+const MIN_ADVERTISE_DIVISOR: u32 = 10;
 
 /// How one router takes part.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -137,7 +137,7 @@
 
 /// One virtual router on this machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Machine {
+pub struct StateMachine {
     state: State,
     /// Its priority now; tracking and maintenance change it.
     priority: u8,
@@ -149,10 +149,10 @@
     resigned: bool,
 }
 
-impl Machine {
+impl StateMachine {
     /// A router that has not started.
     pub fn new(parameters: &Parameters, priority: u8) -> Self {
-        Machine {
+        StateMachine {
             state: State::Initialize,
             priority,
             active_interval: parameters.interval,
@@ -195,18 +195,18 @@
     }
 
     /// Skew_Time: the lower the priority, the longer; less than an interval (RFC 9568, 6.1).
-    pub fn skew(&self) -> Duration {
+    pub fn skew_time(&self) -> Duration {
         self.active_interval * (256 - u32::from(self.priority)) / 256
     }
 
     /// Active_Down_Interval: three of the Active router's intervals and the skew.
-    pub fn active_down(&self) -> Duration {
-        INTERVALS_DOWN * self.active_interval + self.skew()
+    pub fn active_down_interval(&self) -> Duration {
+        ACTIVE_DOWN_INTERVALS * self.active_interval + self.skew_time()
     }
 
     /// The same router on a scale that begins later by so much; what would lie before its beginning lies there. For
     /// callers that keep times relative to now, as a model checker does, so that states come again.
-    pub fn rebased(mut self, by: Duration) -> Machine {
+    pub fn rebased(mut self, by: Duration) -> StateMachine {
         let earlier = |at: Duration| at.saturating_sub(by);
         self.lower_since = self.lower_since.map(earlier);
         self.state = match self.state {
@@ -223,40 +223,40 @@
     /// they tell of another Active router.
     pub fn step(&mut self, parameters: &Parameters, now: Duration, event: Event) -> Step {
         let before = self.role();
-        let mut done = Done::default();
+        let mut outcome = Outcome::default();
         if self.is_late(parameters, now) {
             // Guards against two Active routers after a stop: others may have taken over by now.
             self.wait_as_backup(now, parameters.interval);
-            done.reason = Some(Reason::Late);
+            outcome.reason = Some(Reason::Late);
         }
         match self.state {
-            State::Initialize => self.initialize(parameters, now, event, &mut done),
-            State::Backup { down_at } => self.backup(parameters, now, event, down_at, &mut done),
+            State::Initialize => self.initialize(parameters, now, event, &mut outcome),
+            State::Backup { down_at } => self.backup(parameters, now, event, down_at, &mut outcome),
             State::Active { advertise_at, advertised } => {
-                self.active(parameters, now, event, (advertise_at, advertised), &mut done);
+                self.active(parameters, now, event, (advertise_at, advertised), &mut outcome);
             }
         }
         let (from, to) = (before, self.role());
-        let transition = done.reason.filter(|_| from != to).map(|reason| Transition { from, to, reason });
-        Step { advertise: done.advertise, transition }
+        let transition = outcome.reason.filter(|_| from != to).map(|reason| Transition { from, to, reason });
+        Step { advertise: outcome.advertise, transition }
     }
 
     /// Active, but silent for so long that the quickest of the others may have taken over.
     fn is_late(&self, parameters: &Parameters, now: Duration) -> bool {
         let silent = |advertised: Duration| now.saturating_sub(advertised);
-        let limit = INTERVALS_DOWN * parameters.interval;
+        let limit = ACTIVE_DOWN_INTERVALS * parameters.interval;
         matches!(self.state, State::Active { advertised, .. } if silent(advertised) >= limit)
     }
 
-    fn initialize(&mut self, parameters: &Parameters, now: Duration, event: Event, done: &mut Done) {
+    fn initialize(&mut self, parameters: &Parameters, now: Duration, event: Event, outcome: &mut Outcome) {
         match event {
             Event::Startup if self.priority == PRIORITY_OWNER => {
-                self.advertise(parameters, now, done);
-                done.reason = Some(Reason::Owner);
+                self.advertise(parameters, now, outcome);
+                outcome.reason = Some(Reason::Owner);
             }
             Event::Startup => {
                 self.wait_as_backup(now, parameters.interval);
-                done.reason = Some(Reason::Startup);
+                outcome.reason = Some(Reason::Startup);
             }
             Event::Priority(priority) => self.priority = priority,
             Event::Shutdown | Event::Timer | Event::Advertisement { .. } => {}
@@ -269,20 +269,20 @@
         now: Duration,
         event: Event,
         down_at: Option<Duration>,
-        done: &mut Done,
+        outcome: &mut Outcome,
     ) {
         match event {
             Event::Startup => {}
             Event::Shutdown => {
                 self.state = State::Initialize;
-                done.reason = Some(Reason::Shutdown);
+                outcome.reason = Some(Reason::Shutdown);
             }
             Event::Priority(priority) => {
-                let held = self.priority == PRIORITY_RESIGN;
+                let was_in_maintenance = self.priority == PRIORITY_RESIGN;
                 self.priority = priority;
                 if priority == PRIORITY_RESIGN {
                     self.state = State::Backup { down_at: None };
-                } else if held {
+                } else if was_in_maintenance {
                     self.wait_as_backup(now, self.active_interval);
                 }
             }
@@ -290,22 +290,22 @@
                 None => {}
                 Some(at) if now - at > self.active_interval => {
                     // Guards against a stop: an Active router is heard of within its interval, if there is one.
-                    let wait = self.active_interval + self.skew();
+                    let wait = self.active_interval + self.skew_time();
                     self.state = State::Backup { down_at: Some(now + wait) };
                 }
                 Some(_) => {
-                    done.reason = Some(match (self.resigned, self.lower_since) {
+                    outcome.reason = Some(match (self.resigned, self.lower_since) {
                         (true, _) => Reason::Resigned,
                         (false, Some(_)) => Reason::Preempts,
                         (false, None) => Reason::NoResponse,
                     });
-                    self.advertise(parameters, now, done);
+                    self.advertise(parameters, now, outcome);
                 }
             },
             Event::Advertisement { .. } if self.priority == PRIORITY_RESIGN => {}
             Event::Advertisement { priority: PRIORITY_RESIGN, .. } => {
                 self.resigned = true;
-                self.state = State::Backup { down_at: Some(now + self.skew()) };
+                self.state = State::Backup { down_at: Some(now + self.skew_time()) };
             }
             Event::Advertisement { priority, interval, .. } => {
                 self.resigned = false;
@@ -327,67 +327,72 @@
         now: Duration,
         event: Event,
         (advertise_at, advertised): (Duration, Duration),
-        done: &mut Done,
+        outcome: &mut Outcome,
     ) {
         // Guards against a flood of advertisements that would be answered one by one.
-        let asserted = now.saturating_sub(advertised) < parameters.interval / ASSERTED;
+        let advertised_recently =
+            now.saturating_sub(advertised) < parameters.interval / MIN_ADVERTISE_DIVISOR;
         match event {
             Event::Startup => {}
             Event::Shutdown => {
                 self.state = State::Initialize;
-                done.advertise = Some(PRIORITY_RESIGN);
-                done.reason = Some(Reason::Shutdown);
+                outcome.advertise = Some(PRIORITY_RESIGN);
+                outcome.reason = Some(Reason::Shutdown);
             }
             Event::Priority(PRIORITY_RESIGN) => {
                 self.priority = PRIORITY_RESIGN;
                 self.state = State::Backup { down_at: None };
-                done.advertise = Some(PRIORITY_RESIGN);
-                done.reason = Some(Reason::Maintenance);
+                outcome.advertise = Some(PRIORITY_RESIGN);
+                outcome.reason = Some(Reason::Maintenance);
             }
             Event::Priority(priority) if priority == self.priority => {}
             Event::Priority(priority) => {
                 self.priority = priority;
                 // Sent at once, so that a better one need not wait for it.
-                self.advertise(parameters, now, done);
+                self.advertise(parameters, now, outcome);
             }
             Event::Timer if now < advertise_at => {}
-            Event::Timer => self.advertise(parameters, now, done),
-            Event::Advertisement { priority: PRIORITY_RESIGN, .. } if asserted => {}
-            Event::Advertisement { priority: PRIORITY_RESIGN, .. } => self.advertise(parameters, now, done),
+            Event::Timer => self.advertise(parameters, now, outcome),
+            Event::Advertisement { priority: PRIORITY_RESIGN, .. } if advertised_recently => {}
+            Event::Advertisement { priority: PRIORITY_RESIGN, .. } => {
+                self.advertise(parameters, now, outcome)
+            }
             Event::Advertisement { priority, interval, sender } => {
                 if (priority, sender) > (self.priority, parameters.address) {
                     let higher = priority > self.priority;
-                    done.reason = Some(if higher { Reason::HigherPriority } else { Reason::HigherAddress });
+                    outcome.reason =
+                        Some(if higher { Reason::HigherPriority } else { Reason::HigherAddress });
                     self.wait_as_backup(now, interval);
-                } else if !asserted {
+                } else if !advertised_recently {
                     // RFC 9568 sends at once, so that the other, and switches, learn of this one.
-                    self.advertise(parameters, now, done);
+                    self.advertise(parameters, now, outcome);
                 }
             }
         }
     }
 
     /// Advertises as Active, from now on if it was not.
-    fn advertise(&mut self, parameters: &Parameters, now: Duration, done: &mut Done) {
+    fn advertise(&mut self, parameters: &Parameters, now: Duration, outcome: &mut Outcome) {
         self.state = State::Active { advertise_at: now + parameters.interval, advertised: now };
         (self.lower_since, self.resigned) = (None, false);
         self.active_interval = parameters.interval;
-        done.advertise = Some(self.priority);
+        outcome.advertise = Some(self.priority);
     }
 
     /// Waits for the Active router, whose interval this is, to be gone.
     fn wait_as_backup(&mut self, now: Duration, interval: Duration) {
         self.active_interval = interval;
         // An owner that was stopped need not wait for one that must yield to it, only hear what has come.
-        let wait = if self.priority == PRIORITY_OWNER { self.skew() } else { self.active_down() };
-        let held = self.priority == PRIORITY_RESIGN;
-        self.state = State::Backup { down_at: (!held).then_some(now + wait) };
+        let wait =
+            if self.priority == PRIORITY_OWNER { self.skew_time() } else { self.active_down_interval() };
+        let in_maintenance = self.priority == PRIORITY_RESIGN;
+        self.state = State::Backup { down_at: (!in_maintenance).then_some(now + wait) };
     }
 }
 
 /// What a step has come to so far.
 #[derive(Default)]
-struct Done {
+struct Outcome {
     advertise: Option<u8>,
     reason: Option<Reason>,
 }
--- a/src/vrrp/machine/tests.rs
+++ b/src/vrrp/machine/tests.rs
@@ -8,19 +8,19 @@
     Parameters { interval: MS(100), preempt: true, preempt_delay: Duration::ZERO, address }
 }
 
-fn heard(priority: u8, last: u8) -> Event {
+fn advertised_by(priority: u8, last: u8) -> Event {
     Event::Advertisement { priority, interval: MS(100), sender: [192, 0, 2, last].into() }
 }
 
 /// A router that has started at time 0.
-fn started(own: &Parameters, priority: u8) -> Machine {
-    let mut machine = Machine::new(own, priority);
+fn started(own: &Parameters, priority: u8) -> StateMachine {
+    let mut machine = StateMachine::new(own, priority);
     machine.step(own, Duration::ZERO, Event::Startup);
     machine
 }
 
 /// A router that is Active since 400 ms.
-fn active(own: &Parameters, priority: u8) -> Machine {
+fn active(own: &Parameters, priority: u8) -> StateMachine {
     let mut machine = started(own, priority);
     machine.step(own, MS(400), Event::Timer);
     assert_eq!(machine.role(), Role::Active);
@@ -48,7 +48,7 @@
 #[test]
 fn an_owner_is_active_at_once() {
     let own = parameters(1);
-    let mut machine = Machine::new(&own, PRIORITY_OWNER);
+    let mut machine = StateMachine::new(&own, PRIORITY_OWNER);
     let step = machine.step(&own, MS(5), Event::Startup);
     assert_eq!((step.advertise, reason(step)), (Some(255), Some(Reason::Owner)));
     assert_eq!(machine.step(&own, MS(5), Event::Startup), Step::default());
@@ -60,7 +60,7 @@
     let mut machine = started(&own, 128);
     let slow = Event::Advertisement { priority: 128, interval: MS(1000), sender: [192, 0, 2, 2].into() };
     machine.step(&own, MS(300), slow);
-    assert_eq!((machine.skew(), machine.active_down()), (MS(500), MS(3500)));
+    assert_eq!((machine.skew_time(), machine.active_down_interval()), (MS(500), MS(3500)));
     assert_eq!(machine.timer(), Some(MS(3800)));
     machine.step(&own, MS(3800), Event::Timer);
     assert_eq!(machine.timer(), Some(MS(3900)), "as Active it goes by its own");
@@ -71,13 +71,13 @@
 fn a_backup_preempts_a_lower_one_unless_told_not_to() {
     let own = parameters(1);
     let mut machine = started(&own, 100);
-    machine.step(&own, MS(300), heard(99, 9));
+    machine.step(&own, MS(300), advertised_by(99, 9));
     let due = machine.timer();
     assert_eq!(due, Some(MS(360) + Duration::from_micros(937) + Duration::from_nanos(500)));
     assert_eq!(reason(machine.step(&own, MS(361), Event::Timer)), Some(Reason::Preempts));
     let patient = Parameters { preempt: false, ..own };
     let mut machine = started(&patient, 100);
-    machine.step(&patient, MS(300), heard(99, 9));
+    machine.step(&patient, MS(300), advertised_by(99, 9));
     assert!(machine.timer() > due);
 }
 
@@ -86,11 +86,11 @@
     let own = Parameters { preempt_delay: MS(1000), ..parameters(1) };
     let mut machine = started(&own, 200);
     for tenth in 1..=10 {
-        machine.step(&own, MS(100 * tenth), heard(100, 9));
+        machine.step(&own, MS(100 * tenth), advertised_by(100, 9));
         assert_eq!(machine.step(&own, MS(100 * tenth), Event::Timer), Step::default());
     }
     let due = machine.timer();
-    machine.step(&own, MS(1100), heard(100, 9));
+    machine.step(&own, MS(1100), advertised_by(100, 9));
     assert_eq!(machine.timer(), due, "the delay is over");
     assert_eq!(reason(machine.step(&own, due.unwrap(), Event::Timer)), Some(Reason::Preempts));
 }
@@ -103,32 +103,32 @@
     assert_eq!((step.advertise, reason(step)), (Some(0), Some(Reason::Shutdown)));
     assert_eq!(machine.step(&own, MS(410), Event::Shutdown), Step::default());
     let mut backup = started(&own, 128);
-    backup.step(&own, MS(200), heard(0, 9));
+    backup.step(&own, MS(200), advertised_by(0, 9));
     assert_eq!(backup.timer(), Some(MS(250)));
     assert_eq!(reason(backup.step(&own, MS(250), Event::Timer)), Some(Reason::Resigned));
-    assert_eq!(backup.step(&own, MS(259), heard(0, 9)), Step::default(), "it was told just now");
-    let step = backup.step(&own, MS(260), heard(0, 9));
+    assert_eq!(backup.step(&own, MS(259), advertised_by(0, 9)), Step::default(), "it was told just now");
+    let step = backup.step(&own, MS(260), advertised_by(0, 9));
     assert_eq!(step.advertise, Some(128), "whoever resigns is told who is there");
 }
 
 #[test]
 fn of_two_active_ones_the_higher_stays_and_a_tie_goes_by_the_address() {
     let own = parameters(5);
-    let told = |priority, last| {
+    let step_with = |priority, last| {
         let mut machine = active(&own, 100);
-        let step = machine.step(&own, MS(410), heard(priority, last));
+        let step = machine.step(&own, MS(410), advertised_by(priority, last));
         (machine.role(), step.advertise, reason(step))
     };
-    assert_eq!(told(101, 1), (Role::Backup, None, Some(Reason::HigherPriority)));
-    assert_eq!(told(100, 6), (Role::Backup, None, Some(Reason::HigherAddress)));
-    assert_eq!(told(100, 4), (Role::Active, Some(100), None));
-    assert_eq!(told(99, 9), (Role::Active, Some(100), None));
+    assert_eq!(step_with(101, 1), (Role::Backup, None, Some(Reason::HigherPriority)));
+    assert_eq!(step_with(100, 6), (Role::Backup, None, Some(Reason::HigherAddress)));
+    assert_eq!(step_with(100, 4), (Role::Active, Some(100), None));
+    assert_eq!(step_with(99, 9), (Role::Active, Some(100), None));
 }
 
 #[test]
 fn a_stopped_active_router_waits_before_it_acts_again() {
     let own = parameters(1);
-    for event in [Event::Timer, heard(50, 9), heard(0, 9), Event::Priority(150)] {
+    for event in [Event::Timer, advertised_by(50, 9), advertised_by(0, 9), Event::Priority(150)] {
         let mut machine = active(&own, 200);
         let step = machine.step(&own, MS(10_400), event);
         assert_eq!((machine.role(), step.advertise), (Role::Backup, None), "{event:?}");
@@ -149,7 +149,7 @@
     let mut machine = started(&own, 128);
     assert_eq!(machine.step(&own, MS(10_000), Event::Timer), Step::default());
     assert_eq!(machine.timer(), Some(MS(10_150)));
-    machine.step(&own, MS(10_050), heard(200, 9));
+    machine.step(&own, MS(10_050), advertised_by(200, 9));
     assert_eq!(machine.timer(), Some(MS(10_400)));
 }
 
@@ -160,7 +160,7 @@
     let step = machine.step(&own, MS(410), Event::Priority(0));
     assert_eq!((step.advertise, reason(step)), (Some(0), Some(Reason::Maintenance)));
     assert_eq!(machine.timer(), None);
-    for event in [Event::Timer, heard(0, 9), heard(50, 9), heard(100, 9)] {
+    for event in [Event::Timer, advertised_by(0, 9), advertised_by(50, 9), advertised_by(100, 9)] {
         machine.step(&own, MS(500), event);
         assert_eq!(machine.timer(), None, "{event:?}");
     }
@@ -175,9 +175,9 @@
     assert_eq!(machine.step(&own, MS(410), Event::Priority(200)), Step::default());
     let step = machine.step(&own, MS(410), Event::Priority(50));
     assert_eq!((step.advertise, step.transition), (Some(50), None));
-    let step = machine.step(&own, MS(420), heard(100, 2));
+    let step = machine.step(&own, MS(420), advertised_by(100, 2));
     assert_eq!((machine.role(), reason(step)), (Role::Backup, Some(Reason::HigherPriority)));
-    let mut unstarted = Machine::new(&own, 1);
+    let mut unstarted = StateMachine::new(&own, 1);
     unstarted.step(&own, MS(1), Event::Priority(255));
     assert_eq!(unstarted.step(&own, MS(1), Event::Startup).advertise, Some(255));
 }
@@ -186,7 +186,7 @@
 fn a_rebased_router_does_the_same_earlier() {
     let own = parameters(1);
     let (one, other) = (active(&own, 200), started(&own, 100));
-    for machine in [one, other, Machine::new(&own, 7)] {
+    for machine in [one, other, StateMachine::new(&own, 7)] {
         let (mut plain, mut rebased) = (machine, machine.rebased(MS(300)));
         assert_eq!(plain.step(&own, MS(650), Event::Timer), rebased.step(&own, MS(350), Event::Timer));
         assert_eq!(plain.timer(), rebased.timer().map(|at| at + MS(300)));
@@ -195,12 +195,13 @@
 
 fn any_event() -> impl Strategy<Value = Event> {
     let priority = prop_oneof![Just(0_u8), Just(100), Just(200), 1..=255_u8];
-    let told = (priority.clone(), 1..400_u32, 1..=9_u8).prop_map(|(priority, centiseconds, last)| {
-        let interval = MS(10) * centiseconds;
-        Event::Advertisement { priority, interval, sender: [192, 0, 2, last].into() }
-    });
+    let advertisement =
+        (priority.clone(), 1..400_u32, 1..=9_u8).prop_map(|(priority, centiseconds, last)| {
+            let interval = MS(10) * centiseconds;
+            Event::Advertisement { priority, interval, sender: [192, 0, 2, last].into() }
+        });
     let simple = prop_oneof![Just(Event::Startup), Just(Event::Shutdown), Just(Event::Timer)];
-    prop_oneof![4 => told, 4 => Just(Event::Timer), 1 => simple, 1 => priority.prop_map(Event::Priority)]
+    prop_oneof![4 => advertisement, 4 => Just(Event::Timer), 1 => simple, 1 => priority.prop_map(Event::Priority)]
 }
 
 proptest! {
@@ -209,7 +210,7 @@
     #[test]
     fn every_state_has_a_way_on(events in prop::collection::vec((0..500_u64, any_event()), 1..60)) {
         let own = parameters(5);
-        let (mut machine, mut now, mut last_sent) = (Machine::new(&own, 150), Duration::ZERO, None);
+        let (mut machine, mut now, mut last_sent) = (StateMachine::new(&own, 150), Duration::ZERO, None);
         for (wait, event) in events {
             now += MS(wait);
             let before = machine;
--- a/src/vrrp/packet.rs
+++ b/src/vrrp/packet.rs
@@ -9,24 +9,24 @@
 /// The type of its only packet.
 const ADVERTISEMENT: u8 = 1;
 /// Bytes before the addresses.
-const HEAD: usize = 8;
+const HEADER_BYTES: usize = 8;
 /// The next header of the pseudo-header, also where UDP carries the packet.
 const PROTOCOL: u8 = 112;
 /// What IPv4's TTL and IPv6's hop limit must be on receipt: whatever came through a router has less.
-pub const HOPS: u8 = 255;
+pub const REQUIRED_HOP_LIMIT: u8 = 255;
 /// Priority of a router that gives up its role.
 pub const PRIORITY_RESIGN: u8 = 0;
 /// Priority of the router that owns the addresses.
 pub const PRIORITY_OWNER: u8 = 255;
 /// Addresses of one virtual router.
-pub const MOST_ADDRESSES: usize = 255;
+pub const MAX_ADDRESSES: usize = 255;
 /// The longest packet: 255 IPv6 addresses.
-pub const MOST_BYTES: usize = HEAD + MOST_ADDRESSES * 16;
+pub const MAX_PACKET_BYTES: usize = HEADER_BYTES + MAX_ADDRESSES * 16;
 /// The unit of intervals, and the longest in these units.
 pub const CENTISECOND: Duration = Duration::from_millis(10);
-const MOST_CENTISECONDS: u16 = 0x0fff;
+const MAX_CENTISECONDS: u16 = 0x0fff;
 /// The longest interval that a packet can state: 40.95 s.
-pub const LONGEST_INTERVAL: Duration = Duration::from_millis(10 * MOST_CENTISECONDS as u64);
+pub const MAX_INTERVAL: Duration = Duration::from_millis(10 * MAX_CENTISECONDS as u64);
 
 /// IPv4 and IPv6 have virtual routers apart, also under one number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -109,9 +109,9 @@
 impl Advertisement {
     /// Its bytes for one path (RFC 9568, 5.2).
     pub fn write(&self, path: Path, coverage: Coverage) -> Vec<u8> {
-        let addresses = &self.addresses[..self.addresses.len().min(MOST_ADDRESSES)];
+        let addresses = &self.addresses[..self.addresses.len().min(MAX_ADDRESSES)];
         let centiseconds = (self.interval.as_millis() / CENTISECOND.as_millis())
-            .clamp(1, u128::from(MOST_CENTISECONDS)) as u16;
+            .clamp(1, u128::from(MAX_CENTISECONDS)) as u16;
         let mut packet = vec![VERSION << 4 | ADVERTISEMENT, self.vrid, self.priority, addresses.len() as u8];
         packet.extend(centiseconds.to_be_bytes());
         packet.extend([0, 0]);
@@ -122,7 +122,7 @@
             }
         }
         let sum = checksum(&packet, covered(path, coverage));
-        packet[6..HEAD].copy_from_slice(&sum.to_be_bytes());
+        packet[6..HEADER_BYTES].copy_from_slice(&sum.to_be_bytes());
         packet
     }
 
@@ -134,14 +134,14 @@
         if version != VERSION {
             return Err(Invalid::Version);
         }
-        let head: &[u8; HEAD] = packet.first_chunk().ok_or(Invalid::Length)?;
-        if packet.len() != HEAD + usize::from(head[3]) * family.address_bytes() {
+        let head: &[u8; HEADER_BYTES] = packet.first_chunk().ok_or(Invalid::Length)?;
+        if packet.len() != HEADER_BYTES + usize::from(head[3]) * family.address_bytes() {
             return Err(Invalid::Length);
         }
         let holds = |coverage: &Coverage| checksum(packet, covered(path, *coverage)) == 0;
         let coverage = [Coverage::PseudoHeader, Coverage::Message].into_iter().find(holds);
         let coverage = coverage.ok_or(Invalid::Checksum)?;
-        let centiseconds = u16::from_be_bytes([head[4], head[5]]) & MOST_CENTISECONDS;
+        let centiseconds = u16::from_be_bytes([head[4], head[5]]) & MAX_CENTISECONDS;
         if head[0] & 0x0f != ADVERTISEMENT {
             return Err(Invalid::Type);
         } else if head[1] == 0 {
@@ -155,7 +155,7 @@
             Family::V4 => <[u8; 4]>::try_from(bytes).map(|bytes| IpAddr::from(Ipv4Addr::from(bytes))),
             Family::V6 => <[u8; 16]>::try_from(bytes).map(|bytes| IpAddr::from(Ipv6Addr::from(bytes))),
         };
-        let addresses = packet[HEAD..].chunks_exact(family.address_bytes()).map(address);
+        let addresses = packet[HEADER_BYTES..].chunks_exact(family.address_bytes()).map(address);
         let advertisement = Advertisement {
             vrid: head[1],
             priority: head[2],
--- a/src/vrrp/packet/tests.rs
+++ b/src/vrrp/packet/tests.rs
@@ -50,7 +50,7 @@
     assert_eq!(altered(|packet| packet[5] = 0), Err(Invalid::Interval));
     let none = |packet: &mut Vec<u8>| {
         packet[3] = 0;
-        packet.truncate(HEAD);
+        packet.truncate(HEADER_BYTES);
     };
     assert_eq!(altered(none), Err(Invalid::Addresses));
     let reserved = altered(|packet| packet[4] |= 0xf0).expect("reserved bits are not looked at");
@@ -64,7 +64,7 @@
     let addresses = (1..=255).map(|last| IpAddr::from([0xfe80, 0, 0, 0, 0, 0, 1, last])).collect();
     let sent = Advertisement { addresses, ..advertisement() };
     let packet = sent.write(path6(), Coverage::Message);
-    assert_eq!(packet.len(), MOST_BYTES);
+    assert_eq!(packet.len(), MAX_PACKET_BYTES);
     assert_eq!(Advertisement::read(&packet, path6()), Ok((sent.clone(), Coverage::PseudoHeader)));
     let elsewhere = Path { destination: [0xfe80, 0, 0, 0, 0, 0, 0, 8].into(), ..path6() };
     assert_eq!(Advertisement::read(&packet, elsewhere), Err(Invalid::Checksum));
--- a/src/vrrp/report.rs
+++ b/src/vrrp/report.rs
@@ -2,7 +2,7 @@
 
 use super::machine::State;
 use super::routers::{Errors, Statistics};
-use super::speaker::Speaker;
+use super::speaker::Driver;
 use super::track::Condition;
 use crate::handover::Share;
 use serde::Serialize;
@@ -62,7 +62,7 @@
 
 /// What only the owner of the addresses knows of a router.
 #[derive(Clone, Copy, Debug)]
-pub struct Served {
+pub struct ServiceStatus {
     /// The duty's name.
     pub duty: &'static str,
     /// Requests open at the address.
@@ -72,21 +72,21 @@
 impl Snapshot {
     /// Takes one; `served` tells of each router by position.
     pub fn take(
-        speaker: &Speaker,
+        driver: &Driver,
         now: Instant,
         share: Share,
-        mut served: impl FnMut(usize) -> Served,
+        mut served: impl FnMut(usize) -> ServiceStatus,
     ) -> Snapshot {
-        let (routers, scale) = (speaker.routers(), speaker.scale(now));
+        let (routers, since_start) = (driver.routers(), driver.since_start(now));
         let report = |at: usize| {
             let (own, machine) = (routers.router(at), routers.machine(at));
-            let Served { duty, open_requests } = served(at);
+            let ServiceStatus { duty, open_requests } = served(at);
             let (down, adver) = match machine.state() {
                 State::Initialize => (None, None),
                 State::Backup { down_at } => (down_at, None),
                 State::Active { advertise_at, .. } => (None, Some(advertise_at)),
             };
-            let left = |at: Duration| millis(at.saturating_sub(scale));
+            let left = |at: Duration| millis(at.saturating_sub(since_start));
             RouterReport {
                 name: own.name.clone(),
                 vrid: own.vrid,
@@ -100,13 +100,13 @@
                 adver_ms: adver.map(left),
                 active_interval_ms: millis(machine.active_interval()),
                 interval_ms: millis(own.parameters.interval),
-                skew_us: machine.skew().as_micros() as u64,
+                skew_us: machine.skew_time().as_micros() as u64,
                 statistics: routers.statistics(at).counts(),
             }
         };
         let holds = Condition::ALL.into_iter().filter(|it| routers.tracker().holds(*it));
         let mut errors = routers.errors.counts();
-        errors.extend([("bytes-sent", speaker.bytes_sent), ("send-errors", speaker.send_errors)]);
+        errors.extend([("bytes-sent", driver.bytes_sent), ("send-errors", driver.send_errors)]);
         Snapshot {
             routers: routers.all().map(report).collect(),
             holds: holds.map(Condition::name).collect(),
@@ -157,7 +157,7 @@
             ("invalid-type-pkts-rcvd", self.invalid_type_received),
             ("address-list-errors", self.address_list_errors),
             ("packet-length-errors", self.packet_length_errors),
-            ("heard-as-owner", self.heard_as_owner),
+            ("heard-as-owner", self.ignored_as_owner),
         ]
     }
 }
@@ -170,7 +170,7 @@
             ("version-errors", self.version),
             ("vrid-errors", self.vrid),
             ("ip-ttl-errors", self.ttl),
-            ("strangers", self.strangers),
+            ("strangers", self.unknown_senders),
         ]
     }
 }
--- a/src/vrrp/routers.rs
+++ b/src/vrrp/routers.rs
@@ -1,8 +1,10 @@
 //! All virtual routers of one process: whose an advertisement is, what it counts as, whose timer is due, what their
 //! priorities are. No I/O and no clock.
 
-use super::machine::{Event, Machine, Parameters, Role, Step, Transition};
-use super::packet::{Advertisement, Coverage, Family, Invalid, Path, HOPS, PRIORITY_OWNER, PRIORITY_RESIGN};
+use super::machine::{Event, Parameters, Role, StateMachine, Step, Transition};
+use super::packet::{
+    Advertisement, Coverage, Family, Invalid, Path, PRIORITY_OWNER, PRIORITY_RESIGN, REQUIRED_HOP_LIMIT,
+};
 use super::timers::Timers;
 use super::track::{Condition, Tracker};
 use std::collections::HashMap;
@@ -48,7 +50,7 @@
     /// packet-length-errors
     pub packet_length_errors: u64,
     /// Not in RFC 8347: advertisements that an owner of the addresses got, and left alone.
-    pub heard_as_owner: u64,
+    pub ignored_as_owner: u64,
 }
 
 /// Counts of what belongs to no virtual router, named as in RFC 8347 but for the last.
@@ -63,7 +65,7 @@
     /// ip-ttl-errors
     pub ttl: u64,
     /// Packets from addresses that are no peers.
-    pub strangers: u64,
+    pub unknown_senders: u64,
 }
 
 /// What is to be done for a router, by its position.
@@ -87,7 +89,7 @@
 
 struct Running {
     router: Router,
-    machine: Machine,
+    machine: StateMachine,
     statistics: Statistics,
 }
 
@@ -108,7 +110,7 @@
         let by_number = routers.iter().enumerate().map(number).collect();
         let timers = Timers::new(routers.len());
         let running = routers.into_iter().map(|router| {
-            let machine = Machine::new(&router.parameters, tracker.priority(router.priority));
+            let machine = StateMachine::new(&router.parameters, tracker.priority(router.priority));
             Running { router, machine, statistics: Statistics::default() }
         });
         Routers { running: running.collect(), by_number, timers, tracker, errors: Errors::default() }
@@ -125,7 +127,7 @@
     }
 
     /// A router's state.
-    pub fn machine(&self, router: usize) -> &Machine {
+    pub fn machine(&self, router: usize) -> &StateMachine {
         &self.running[router].machine
     }
 
@@ -171,7 +173,7 @@
         outputs: &mut Vec<Output>,
     ) {
         // Guards against packets from beyond a router: nobody there can make it 255.
-        if hops.is_some_and(|hops| hops != HOPS) {
+        if hops.is_some_and(|hops| hops != REQUIRED_HOP_LIMIT) {
             self.errors.ttl += 1;
             return;
         }
@@ -180,7 +182,7 @@
             self.by_number.get(&(Family::of(path.source), vrid)).copied()
         };
         let router = ours(packet);
-        let (told, _) = match (Advertisement::read(packet, path), router) {
+        let (received, _) = match (Advertisement::read(packet, path), router) {
             (Ok(read), _) => read,
             (Err(Invalid::Version), _) => return self.errors.version += 1,
             (Err(Invalid::Checksum), _) => return self.errors.checksum += 1,
@@ -199,41 +201,41 @@
         let running = &mut self.running[router];
         let (own, statistics) = (&running.router, &mut running.statistics);
         statistics.advertisements_received += 1;
-        statistics.priority_zero_received += u64::from(told.priority == PRIORITY_RESIGN);
+        statistics.priority_zero_received += u64::from(received.priority == PRIORITY_RESIGN);
         // These two tell of a wrong set-up, and the packet still counts (RFC 9568, 7.1): a router that left it out
         // would become Active beside the other.
-        if !same(&told.addresses, &own.addresses) {
+        if !same_addresses(&received.addresses, &own.addresses) {
             statistics.address_list_errors += 1;
             tracing::debug!(router = own.name, from = %path.source, "other addresses are advertised");
         }
-        statistics.interval_errors += u64::from(told.interval != own.parameters.interval);
+        statistics.interval_errors += u64::from(received.interval != own.parameters.interval);
         if running.machine.priority() == PRIORITY_OWNER && running.machine.role() == Role::Active {
             // RFC 9568, 7.1: an owner does not listen; what it sends makes others yield.
-            statistics.heard_as_owner += 1;
+            statistics.ignored_as_owner += 1;
             return;
         }
-        let Advertisement { priority, interval, .. } = told;
+        let Advertisement { priority, interval, .. } = received;
         let event = Event::Advertisement { priority, interval, sender: path.source };
         self.step(router, now, event, outputs);
     }
 
     /// Takes a look at a condition of this machine; the priorities follow. True if it turned.
-    pub fn look(
+    pub fn record_check(
         &mut self,
         now: Duration,
         condition: Condition,
         found: bool,
         outputs: &mut Vec<Output>,
     ) -> bool {
-        let turned = self.tracker.look(condition, found);
-        if turned {
+        let changed = self.tracker.record_check(condition, found);
+        if changed {
             self.set_priorities(now, outputs);
         }
-        turned
+        changed
     }
 
     /// Takes other priorities, by number, and other rules of tracking.
-    pub fn change(
+    pub fn reconfigure(
         &mut self,
         now: Duration,
         routers: &[Router],
@@ -245,7 +247,7 @@
                 self.running[*at].router.priority = new.priority;
             }
         }
-        self.tracker.change(tracker);
+        self.tracker.set_rules(tracker);
         self.set_priorities(now, outputs);
     }
 
@@ -289,7 +291,7 @@
 }
 
 /// Whether both lists hold the same addresses, in whatever order.
-fn same(one: &[IpAddr], other: &[IpAddr]) -> bool {
+fn same_addresses(one: &[IpAddr], other: &[IpAddr]) -> bool {
     let sorted = |list: &[IpAddr]| {
         let mut list = list.to_vec();
         list.sort();
--- a/src/vrrp/routers/tests.rs
+++ b/src/vrrp/routers/tests.rs
@@ -35,7 +35,7 @@
     Advertisement { vrid, priority, interval: MS(100), addresses }
 }
 
-fn told(routers: &mut Routers, at: u64, packet: &[u8], hops: u8) -> Vec<Output> {
+fn receive(routers: &mut Routers, at: u64, packet: &[u8], hops: u8) -> Vec<Output> {
     let mut outputs = Vec::new();
     routers.receive(MS(at), packet, path(), Some(hops), &mut outputs);
     outputs
@@ -52,7 +52,7 @@
     let mut routers = routers(&[]);
     for at in [100, 200, 300, 400] {
         let packet = advertisement(2, 200).write(path(), Coverage::Message);
-        told(&mut routers, at, &packet, 255);
+        receive(&mut routers, at, &packet, 255);
         tick(&mut routers, at);
     }
     assert_eq!(routers.machine(0).role(), Role::Active);
@@ -71,10 +71,10 @@
     let mut routers = routers(&[]);
     let sound = advertisement(1, 250).write(path(), Coverage::PseudoHeader);
     let before = *routers.machine(0);
-    let mut bad = |change: &dyn Fn(&mut Vec<u8>), hops| {
+    let mut bad = |alter: &dyn Fn(&mut Vec<u8>), hops| {
         let mut packet = sound.clone();
-        change(&mut packet);
-        assert_eq!(told(&mut routers, 50, &packet, hops), []);
+        alter(&mut packet);
+        assert_eq!(receive(&mut routers, 50, &packet, hops), []);
         assert_eq!(*routers.machine(0), before);
     };
     bad(&|_| (), 254);
@@ -86,7 +86,7 @@
     bad(&|packet| packet.clone_from(&foreign), 255);
     let none = Advertisement { addresses: vec![], ..advertisement(1, 250) };
     bad(&|packet| *packet = none.write(path(), Coverage::Message), 255);
-    let errors = Errors { checksum: 2, version: 1, vrid: 1, ttl: 1, strangers: 0 };
+    let errors = Errors { checksum: 2, version: 1, vrid: 1, ttl: 1, unknown_senders: 0 };
     assert_eq!(routers.errors, errors);
     let counts = Statistics { packet_length_errors: 1, address_list_errors: 1, ..Statistics::default() };
     assert_eq!(*routers.statistics(0), counts);
@@ -97,13 +97,13 @@
     let mut routers = routers(&[]);
     let addresses = vec![[192, 0, 2, 77].into()];
     let other = Advertisement { addresses, interval: MS(500), ..advertisement(1, 250) };
-    told(&mut routers, 300, &other.write(path(), Coverage::PseudoHeader), 255);
+    receive(&mut routers, 300, &other.write(path(), Coverage::PseudoHeader), 255);
     let statistics = *routers.statistics(0);
     assert_eq!((statistics.address_list_errors, statistics.interval_errors), (1, 1));
     assert!(routers.machine(0).timer() > Some(MS(1700)), "the interval is learnt");
     let mut swapped = advertisement(1, 250);
     swapped.addresses.reverse();
-    told(&mut routers, 310, &swapped.write(path(), Coverage::PseudoHeader), 255);
+    receive(&mut routers, 310, &swapped.write(path(), Coverage::PseudoHeader), 255);
     assert_eq!(routers.statistics(0).address_list_errors, 1, "their order means nothing");
 }
 
@@ -112,24 +112,25 @@
     let mut routers = Routers::new(vec![router(1, 255)], Tracker::default());
     routers.start(Duration::ZERO, &mut Vec::new());
     let packet = advertisement(1, 255).write(path(), Coverage::PseudoHeader);
-    assert_eq!(told(&mut routers, 10, &packet, 255), []);
+    assert_eq!(receive(&mut routers, 10, &packet, 255), []);
     assert_eq!(routers.machine(0).role(), Role::Active);
-    assert_eq!(routers.statistics(0).heard_as_owner, 1);
+    assert_eq!(routers.statistics(0).ignored_as_owner, 1);
 }
 
 #[test]
 fn conditions_and_a_reload_move_the_priorities() {
-    let rule = |lowers| Rule { condition: Condition::NoReadyNode, lowers, fall: 2, rise: 2 };
+    let rule =
+        |priority_decrement| Rule { condition: Condition::NoReadyNode, priority_decrement, fall: 2, rise: 2 };
     let mut routers = routers(&[rule(150)]);
     tick(&mut routers, 400);
     let mut outputs = Vec::new();
-    assert!(!routers.look(MS(410), Condition::NoReadyNode, true, &mut outputs));
-    assert!(routers.look(MS(420), Condition::NoReadyNode, true, &mut outputs));
-    let told = |priority, router| Output::Advertise { router, priority };
-    assert_eq!(outputs, [told(50, 0), told(1, 1)], "told at once");
+    assert!(!routers.record_check(MS(410), Condition::NoReadyNode, true, &mut outputs));
+    assert!(routers.record_check(MS(420), Condition::NoReadyNode, true, &mut outputs));
+    let advertise = |priority, router| Output::Advertise { router, priority };
+    assert_eq!(outputs, [advertise(50, 0), advertise(1, 1)], "told at once");
     outputs.clear();
-    routers.change(MS(430), &[router(1, 0)], &[rule(150)], &mut outputs);
-    assert_eq!(outputs[0], told(0, 0));
+    routers.reconfigure(MS(430), &[router(1, 0)], &[rule(150)], &mut outputs);
+    assert_eq!(outputs[0], advertise(0, 0));
     assert_eq!(routers.machine(0).role(), Role::Backup);
     assert_eq!(routers.statistics(0).priority_zero_sent, 1);
     outputs.clear();
--- a/src/vrrp/settings.rs
+++ b/src/vrrp/settings.rs
@@ -2,7 +2,7 @@
 //! each error is one line that names the key and what is allowed.
 
 use super::machine::Parameters;
-use super::packet::{Coverage, Family, CENTISECOND, LONGEST_INTERVAL, MOST_ADDRESSES};
+use super::packet::{Coverage, Family, CENTISECOND, MAX_ADDRESSES, MAX_INTERVAL};
 use super::routers::Router;
 use super::track::{Condition, Rule};
 use serde::Deserialize;
@@ -12,13 +12,13 @@
 use std::time::Duration;
 
 /// Machines that hear each other on one interface.
-const MOST_PEERS: usize = 32;
+const MAX_PEERS: usize = 32;
 /// Virtual routers of one process: what one family's numbers allow.
-pub const MOST_ROUTERS: usize = 255;
+pub const MAX_ROUTERS: usize = 255;
 /// The longest that a command may take.
-const LONGEST_COMMAND: Duration = Duration::from_secs(30);
+const MAX_COMMAND_TIMEOUT: Duration = Duration::from_secs(30);
 /// Machines that may share the limits.
-const MOST_MACHINES: u64 = 16;
+const MAX_MACHINES: u64 = 16;
 
 /// Where advertisements go out and come in.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -31,7 +31,7 @@
 
 /// How an address comes to this machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Means {
+pub enum TakeoverMethod {
     /// It is listened at, also where it is not local yet.
     Bind,
     /// A command moves it, and then it is listened at.
@@ -41,7 +41,7 @@
         /// Likewise.
         release: Vec<String>,
         /// A command that takes longer is ended.
-        limit: Duration,
+        timeout: Duration,
     },
 }
 
@@ -62,7 +62,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Tracking {
     /// How often.
-    pub every: Duration,
+    pub check_interval: Duration,
     /// Discovery that says nothing for longer is silent.
     pub discovery_silent: Duration,
     /// A turn of the loop that takes longer, or comes later than it was due, is late.
@@ -85,7 +85,7 @@
     /// What lowers their priorities.
     pub tracking: Tracking,
     /// How addresses come and go.
-    pub means: Means,
+    pub takeover: TakeoverMethod,
     /// The part that this machine has in what the machines share.
     pub share: crate::handover::Share,
 }
@@ -168,7 +168,8 @@
 #[serde(deny_unknown_fields)]
 struct FileRule {
     condition: Condition,
-    lowers: i64,
+    #[serde(rename = "lowers")]
+    priority_decrement: i64,
     fall: Option<i64>,
     rise: Option<i64>,
 }
@@ -220,7 +221,7 @@
     }
 
     /// What of another file can only come into force by a restart.
-    pub fn fixed_changes(&self, new: &Settings) -> Vec<&'static str> {
+    pub fn changes_needing_restart(&self, new: &Settings) -> Vec<&'static str> {
         let without_priorities = |settings: &Settings| {
             let mut services = settings.services.clone();
             services.iter_mut().for_each(|service| service.router.priority = 1);
@@ -229,7 +230,7 @@
         let changes = [
             ("interface", self.interfaces != new.interfaces),
             ("router", without_priorities(self) != without_priorities(new)),
-            ("address", self.means != new.means),
+            ("address", self.takeover != new.takeover),
             ("handover", self.share != new.share),
         ];
         changes.into_iter().filter(|(_, changed)| *changed).map(|(what, _)| what).collect()
@@ -247,8 +248,8 @@
             }
             interfaces.push(interface);
         }
-        if self.router.len() > MOST_ROUTERS {
-            return Err(format!("router: {} of them, at most {MOST_ROUTERS} are allowed", self.router.len()));
+        if self.router.len() > MAX_ROUTERS {
+            return Err(format!("router: {} of them, at most {MAX_ROUTERS} are allowed", self.router.len()));
         }
         let services = self.router.iter().map(|router| router.check(&interfaces));
         let services: Vec<Service> = services.collect::<Result<_, _>>()?;
@@ -271,7 +272,7 @@
                 "handover: missing; it says how many machines share the limits, and this one's part".into()
             );
         };
-        let machines = within("handover.machines", handover.machines, 1, MOST_MACHINES)? as u32;
+        let machines = within("handover.machines", handover.machines, 1, MAX_MACHINES)? as u32;
         let (rate, burst) = (handover.rate_share, handover.burst_share);
         for (key, part) in [("rate_share", rate), ("burst_share", burst)] {
             if !(part > 0.0 && part <= 1.0) {
@@ -281,7 +282,7 @@
             }
         }
         let share = crate::handover::Share { machines, rate, burst };
-        Ok(Settings { interfaces, services, tracking, means: self.address.check()?, share })
+        Ok(Settings { interfaces, services, tracking, takeover: self.address.check()?, share })
     }
 }
 
@@ -293,13 +294,13 @@
                 "{key}: address: one address of this machine, since checksums and ties go by it"
             ));
         }
-        if self.peers.is_empty() || self.peers.len() > MOST_PEERS {
-            return Err(format!("{key}: peers: 1 to {MOST_PEERS} are allowed"));
+        if self.peers.is_empty() || self.peers.len() > MAX_PEERS {
+            return Err(format!("{key}: peers: 1 to {MAX_PEERS} are allowed"));
         }
-        let sound = |peer: &SocketAddr| {
+        let valid = |peer: &SocketAddr| {
             peer.is_ipv4() == self.address.is_ipv4() && *peer != self.address && peer.port() > 0
         };
-        match self.peers.iter().find(|peer| !sound(peer)) {
+        match self.peers.iter().find(|peer| !valid(peer)) {
             Some(peer) => Err(format!("{key}: peers: {peer} is not another address of the same family")),
             None => Ok(()),
         }
@@ -312,8 +313,8 @@
         if self.name.is_empty() || self.name.len() > 64 {
             return Err(format!("router {:?}: name: 1 to 64 bytes are allowed", self.name));
         }
-        if self.addresses.is_empty() || self.addresses.len() > MOST_ADDRESSES {
-            return Err(format!("{}: 1 to {MOST_ADDRESSES} are allowed", key("addresses")));
+        if self.addresses.is_empty() || self.addresses.len() > MAX_ADDRESSES {
+            return Err(format!("{}: 1 to {MAX_ADDRESSES} are allowed", key("addresses")));
         }
         let family = Family::of(self.addresses[0]);
         if self.addresses.iter().any(|address| Family::of(*address) != family) {
@@ -322,8 +323,7 @@
         let interface = interfaces.iter().find(|it| Family::of(it.address.ip()) == family);
         let interface =
             interface.ok_or_else(|| format!("{}: no interface of their family", key("addresses")))?;
-        let interval =
-            within(&key("interval_ms"), self.interval_ms, 10, LONGEST_INTERVAL.as_millis() as u64)?;
+        let interval = within(&key("interval_ms"), self.interval_ms, 10, MAX_INTERVAL.as_millis() as u64)?;
         if interval % CENTISECOND.as_millis() as u64 != 0 {
             return Err(format!("{}: {interval} is not allowed, a multiple of 10 is", key("interval_ms")));
         }
@@ -352,8 +352,8 @@
 
 impl FileTracking {
     fn check(&self, owner: bool) -> Result<Tracking, String> {
-        let span = |name: &str, value: i64, least: u64, most: u64| {
-            within(&format!("tracking.{name}"), value, least, most).map(Duration::from_millis)
+        let span = |name: &str, value: i64, min: u64, max: u64| {
+            within(&format!("tracking.{name}"), value, min, max).map(Duration::from_millis)
         };
         let mut rules: Vec<Rule> = Vec::new();
         for rule in &self.rule {
@@ -362,22 +362,22 @@
             if rules.iter().any(|other| other.condition == rule.condition) {
                 return Err(format!("{}: at most one rule for each", key("condition")));
             }
-            let lowers = within(&key("lowers"), rule.lowers, 0, 254)? as u8;
-            if owner && lowers > 0 {
+            let priority_decrement = within(&key("lowers"), rule.priority_decrement, 0, 254)? as u8;
+            if owner && priority_decrement > 0 {
                 return Err(format!(
                     "{}: only 0, maintenance, is allowed beside an owner (255)",
                     key("lowers")
                 ));
             }
             let (fall, rise) = (counts("fall", rule.fall)? as u32, counts("rise", rule.rise)? as u32);
-            rules.push(Rule { condition: rule.condition, lowers, fall, rise });
+            rules.push(Rule { condition: rule.condition, priority_decrement, fall, rise });
         }
         let wants_file = rules.iter().any(|rule| rule.condition == Condition::File);
         if wants_file && self.file.is_none() {
             return Err("tracking.file: missing; the rule \"file\" needs the name of one".into());
         }
         Ok(Tracking {
-            every: span("every_ms", self.every_ms, 10, 60_000)?,
+            check_interval: span("every_ms", self.every_ms, 10, 60_000)?,
             discovery_silent: span("discovery_silent_ms", self.discovery_silent_ms, 100, 3_600_000)?,
             loop_late: span("loop_late_ms", self.loop_late_ms, 1, 60_000)?,
             memory_percent: within("tracking.memory_percent", self.memory_percent, 1, 100)? as u8,
@@ -388,14 +388,14 @@
 }
 
 impl FileAddress {
-    fn check(&self) -> Result<Means, String> {
-        let most = LONGEST_COMMAND.as_millis() as u64;
-        let limit = within("address.limit_ms", self.limit_ms.unwrap_or(1000), 1, most)?;
+    fn check(&self) -> Result<TakeoverMethod, String> {
+        let max = MAX_COMMAND_TIMEOUT.as_millis() as u64;
+        let limit = within("address.limit_ms", self.limit_ms.unwrap_or(1000), 1, max)?;
         match (self.take.is_empty(), self.release.is_empty()) {
-            (true, true) => Ok(Means::Bind),
+            (true, true) => Ok(TakeoverMethod::Bind),
             (false, false) => {
                 let (take, release) = (self.take.clone(), self.release.clone());
-                Ok(Means::Command { take, release, limit: Duration::from_millis(limit) })
+                Ok(TakeoverMethod::Command { take, release, timeout: Duration::from_millis(limit) })
             }
             _ => Err("address: take and release go together: a program and its arguments each".into()),
         }
@@ -452,9 +452,9 @@
     }
 }
 
-fn within(key: &str, value: i64, least: u64, most: u64) -> Result<u64, String> {
-    let value_in = u64::try_from(value).ok().filter(|value| (least..=most).contains(value));
-    value_in.ok_or_else(|| format!("{key}: {value} is not allowed, {least} to {most} are"))
+fn within(key: &str, value: i64, min: u64, max: u64) -> Result<u64, String> {
+    let checked = u64::try_from(value).ok().filter(|value| (min..=max).contains(value));
+    checked.ok_or_else(|| format!("{key}: {value} is not allowed, {min} to {max} are"))
 }
 
 /// An error of the reader as one line that says where.
--- a/src/vrrp/settings/tests.rs
+++ b/src/vrrp/settings/tests.rs
@@ -35,9 +35,9 @@
     assert_eq!((router.vrid, router.priority, *accept), (51, 200, true));
     assert_eq!(router.parameters.address, IpAddr::from([127, 0, 0, 1]));
     assert_eq!(*listen, Some("192.0.2.10:6400".parse().unwrap()));
-    let rule = Rule { condition: Condition::NoReadyNode, lowers: 120, fall: 3, rise: 3 };
+    let rule = Rule { condition: Condition::NoReadyNode, priority_decrement: 120, fall: 3, rise: 3 };
     assert_eq!(settings.tracking.rules, [rule]);
-    assert_eq!((settings.means.clone(), settings.share.machines), (Means::Bind, 2));
+    assert_eq!((settings.takeover.clone(), settings.share.machines), (TakeoverMethod::Bind, 2));
     assert_eq!(Settings::parse(&SOUND.replace("enabled = true", "enabled = false")), Ok(None));
     assert_eq!(Settings::parse("enabled = false"), Ok(None));
     assert_eq!(Settings::read(Path::new("no such file")), Ok(None));
@@ -95,11 +95,11 @@
 fn a_reload_changes_priorities_and_tracking_and_names_the_rest() {
     let old = Settings::parse(SOUND).unwrap().unwrap();
     let new = |from: &str, to: &str| Settings::parse(&SOUND.replace(from, to)).unwrap().unwrap();
-    assert!(old.fixed_changes(&new("priority = 200", "priority = 0")).is_empty());
-    assert!(old.fixed_changes(&new("lowers = 120", "lowers = 20")).is_empty());
-    assert_eq!(old.fixed_changes(&new("vrid = 51", "vrid = 52")), ["router"]);
-    assert_eq!(old.fixed_changes(&new("127.0.0.2:7112", "127.0.0.3:7112")), ["interface"]);
-    assert_eq!(old.fixed_changes(&new("rate_share = 0.5", "rate_share = 0.4")), ["handover"]);
+    assert!(old.changes_needing_restart(&new("priority = 200", "priority = 0")).is_empty());
+    assert!(old.changes_needing_restart(&new("lowers = 120", "lowers = 20")).is_empty());
+    assert_eq!(old.changes_needing_restart(&new("vrid = 51", "vrid = 52")), ["router"]);
+    assert_eq!(old.changes_needing_restart(&new("127.0.0.2:7112", "127.0.0.3:7112")), ["interface"]);
+    assert_eq!(old.changes_needing_restart(&new("rate_share = 0.5", "rate_share = 0.4")), ["handover"]);
 }
 
 #[test]
--- a/src/vrrp/speaker.rs
+++ b/src/vrrp/speaker.rs
@@ -1,7 +1,7 @@
 //! Carries advertisements over UDP, to each peer by its own address, and runs the routers on them.
 
 use super::machine::Transition;
-use super::packet::{Path, HOPS, MOST_BYTES};
+use super::packet::{Path, MAX_PACKET_BYTES, REQUIRED_HOP_LIMIT};
 use super::routers::{Output, Router, Routers};
 use super::settings::Interface;
 use super::track::{Condition, Rule, Tracker};
@@ -17,12 +17,12 @@
 
 /// Packets read of one interface in one turn of the loop. Guards against a flood: requests go on between, and the
 /// kernel drops what is too much.
-const MOST_READ: usize = 128;
+const MAX_READS_PER_POLL: usize = 128;
 /// Bytes that the kernel keeps of what has come: some thousand advertisements of a few addresses.
-const KEPT: usize = 1 << 20;
+const RECEIVE_BUFFER_BYTES: usize = 1 << 20;
 
 /// A socket and who is heard on it.
-struct Open {
+struct InterfaceSocket {
     socket: UdpSocket,
     address: SocketAddr,
     peers: Vec<SocketAddr>,
@@ -31,15 +31,15 @@
 }
 
 /// What came in one packet besides its bytes.
-struct Came {
+struct Received {
     length: usize,
     from: SocketAddr,
     hops: Option<u8>,
 }
 
 /// The virtual routers of a process, with their sockets.
-pub struct Speaker {
-    open: Vec<Open>,
+pub struct Driver {
+    sockets: Vec<InterfaceSocket>,
     routers: Routers,
     outputs: Vec<Output>,
     /// Where the routers' scale of time begins.
@@ -50,7 +50,7 @@
     pub send_errors: u64,
 }
 
-impl Speaker {
+impl Driver {
     /// Binds the interfaces, one token each, and starts the routers.
     pub fn start(
         interfaces: &[Interface],
@@ -60,7 +60,7 @@
         registry: &Registry,
         now: Instant,
     ) -> Result<Self, String> {
-        let mut open = Vec::new();
+        let mut sockets = Vec::new();
         for (interface, token) in interfaces.iter().zip(tokens) {
             let bound = bind(interface.address).and_then(|mut socket| {
                 registry.register(&mut socket, token, Interest::READABLE)?;
@@ -68,13 +68,13 @@
             });
             let socket = bound.map_err(|error| format!("{}: {error}", interface.address))?;
             let (address, peers) = (interface.address, interface.peers.clone());
-            open.push(Open { socket, address, peers, readable: true });
+            sockets.push(InterfaceSocket { socket, address, peers, readable: true });
         }
         let routers = Routers::new(routers, Tracker::new(rules));
-        let mut speaker =
-            Speaker { open, routers, outputs: Vec::new(), origin: now, bytes_sent: 0, send_errors: 0 };
-        speaker.routers.start(Duration::ZERO, &mut speaker.outputs);
-        Ok(speaker)
+        let mut driver =
+            Driver { sockets, routers, outputs: Vec::new(), origin: now, bytes_sent: 0, send_errors: 0 };
+        driver.routers.start(Duration::ZERO, &mut driver.outputs);
+        Ok(driver)
     }
 
     /// The routers.
@@ -83,20 +83,20 @@
     }
 
     /// A time on the routers' scale.
-    pub fn scale(&self, at: Instant) -> Duration {
+    pub fn since_start(&self, at: Instant) -> Duration {
         at.saturating_duration_since(self.origin)
     }
 
     /// Something came on an interface, by position.
-    pub fn ready(&mut self, interface: usize) {
-        if let Some(open) = self.open.get_mut(interface) {
-            open.readable = true;
+    pub fn set_readable(&mut self, interface: usize) {
+        if let Some(entry) = self.sockets.get_mut(interface) {
+            entry.readable = true;
         }
     }
 
     /// When [`Speaker::turn`] has something to do.
     pub fn next_timer(&self, now: Instant) -> Option<Instant> {
-        if self.open.iter().any(|open| open.readable) {
+        if self.sockets.iter().any(|entry| entry.readable) {
             return Some(now);
         }
         self.routers.next_timer().map(|at| self.origin + at)
@@ -104,62 +104,72 @@
 
     /// One turn of the loop: takes what came, fires what is due, sends. Returns changes of state, which the caller
     /// acts on before it goes on with anything else: a process that was stopped learns here that it was replaced.
-    pub fn turn(&mut self, now: Instant) -> Vec<(usize, Transition)> {
-        for at in 0..self.open.len() {
+    pub fn poll(&mut self, now: Instant) -> Vec<(usize, Transition)> {
+        for at in 0..self.sockets.len() {
             self.read(now, at);
         }
-        let at = self.scale(now);
+        let at = self.since_start(now);
         self.routers.tick(at, &mut self.outputs);
         self.carry_out()
     }
 
     /// Takes a look at a condition.
-    pub fn look(&mut self, now: Instant, condition: Condition, found: bool) -> Vec<(usize, Transition)> {
-        let at = self.scale(now);
-        if self.routers.look(at, condition, found, &mut self.outputs) {
+    pub fn record_check(
+        &mut self,
+        now: Instant,
+        condition: Condition,
+        found: bool,
+    ) -> Vec<(usize, Transition)> {
+        let at = self.since_start(now);
+        if self.routers.record_check(at, condition, found, &mut self.outputs) {
             tracing::info!(condition = condition.name(), holds = found, "VRRP condition");
         }
         self.carry_out()
     }
 
     /// Goes by other priorities and rules.
-    pub fn change(&mut self, now: Instant, routers: &[Router], rules: &[Rule]) -> Vec<(usize, Transition)> {
-        let at = self.scale(now);
-        self.routers.change(at, routers, rules, &mut self.outputs);
+    pub fn reconfigure(
+        &mut self,
+        now: Instant,
+        routers: &[Router],
+        rules: &[Rule],
+    ) -> Vec<(usize, Transition)> {
+        let at = self.since_start(now);
+        self.routers.reconfigure(at, routers, rules, &mut self.outputs);
         self.carry_out()
     }
 
     /// Ends: the Active routers resign.
     pub fn shut_down(&mut self, now: Instant) -> Vec<(usize, Transition)> {
-        let at = self.scale(now);
+        let at = self.since_start(now);
         self.routers.shut_down(at, &mut self.outputs);
         self.carry_out()
     }
 
     fn read(&mut self, now: Instant, at: usize) {
-        if !self.open[at].readable {
+        if !self.sockets[at].readable {
             return;
         }
-        let mut packet = [0; MOST_BYTES + 1];
-        for _ in 0..MOST_READ {
-            let open = &mut self.open[at];
-            let came = match receive(&open.socket, &mut packet) {
-                Ok(came) => came,
+        let mut packet = [0; MAX_PACKET_BYTES + 1];
+        for _ in 0..MAX_READS_PER_POLL {
+            let entry = &mut self.sockets[at];
+            let received = match receive(&entry.socket, &mut packet) {
+                Ok(received) => received,
                 Err(error) if error.kind() == ErrorKind::WouldBlock => {
-                    open.readable = false;
+                    entry.readable = false;
                     return;
                 }
                 // A peer that is not there makes the system report it here; the next packet may be sound.
                 Err(_) => continue,
             };
-            let Some(Came { length, from, hops }) = came else { continue };
+            let Some(Received { length, from, hops }) = received else { continue };
             // Guards against strangers: only peers are heard.
-            if !open.peers.contains(&from) {
-                self.routers.errors.strangers += 1;
+            if !entry.peers.contains(&from) {
+                self.routers.errors.unknown_senders += 1;
                 continue;
             }
-            let path = Path { source: from.ip(), destination: open.address.ip() };
-            let now = self.scale(now);
+            let path = Path { source: from.ip(), destination: entry.address.ip() };
+            let now = self.since_start(now);
             self.routers.receive(now, &packet[..length], path, hops, &mut self.outputs);
         }
     }
@@ -189,13 +199,13 @@
 
     fn advertise(&mut self, router: usize, priority: u8) {
         let family = self.routers.router(router).family();
-        let of_family = |open: &&Open| super::packet::Family::of(open.address.ip()) == family;
-        for open in self.open.iter().filter(of_family) {
-            for peer in &open.peers {
-                let path = Path { source: open.address.ip(), destination: peer.ip() };
+        let of_family = |entry: &&InterfaceSocket| super::packet::Family::of(entry.address.ip()) == family;
+        for entry in self.sockets.iter().filter(of_family) {
+            for peer in &entry.peers {
+                let path = Path { source: entry.address.ip(), destination: peer.ip() };
                 let packet = self.routers.packet(router, priority, path);
                 // A peer that is not there hears nothing; the next advertisement comes in an interval.
-                match open.socket.send_to(&packet, *peer) {
+                match entry.socket.send_to(&packet, *peer) {
                     Ok(length) => self.bytes_sent += length as u64,
                     Err(_) => self.send_errors += 1,
                 }
@@ -208,22 +218,22 @@
 fn bind(address: SocketAddr) -> std::io::Result<UdpSocket> {
     let socket = Socket::new(Domain::for_address(address), Type::DGRAM, Some(Protocol::UDP))?;
     if address.is_ipv4() {
-        socket.set_ttl_v4(u32::from(HOPS))?;
+        socket.set_ttl_v4(u32::from(REQUIRED_HOP_LIMIT))?;
         setsockopt(&socket, sockopt::Ipv4RecvTtl, &true)?;
     } else {
         socket.set_only_v6(true)?;
-        socket.set_unicast_hops_v6(u32::from(HOPS))?;
+        socket.set_unicast_hops_v6(u32::from(REQUIRED_HOP_LIMIT))?;
         setsockopt(&socket, sockopt::Ipv6RecvHopLimit, &true)?;
     }
     // Guards against losing peers' packets behind a burst; a system that allows less gives less.
-    socket.set_recv_buffer_size(KEPT)?;
+    socket.set_recv_buffer_size(RECEIVE_BUFFER_BYTES)?;
     socket.set_nonblocking(true)?;
     socket.bind(&address.into())?;
     Ok(UdpSocket::from_std(socket.into()))
 }
 
 /// Takes one packet; nothing if it has no sender.
-fn receive(socket: &UdpSocket, packet: &mut [u8]) -> std::io::Result<Option<Came>> {
+fn receive(socket: &UdpSocket, packet: &mut [u8]) -> std::io::Result<Option<Received>> {
     socket.try_io(|| {
         let mut space = cmsg_space!(i32, i32);
         let mut slices = [IoSliceMut::new(packet)];
@@ -240,7 +250,7 @@
             four.or_else(|| address.as_sockaddr_in6().map(|it| SocketAddr::V6((*it).into())))
         });
         let length = message.bytes;
-        Ok(from.map(|from| Came { length, from, hops }))
+        Ok(from.map(|from| Received { length, from, hops }))
     })
 }
 
--- a/src/vrrp/speaker/tests.rs
+++ b/src/vrrp/speaker/tests.rs
@@ -13,7 +13,7 @@
 }
 
 /// A speaker and the one socket that it hears, with the hops that its packets have.
-fn pair(own: &str, hops: u32) -> (Speaker, StdSocket, Path) {
+fn pair(own: &str, hops: u32) -> (Driver, StdSocket, Path) {
     let address: IpAddr = own.parse().unwrap();
     let peer = StdSocket::bind((address, 0)).unwrap();
     let socket = socket2::SockRef::from(&peer);
@@ -28,25 +28,25 @@
     let poll = Poll::new().unwrap();
     let routers = vec![router(address, vec![address])];
     let tokens = [Token(0)];
-    let mut speaker =
-        Speaker::start(&[interface], routers, &[], tokens, poll.registry(), Instant::now()).unwrap();
-    let started = speaker.turn(speaker.origin);
+    let mut driver =
+        Driver::start(&[interface], routers, &[], tokens, poll.registry(), Instant::now()).unwrap();
+    let started = driver.poll(driver.origin);
     assert_eq!(started[0].1.reason, Reason::Startup);
     peer.connect(free).unwrap();
-    (speaker, peer, Path { source: address, destination: address })
+    (driver, peer, Path { source: address, destination: address })
 }
 
-fn heard(address: IpAddr) -> Advertisement {
+fn advertisement(address: IpAddr) -> Advertisement {
     Advertisement { vrid: 7, priority: 200, interval: INTERVAL * 10, addresses: vec![address] }
 }
 
 /// Turns until something is so. Time stands still, so that no timer fires.
-fn turn_until(speaker: &mut Speaker, what: impl Fn(&Speaker) -> bool) {
-    let (now, start) = (speaker.origin, Instant::now());
-    while !what(speaker) {
+fn poll_until(driver: &mut Driver, what: impl Fn(&Driver) -> bool) {
+    let (now, start) = (driver.origin, Instant::now());
+    while !what(driver) {
         assert!(start.elapsed() < Duration::from_secs(20), "never came true");
-        speaker.ready(0);
-        assert_eq!(speaker.turn(now), []);
+        driver.set_readable(0);
+        assert_eq!(driver.poll(now), []);
     }
 }
 
@@ -58,65 +58,65 @@
 #[test]
 fn a_peer_with_all_hops_is_heard_and_learnt_from() {
     both_families(|own| {
-        let (mut speaker, peer, path) = pair(own, 255);
-        peer.send(&heard(path.source).write(path, Coverage::PseudoHeader)).unwrap();
-        turn_until(&mut speaker, |speaker| speaker.routers().statistics(0).advertisements_received == 1);
-        assert_eq!(speaker.routers().machine(0).active_interval(), INTERVAL * 10);
+        let (mut driver, peer, path) = pair(own, 255);
+        peer.send(&advertisement(path.source).write(path, Coverage::PseudoHeader)).unwrap();
+        poll_until(&mut driver, |driver| driver.routers().statistics(0).advertisements_received == 1);
+        assert_eq!(driver.routers().machine(0).active_interval(), INTERVAL * 10);
     });
 }
 
 #[test]
 fn a_packet_with_fewer_hops_is_counted_and_left() {
     both_families(|own| {
-        let (mut speaker, peer, path) = pair(own, 254);
-        peer.send(&heard(path.source).write(path, Coverage::PseudoHeader)).unwrap();
-        turn_until(&mut speaker, |speaker| speaker.routers().errors.ttl == 1);
-        assert_eq!(speaker.routers().statistics(0).advertisements_received, 0);
+        let (mut driver, peer, path) = pair(own, 254);
+        peer.send(&advertisement(path.source).write(path, Coverage::PseudoHeader)).unwrap();
+        poll_until(&mut driver, |driver| driver.routers().errors.ttl == 1);
+        assert_eq!(driver.routers().statistics(0).advertisements_received, 0);
     });
 }
 
 #[test]
 fn a_stranger_is_counted_and_left() {
-    let (mut speaker, _peer, path) = pair("127.0.0.1", 255);
+    let (mut driver, _peer, path) = pair("127.0.0.1", 255);
     let stranger = StdSocket::bind("127.0.0.1:0").unwrap();
     socket2::SockRef::from(&stranger).set_ttl_v4(255).unwrap();
-    let packet = heard(path.source).write(path, Coverage::PseudoHeader);
-    stranger.send_to(&packet, speaker.open[0].address).unwrap();
-    turn_until(&mut speaker, |speaker| speaker.routers().errors.strangers == 1);
-    assert_eq!(speaker.routers().statistics(0).advertisements_received, 0);
+    let packet = advertisement(path.source).write(path, Coverage::PseudoHeader);
+    stranger.send_to(&packet, driver.sockets[0].address).unwrap();
+    poll_until(&mut driver, |driver| driver.routers().errors.unknown_senders == 1);
+    assert_eq!(driver.routers().statistics(0).advertisements_received, 0);
 }
 
 #[test]
 fn one_turn_reads_a_bounded_part_of_a_flood() {
-    let (mut speaker, peer, path) = pair("127.0.0.1", 255);
-    let packet = heard(path.source).write(path, Coverage::PseudoHeader);
-    for _ in 0..MOST_READ + 50 {
+    let (mut driver, peer, path) = pair("127.0.0.1", 255);
+    let packet = advertisement(path.source).write(path, Coverage::PseudoHeader);
+    for _ in 0..MAX_READS_PER_POLL + 50 {
         peer.send(&packet).unwrap();
     }
-    speaker.ready(0);
-    speaker.turn(speaker.origin);
-    let read = speaker.routers().statistics(0).advertisements_received;
-    assert!(read <= MOST_READ as u64, "{read}");
-    assert_eq!(speaker.next_timer(speaker.origin), Some(speaker.origin), "it goes on at once");
-    turn_until(&mut speaker, |speaker| {
-        speaker.routers().statistics(0).advertisements_received == MOST_READ as u64 + 50
+    driver.set_readable(0);
+    driver.poll(driver.origin);
+    let read = driver.routers().statistics(0).advertisements_received;
+    assert!(read <= MAX_READS_PER_POLL as u64, "{read}");
+    assert_eq!(driver.next_timer(driver.origin), Some(driver.origin), "it goes on at once");
+    poll_until(&mut driver, |driver| {
+        driver.routers().statistics(0).advertisements_received == MAX_READS_PER_POLL as u64 + 50
     });
 }
 
 #[test]
 fn what_it_sends_is_sound_and_has_all_hops() {
     both_families(|own| {
-        let (mut speaker, peer, path) = pair(own, 255);
-        let now = speaker.origin + INTERVAL * 4;
-        let changes = speaker.turn(now);
+        let (mut driver, peer, path) = pair(own, 255);
+        let now = driver.origin + INTERVAL * 4;
+        let changes = driver.poll(now);
         assert_eq!(changes.len(), 1);
         assert_eq!((changes[0].1.to, changes[0].1.reason), (Role::Active, Reason::NoResponse));
         let mut packet = [0; 256];
         let length = peer.recv(&mut packet).unwrap();
-        let (told, coverage) = Advertisement::read(&packet[..length], path).unwrap();
-        assert_eq!((told.priority, coverage), (100, Coverage::PseudoHeader));
-        assert_eq!(speaker.bytes_sent, length as u64);
-        let ended = speaker.shut_down(now);
+        let (received, coverage) = Advertisement::read(&packet[..length], path).unwrap();
+        assert_eq!((received.priority, coverage), (100, Coverage::PseudoHeader));
+        assert_eq!(driver.bytes_sent, length as u64);
+        let ended = driver.shut_down(now);
         assert_eq!(ended[0].1.reason, Reason::Shutdown);
         let length = peer.recv(&mut packet).unwrap();
         assert_eq!(Advertisement::read(&packet[..length], path).unwrap().0.priority, 0);
--- a/src/vrrp/timers.rs
+++ b/src/vrrp/timers.rs
@@ -7,9 +7,9 @@
 use std::time::Duration;
 
 /// Where a router has no timer.
-const NOWHERE: usize = usize::MAX;
+const NO_TIMER: usize = usize::MAX;
 /// Children of a place in the heap: four lie together in memory, and the heap of 255 is four high.
-const WIDTH: usize = 4;
+const ARITY: usize = 4;
 
 /// One timer at most for each of a fixed number of routers, by their positions.
 #[derive(Clone, Debug)]
@@ -17,29 +17,29 @@
     /// Due times and routers, a heap with the earliest first.
     heap: Vec<(Duration, usize)>,
     /// Where in the heap each router's timer lies.
-    places: Vec<usize>,
+    positions: Vec<usize>,
 }
 
 impl Timers {
     /// No timers yet, for so many routers.
     pub fn new(routers: usize) -> Self {
-        Timers { heap: Vec::with_capacity(routers), places: vec![NOWHERE; routers] }
+        Timers { heap: Vec::with_capacity(routers), positions: vec![NO_TIMER; routers] }
     }
 
     /// Sets, moves or takes off a router's timer.
     pub fn set(&mut self, router: usize, at: Option<Duration>) {
-        match (at, self.places[router]) {
-            (None, NOWHERE) => {}
-            (None, place) => self.take_off(place),
-            (Some(at), NOWHERE) => {
-                let place = self.heap.len();
+        match (at, self.positions[router]) {
+            (None, NO_TIMER) => {}
+            (None, position) => self.remove_at(position),
+            (Some(at), NO_TIMER) => {
+                let position = self.heap.len();
                 self.heap.push((at, router));
-                self.places[router] = place;
-                self.rise(place);
+                self.positions[router] = position;
+                self.sift_up(position);
             }
-            (Some(at), place) => {
-                self.heap[place].0 = at;
-                self.settle(place);
+            (Some(at), position) => {
+                self.heap[position].0 = at;
+                self.restore_order(position);
             }
         }
     }
@@ -52,49 +52,49 @@
     /// Takes off a timer that is due and tells whose it was. The earliest comes first.
     pub fn pop_due(&mut self, now: Duration) -> Option<usize> {
         let (_, router) = *self.heap.first().filter(|(at, _)| *at <= now)?;
-        self.take_off(0);
+        self.remove_at(0);
         Some(router)
     }
 
-    fn take_off(&mut self, place: usize) {
-        let (_, router) = self.heap.swap_remove(place);
-        self.places[router] = NOWHERE;
-        if place < self.heap.len() {
-            self.places[self.heap[place].1] = place;
-            self.settle(place);
+    fn remove_at(&mut self, position: usize) {
+        let (_, router) = self.heap.swap_remove(position);
+        self.positions[router] = NO_TIMER;
+        if position < self.heap.len() {
+            self.positions[self.heap[position].1] = position;
+            self.restore_order(position);
         }
     }
 
-    fn settle(&mut self, place: usize) {
-        let place = self.rise(place);
-        self.sink(place);
+    fn restore_order(&mut self, position: usize) {
+        let position = self.sift_up(position);
+        self.sift_down(position);
     }
 
-    fn rise(&mut self, mut place: usize) -> usize {
-        while place > 0 && self.heap[place] < self.heap[(place - 1) / WIDTH] {
-            let above = (place - 1) / WIDTH;
-            self.swap(place, above);
-            place = above;
+    fn sift_up(&mut self, mut position: usize) -> usize {
+        while position > 0 && self.heap[position] < self.heap[(position - 1) / ARITY] {
+            let parent = (position - 1) / ARITY;
+            self.swap(position, parent);
+            position = parent;
         }
-        place
+        position
     }
 
-    fn sink(&mut self, mut place: usize) {
+    fn sift_down(&mut self, mut position: usize) {
         loop {
-            let below = WIDTH * place + 1..(WIDTH * place + 1 + WIDTH).min(self.heap.len());
-            let Some(least) = below.min_by_key(|below| self.heap[*below]) else { return };
-            if self.heap[place] <= self.heap[least] {
+            let children = ARITY * position + 1..(ARITY * position + 1 + ARITY).min(self.heap.len());
+            let Some(earliest) = children.min_by_key(|child| self.heap[*child]) else { return };
+            if self.heap[position] <= self.heap[earliest] {
                 return;
             }
-            self.swap(place, least);
-            place = least;
+            self.swap(position, earliest);
+            position = earliest;
         }
     }
 
     fn swap(&mut self, one: usize, other: usize) {
         self.heap.swap(one, other);
-        self.places[self.heap[one].1] = one;
-        self.places[self.heap[other].1] = other;
+        self.positions[self.heap[one].1] = one;
+        self.positions[self.heap[other].1] = other;
     }
 }
 
--- a/src/vrrp/track.rs
+++ b/src/vrrp/track.rs
@@ -57,7 +57,8 @@
     /// What is looked at.
     pub condition: Condition,
     /// By how much the priority falls while it holds; 0: all the way, to maintenance.
-    pub lowers: u8,
+    #[serde(rename = "lowers")]
+    pub priority_decrement: u8,
     /// Looks in a row that must find it before it counts.
     #[serde(default = "three")]
     pub fall: u32,
@@ -76,7 +77,7 @@
     /// It counts.
     holds: bool,
     /// Looks in a row that found the opposite.
-    against: u32,
+    opposite_checks: u32,
 }
 
 /// The conditions of one machine.
@@ -88,12 +89,12 @@
 impl Tracker {
     /// Nothing holds yet.
     pub fn new(rules: &[Rule]) -> Self {
-        let tracked = rules.iter().map(|rule| Tracked { rule: *rule, holds: false, against: 0 });
+        let tracked = rules.iter().map(|rule| Tracked { rule: *rule, holds: false, opposite_checks: 0 });
         Tracker { tracked: tracked.collect() }
     }
 
     /// Goes by other rules from now on. What held goes on holding where it is still looked at.
-    pub fn change(&mut self, rules: &[Rule]) {
+    pub fn set_rules(&mut self, rules: &[Rule]) {
         let mut new = Tracker::new(rules);
         for tracked in &mut new.tracked {
             tracked.holds = self.holds(tracked.rule.condition);
@@ -102,7 +103,7 @@
     }
 
     /// Whether a condition is looked at.
-    pub fn watches(&self, condition: Condition) -> bool {
+    pub fn is_tracked(&self, condition: Condition) -> bool {
         self.tracked.iter().any(|tracked| tracked.rule.condition == condition)
     }
 
@@ -112,33 +113,33 @@
     }
 
     /// Takes one look; true if the condition counts from now on, or no more.
-    pub fn look(&mut self, condition: Condition, found: bool) -> bool {
+    pub fn record_check(&mut self, condition: Condition, found: bool) -> bool {
         let Some(tracked) = self.tracked.iter_mut().find(|it| it.rule.condition == condition) else {
             return false;
         };
         if found == tracked.holds {
-            tracked.against = 0;
+            tracked.opposite_checks = 0;
             return false;
         }
-        tracked.against += 1;
+        tracked.opposite_checks += 1;
         let needed = if found { tracked.rule.fall } else { tracked.rule.rise };
-        let turns = tracked.against >= needed;
-        if turns {
-            (tracked.holds, tracked.against) = (found, 0);
+        let changed = tracked.opposite_checks >= needed;
+        if changed {
+            (tracked.holds, tracked.opposite_checks) = (found, 0);
         }
-        turns
+        changed
     }
 
     /// The priority that is left of a configured one. An owner's falls only to 0: the RFC knows no owner of less.
     pub fn priority(&self, configured: u8) -> u8 {
         let holding = || self.tracked.iter().filter(|tracked| tracked.holds);
-        if configured == 0 || holding().any(|tracked| tracked.rule.lowers == 0) {
+        if configured == 0 || holding().any(|tracked| tracked.rule.priority_decrement == 0) {
             0
         } else if configured == PRIORITY_OWNER {
             PRIORITY_OWNER
         } else {
-            let lowered =
-                holding().fold(configured, |left, tracked| left.saturating_sub(tracked.rule.lowers));
+            let lowered = holding()
+                .fold(configured, |left, tracked| left.saturating_sub(tracked.rule.priority_decrement));
             lowered.max(1)
         }
     }
--- a/src/vrrp/track/tests.rs
+++ b/src/vrrp/track/tests.rs
@@ -1,20 +1,20 @@
 use super::*;
 use proptest::prelude::*;
 
-fn rule(condition: Condition, lowers: u8) -> Rule {
-    Rule { condition, lowers, fall: 3, rise: 2 }
+fn rule(condition: Condition, priority_decrement: u8) -> Rule {
+    Rule { condition, priority_decrement, fall: 3, rise: 2 }
 }
 
 #[test]
 fn a_condition_counts_after_its_looks_in_a_row() {
     let mut tracker = Tracker::new(&[rule(Condition::LoopLate, 50)]);
-    let looks = [true, true, false, true, true, true, false, true, false, false];
-    let held = looks.map(|found| {
-        tracker.look(Condition::LoopLate, found);
+    let checks = [true, true, false, true, true, true, false, true, false, false];
+    let held = checks.map(|found| {
+        tracker.record_check(Condition::LoopLate, found);
         tracker.holds(Condition::LoopLate)
     });
     assert_eq!(held, [false, false, false, false, false, true, true, true, true, false]);
-    assert!(!tracker.look(Condition::File, true), "nobody asked for it");
+    assert!(!tracker.record_check(Condition::File, true), "nobody asked for it");
 }
 
 #[test]
@@ -23,7 +23,7 @@
     let mut tracker = Tracker::new(&rules);
     let hold = |tracker: &mut Tracker, it| {
         (0..3).for_each(|_| {
-            tracker.look(it, true);
+            tracker.record_check(it, true);
         });
     };
     hold(&mut tracker, Condition::LoopLate);
@@ -32,20 +32,20 @@
     assert_eq!((tracker.priority(200), tracker.priority(100)), (50, 1));
     hold(&mut tracker, Condition::File);
     assert_eq!((tracker.priority(200), tracker.priority(255)), (0, 0));
-    tracker.change(&rules[..1]);
+    tracker.set_rules(&rules[..1]);
     assert_eq!(tracker.priority(200), 150, "what still counts goes on holding");
 }
 
 proptest! {
     /// It turns only after as many looks in a row as the rule says.
     #[test]
-    fn it_never_turns_early(looks in prop::collection::vec(any::<bool>(), 0..60)) {
+    fn it_never_turns_early(checks in prop::collection::vec(any::<bool>(), 0..60)) {
         let mut tracker = Tracker::new(&[rule(Condition::Memory, 10)]);
-        for (at, found) in looks.iter().enumerate() {
-            if tracker.look(Condition::Memory, *found) {
+        for (at, found) in checks.iter().enumerate() {
+            if tracker.record_check(Condition::Memory, *found) {
                 let needed = if *found { 3 } else { 2 };
                 prop_assert!(at + 1 >= needed);
-                prop_assert!(looks[at + 1 - needed..=at].iter().all(|look| look == found));
+                prop_assert!(checks[at + 1 - needed..=at].iter().all(|check| check == found));
             }
         }
     }
