--- a/src/fleet/frame.rs
+++ b/src/fleet/frame.rs
@@ -1,88 +1,89 @@
-//! Messages between members over UDP: a frame a datagram, in postcard's form, with a version and the fleet's tag in
-//! front. Whatever comes is bounded by the length of a datagram, and is dropped whole where it is not valid.
+//! Messages between members over UDP: one frame per datagram, encoded with postcard after a version byte and the tag of
+//! the fleet. The length of a datagram bounds every received value; an invalid datagram is dropped as a whole.
 
 use super::update::{Generation, Update, MAX_NAME_BYTES};
 use super::view::{Ballot, Change, ViewEntry, ViewId, ViewMember, MAX_CHANGES};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// The version of this form.
+/// Version of this encoding, the first byte of each datagram.
 pub const VERSION: u8 = 1;
-/// A datagram is not longer: it passes most paths in one piece.
+/// Maximum length of a datagram: short enough to pass most network paths without fragmentation.
 pub const MAX_DATAGRAM_BYTES: usize = 1400;
-/// Bytes of a datagram that updates may take up.
+/// Bytes of a datagram that piggybacked updates may occupy.
 pub const MAX_UPDATE_BYTES: usize = 900;
-/// Updates that one datagram can hold at all.
+/// Maximum number of updates accepted in one datagram.
 const MAX_UPDATES: usize = 64;
-/// Entries of a view in one datagram.
+/// Maximum number of view entries in one datagram.
 pub const ENTRIES_PER_PAGE: usize = 16;
 
-/// The message of a frame, besides the updates that are piggybacked on it. The order of the variants is the wire's.
+/// The message of a frame, without the piggybacked updates. Variants are encoded by position: keep their order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// A probe; answered by an `Ack` of the same number.
+    /// Probes the receiver, which answers with an `Ack` of the same number.
     Ping(u32),
-    /// The answer to a probe.
+    /// Answers a `Ping` (or, with number 0, a `Join`).
     Ack(u32),
-    /// Asks a helper to probe another member; answered by an `IndirectResult` either way.
+    /// Asks a helper to probe another member (ping-req in SWIM); answered by an `IndirectResult` in either case.
     IndirectProbe {
-        /// Comes back with the answer.
+        /// Number of this request, repeated in the answer.
         number: u32,
-        /// The member to be probed.
+        /// The member to probe.
         name: String,
         /// Its address.
         address: SocketAddr,
     },
-    /// What came of an indirect probe.
+    /// The outcome of an indirect probe.
     IndirectResult {
         /// The number of the request.
         number: u32,
-        /// It answered.
+        /// Whether the probed member answered the helper in time.
         reachable: bool,
     },
-    /// The sender asks to be taken in; its update goes along.
+    /// The sender asks to join; its own update is piggybacked.
     Join,
-    /// The receiver's name is held by this generation.
+    /// Answers a `Join`: this generation already uses the receiver's name.
     NameTaken(Generation),
-    /// Asks for a page of the view that the receiver has.
+    /// Asks for one page of the receiver's view, by number from 0.
     Fetch(u16),
     /// A page of the sender's view.
     Page {
-        /// Its number, from 0.
+        /// Number of the page, from 0.
         page: u16,
-        /// How many there are.
+        /// Number of pages in all.
         pages: u16,
         /// Its entries.
         entries: Vec<ViewEntry>,
     },
-    /// Asks the members of the sender's view for their votes on the next one, and names whom it is to remove.
+    /// Paxos phase 1a: asks the members of the sender's view for their promises on the next view, and names the members
+    /// that the proposer would remove.
     Prepare {
         /// The proposer's number.
         ballot: Ballot,
-        /// Members that are to go. Whoever can still reach one objects.
+        /// Members to remove. A member that does not also suspect one of them objects.
         leaves: Vec<String>,
     },
-    /// A vote: no lower ballot gets one any more.
+    /// Paxos phase 1b: the sender accepts no lower ballot from now on.
     Promise {
-        /// The ballot that is promised.
+        /// The promised ballot.
         ballot: Ballot,
-        /// What was accepted at a lower one.
+        /// The change that the sender has accepted at a lower ballot, if any.
         accepted: Option<(Ballot, Change)>,
-        /// Members that are to go and that answer here.
+        /// Members to remove whose removal the sender objects to.
         objections: Vec<String>,
     },
-    /// The next view is to be this one.
+    /// Paxos phase 2a: asks the members of the sender's view to accept this change.
     Propose {
         /// The ballot.
         ballot: Ballot,
         /// What changes.
         change: Change,
     },
-    /// It is accepted here.
+    /// Paxos phase 2b: the sender has accepted the change proposed at this ballot.
     Accepted(Ballot),
-    /// It was accepted by most: it is the next view after the one it names.
+    /// The change was accepted by a majority and makes the view that follows `after`.
     Decided {
-        /// The view before.
+        /// The preceding view.
         after: ViewId,
         /// What changes.
         change: Change,
@@ -92,11 +93,11 @@
 /// One datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Frame {
-    /// The sender.
+    /// Name of the sender.
     pub from: String,
-    /// Its generation.
+    /// Generation of the sender.
     pub generation: Generation,
-    /// The view that it has.
+    /// The latest view that the sender has installed.
     pub view: ViewId,
     /// The message.
     pub message: Message,
@@ -104,22 +105,22 @@
     pub updates: Vec<Update>,
 }
 
-/// Names a fleet in each datagram: datagrams of another fleet on the same port are dropped.
+/// The tag that identifies a fleet in each datagram: datagrams of another fleet on the same port are dropped.
 pub fn tag(fleet: &str) -> u64 {
-    // FNV-1a: it distinguishes fleets, and keeps no secrets.
+    // FNV-1a: distinguishes fleets; it is not meant to authenticate them.
     fleet
         .bytes()
         .fold(0xcbf2_9ce4_8422_2325, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3))
 }
 
 impl Frame {
-    /// As bytes, for a fleet of this tag.
+    /// Encodes the frame for the fleet with this tag.
     pub fn write(&self, tag: u64) -> Vec<u8> {
-        // Only maps of unknown length cannot be put in this form, and there are none.
+        // postcard fails only on sequences of unknown length, and a frame has none.
         postcard::to_stdvec(&(VERSION, tag, self)).unwrap_or_default()
     }
 
-    /// Reads a datagram; an error says what is wrong with it.
+    /// Decodes and validates a datagram of the fleet with this tag; the error says why it is not valid.
     pub fn read(bytes: &[u8], tag: u64) -> Result<Frame, &'static str> {
         if bytes.len() > MAX_DATAGRAM_BYTES {
             return Err("too long");
--- a/src/fleet/frame/tests.rs
+++ b/src/fleet/frame/tests.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn what_is_written_is_read_and_nothing_else_is() {
+fn a_frame_is_read_back_and_malformed_datagrams_are_rejected() {
     let tag = tag("palermo");
     let whole = frame(Message::Ping(7));
     let bytes = whole.write(tag);
@@ -43,7 +43,7 @@
 
 proptest::proptest! {
     #[test]
-    fn any_bytes_are_read_or_passed_over(bytes: Vec<u8>) {
+    fn arbitrary_bytes_are_decoded_or_rejected_without_panic(bytes: Vec<u8>) {
         let bytes = [&[VERSION][..], &bytes].concat();
         proptest::prop_assert!(Frame::read(&bytes, 0).is_err() || bytes.len() > 8);
     }
--- a/src/fleet/frame/tests/recorded.rs
+++ b/src/fleet/frame/tests/recorded.rs
@@ -1,10 +1,11 @@
-//! Datagrams as the build before has written them: members of both builds are in one fleet.
+//! Datagrams recorded from an earlier build: during an upgrade members of both builds are in one fleet and have to
+//! understand each other.
 
 use super::*;
 use crate::fixtures::{hex, records};
 
 const DATAGRAMS: &str = include_str!("../../../../tests/fixtures/fleet/datagrams.hex");
-/// The fleet's tag in each of them.
+/// The fleet's tag in each recorded datagram.
 const LIGHTS: u64 = 0x3a89_8b8a_64d2_b3b4;
 const BOOTSTRAP: u64 = 1_700_000_000_000 << 10 | 7;
 
@@ -23,7 +24,7 @@
 }
 
 #[test]
-fn recorded_heads_and_updates_mean_what_they_meant() {
+fn recorded_headers_and_updates_are_decoded_to_the_recorded_values() {
     let frames = frames();
     for frame in &frames {
         assert_eq!((frame.from.as_str(), frame.generation), ("n7", Generation(27)));
@@ -48,7 +49,7 @@
 }
 
 #[test]
-fn recorded_messages_mean_what_they_meant() {
+fn recorded_messages_are_decoded_to_the_recorded_values() {
     let frames = frames();
     let messages: Vec<_> = frames.iter().map(|frame| &frame.message).collect();
     let [Message::Ping(101), Message::Ack(102), Message::IndirectProbe { number: 103, name, address }, Message::IndirectResult { number: 104, reachable: true }, Message::Join, Message::NameTaken(Generation(105)), Message::Fetch(3), Message::Page { page: 1, pages: 2, entries }, Message::Prepare { ballot: prepare, leaves }, Message::Promise { ballot: promise, accepted: Some((before, kept)), objections }, Message::Promise { ballot: bare, accepted: None, .. }, Message::Propose { ballot: propose, change: first }, Message::Accepted(accepted), Message::Decided { after, change: later }] =
--- a/src/fleet/health/tests.rs
+++ b/src/fleet/health/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn it_waits_longer_the_worse_its_health_and_only_so_long() {
+fn timeouts_grow_with_the_score_up_to_a_limit_and_recover() {
     let (mut health, second) = (Health::default(), Duration::from_secs(1));
     assert_eq!(health.stretch(second), second);
     health.record_delay();
--- a/src/fleet/member/agreement.rs
+++ b/src/fleet/member/agreement.rs
@@ -1,5 +1,5 @@
-//! Agreeing on the next view: what it is to change, when to propose it, and the votes of one decision. The rule itself
-//! is in [`crate::fleet::view`]; here is when a member takes part in it.
+//! Agreement on the next view: which changes this member proposes, when it proposes them, and how it votes. The Paxos
+//! roles themselves are in [`crate::fleet::view`].
 
 use super::receive::Sender;
 use super::{Action, Member, Phase};
@@ -11,15 +11,15 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Periods in which no sign of a fleet may come before one is bootstrapped.
+/// Periods that a seed waits for an existing fleet before it proposes a first view.
 const BOOTSTRAP_AFTER_PERIODS: u32 = 4;
-/// Periods after which a proposal is made again.
+/// Periods after which an undecided proposal is repeated; also the delay per rank between proposers.
 const RETRY_AFTER_PERIODS: u32 = 2;
-/// Share of a period in which changes are gathered before a proposal.
+/// Periods during which changes are collected into one proposal.
 const PROPOSAL_DELAY_PERIODS: f64 = 0.5;
 
 impl Member {
-    /// Whether a sender has a vote on what comes after its view, and this one counts it.
+    /// Whether a sender has a vote on the view after its present one, and this member may take part in that decision.
     pub(super) fn can_vote(&self, sender: Sender) -> bool {
         let bootstrapping = sender.view == ViewId::default();
         let listed = self.view.members.get(sender.name);
@@ -32,7 +32,7 @@
         sender.view == self.view.id && own && votes && same
     }
 
-    /// A message of one decision, from a member that has a vote.
+    /// Handles a Paxos message of a member that has a vote.
     pub(super) fn receive_vote(
         &mut self,
         now: Duration,
@@ -56,30 +56,30 @@
         }
     }
 
-    /// Accepts a proposal, unless a higher ballot has this member's vote.
+    /// Accepts a proposal, unless this member has promised a higher ballot.
     fn accept(&mut self, sender: Sender, ballot: Ballot, change: &Change, actions: &mut Vec<Action>) {
         if self.acceptor.accept(&ballot, change) {
             self.send(sender.address, Message::Accepted(ballot), actions);
         }
     }
 
-    /// Those of the members that are to go whose going this one objects to.
+    /// Those of the members to remove whose removal this member objects to.
     fn objections(&self, now: Duration, leaves: Vec<String>) -> Vec<String> {
         leaves.into_iter().filter(|name| !self.agrees_to_removal(now, name)).collect()
     }
 
-    /// Whether a member may go as far as this one knows: it announced that it leaves, or a suspicion of it has stood
-    /// unrefuted here for half of the least time. Guards against a suspicion that arose elsewhere and came here just
-    /// now.
+    /// Whether this member agrees to a removal: the other one has announced that it leaves, or a suspicion of it has
+    /// been unrefuted here for half of the minimum timeout. A suspicion that was raised elsewhere and has only just
+    /// been received does not suffice.
     fn agrees_to_removal(&self, now: Duration, name: &str) -> bool {
         let own = name == self.own.name && self.phase != Phase::Leaving;
         let Some(peer) = self.peers.get(name) else { return !own };
         let (min, _) = timeout_bounds(self.own.period, self.own.suspicion_periods, self.view.members.len());
-        let stands = |suspicion: &Suspicion| now.saturating_sub(suspicion.since) >= min / 2;
-        peer.suspicion.as_ref().is_some_and(stands) || peer.update.state == MemberState::Leaving
+        let persists = |suspicion: &Suspicion| now.saturating_sub(suspicion.since) >= min / 2;
+        peer.suspicion.as_ref().is_some_and(persists) || peer.update.state == MemberState::Leaving
     }
 
-    /// What the next view is to change, as far as this member knows.
+    /// The changes of the next view that this member would propose.
     fn desired(&self, now: Duration) -> Change {
         let bootstrapping = self.view.id == ViewId::default();
         let bootstrap =
@@ -89,24 +89,24 @@
         Change { bootstrap, joins, leaves }
     }
 
-    /// Members of the view that are lost here, or have announced that they leave.
+    /// Members of the view that this member considers faulty, or that have announced that they leave.
     fn desired_leaves(&self) -> Vec<String> {
-        let goes = |listed: &&ViewMember| {
+        let departs = |listed: &&ViewMember| {
             let peer =
                 self.peers.get(&listed.name).filter(|peer| peer.update.generation == listed.generation);
             peer.is_some_and(|peer| peer.faulty || peer.update.state == MemberState::Leaving)
         };
-        let leaves = self.view.members.values().filter(goes).take(MAX_CHANGES);
+        let leaves = self.view.members.values().filter(departs).take(MAX_CHANGES);
         leaves.map(|listed| listed.name.clone()).collect()
     }
 
-    /// Members that ask to be taken in, at most so many; at a bootstrap this one too.
+    /// Known processes that ask to join, at most `max`; at a bootstrap this member too.
     fn desired_joins(&self, bootstrapping: bool, max: usize) -> Vec<ViewMember> {
         let own = bootstrapping.then(|| self.own_update());
         let updates = self.peers.values().map(|peer| &peer.update).chain(&own);
         let joins = updates.filter(|update| {
-            let comes = bootstrapping || self.view.admits(&update.name, update.generation);
-            comes && !matches!(update.state, MemberState::Leaving | MemberState::Suspect { .. })
+            let admitted = bootstrapping || self.view.admits(&update.name, update.generation);
+            admitted && !matches!(update.state, MemberState::Leaving | MemberState::Suspect { .. })
         });
         let listed = |update: &Update| {
             let (name, generation, address) = (update.name.clone(), update.generation, update.address);
@@ -115,7 +115,8 @@
         joins.take(max).map(listed).collect()
     }
 
-    /// When to propose another view: the first of those that are not lost proposes at once, each further one later.
+    /// Schedules a proposal if the view has to change. The first live member in the order of names proposes at once,
+    /// each further one later, so that proposals rarely compete.
     pub(super) fn plan_proposal(&mut self, now: Duration) {
         if self.propose_at.is_some() || !self.view_may_change {
             return;
@@ -139,14 +140,15 @@
         self.propose_at = Some(first.max(now) + pause + self.own.period * RETRY_AFTER_PERIODS * rank);
     }
 
-    /// How many of the view come before this member in the order of names and are not lost here.
+    /// How many members of the view precede this one in the order of names and are not considered faulty.
     fn rank(&self) -> u32 {
         let faulty = |name: &&String| self.peers.get(*name).is_some_and(|peer| peer.faulty);
         let before = self.view.members.keys().take_while(|name| **name != self.own.name);
         before.filter(|name| !faulty(name)).count() as u32
     }
 
-    /// Proposes the next view, if there is something to change.
+    /// Proposes the next view, if there is something to change. A first view is proposed only once a majority of the
+    /// seeds is known.
     pub(super) fn propose_now(&mut self, now: Duration, actions: &mut Vec<Action>) {
         self.propose_at = None;
         let change = self.desired(now);
@@ -172,14 +174,15 @@
         }
     }
 
-    /// Sends a message to all others of the view.
+    /// Sends a message to all other members of the view.
     fn broadcast(&mut self, message: &Message, actions: &mut Vec<Action>) {
         let others = self.view.members.values().filter(|listed| listed.name != self.own.name);
         let others: Vec<SocketAddr> = others.map(|listed| listed.address).collect();
         others.into_iter().for_each(|to| self.send(to, message.clone(), actions));
     }
 
-    /// A vote for this member's proposal: once most have voted, what follows from them is proposed.
+    /// Counts a promise for this member's proposal. Once a majority has promised, proposes the change that follows from
+    /// the promises.
     fn count_vote(
         &mut self,
         now: Duration,
@@ -198,7 +201,8 @@
         }
     }
 
-    /// What this member proposed was accepted by one more: once most have, it is the next view.
+    /// Counts an acceptance of this member's proposal. Once a majority has accepted, the change is decided: announces
+    /// and installs the next view.
     fn count_accepted(&mut self, now: Duration, from: &str, ballot: &Ballot, actions: &mut Vec<Action>) {
         let Some(proposal) = self.proposal.as_mut().filter(|it| it.ballot == *ballot) else { return };
         let Some(change) = proposal.add_accepted(&self.view, from) else { return };
@@ -209,6 +213,6 @@
         for to in sent {
             self.send(to, Message::Decided { after, change: change.clone() }, actions);
         }
-        self.install(now, next, "decided by most", actions);
+        self.install(now, next, "decided by a majority", actions);
     }
 }
--- a/src/fleet/member/bootstrap.rs
+++ b/src/fleet/member/bootstrap.rs
@@ -1,5 +1,5 @@
-//! The first view of a fleet: who may decide it, what names it, and when a view that can decide nothing any more is
-//! given up for another first one.
+//! The first view of a fleet: which members decide it, how it is identified, and when a view that can no longer decide
+//! anything is given up for a new first one.
 
 use super::{Action, Member, Phase};
 use crate::fleet::frame::tag;
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 impl Member {
-    /// Before there is a view the seeds are the acceptors of the first one.
+    /// The view before the first one: the seeds, which are the acceptors for the first view.
     pub(super) fn seed_view(&self) -> View {
         let listed = |(name, address): (&String, &SocketAddr)| {
             (
@@ -20,15 +20,15 @@
         View { members: self.own.seeds.iter().map(listed).collect(), ..View::default() }
     }
 
-    /// Identifies a bootstrap that begins now. Guards two of them against one identity: a bootstrapper that never heard
-    /// of an earlier fleet comes at another time, and two of the same moment differ in the bits of their names.
+    /// The identifier of a bootstrap that begins now. Two bootstraps never share one: a proposer that does not know of
+    /// an earlier fleet bootstraps at another time, and two of the same millisecond differ in the bits of their names.
     pub(super) fn bootstrap_stamp(&self, now: Duration) -> u64 {
         let millis = self.own.generation.0 + now.saturating_sub(self.created).as_millis() as u64;
         (millis << BOOTSTRAPPER_BITS) | (tag(&self.own.name) & ((1 << BOOTSTRAPPER_BITS) - 1))
     }
 
-    /// Gives up a view that can decide nothing any more: a generation that a later one of its name replaced has no
-    /// vote.
+    /// Gives up a view in which no majority is left: a generation has no vote any more once a later one has replaced it
+    /// under its name.
     pub(super) fn abandon_dead_view(&mut self, now: Duration, actions: &mut Vec<Action>) {
         if self.view.id == ViewId::default() {
             return;
@@ -51,7 +51,7 @@
             self.begin_generation(
                 now,
                 Generation(generation),
-                "most generations of its view have ended",
+                "a majority of the generations of its view has ended",
                 actions,
             );
         }
--- a/src/fleet/member/dissemination.rs
+++ b/src/fleet/member/dissemination.rs
@@ -1,24 +1,24 @@
-//! Gossip: updates that wait to go out on the datagrams of probes, each a bounded number of times.
+//! The gossip queue: updates that are piggybacked on probe datagrams, each a limited number of times.
 
 use crate::fleet::frame::MAX_UPDATE_BYTES;
 use crate::fleet::update::{MemberState, Update};
 
-/// Times that an update goes out, for each doubling of the fleet.
+/// Number of transmissions of an update, for each doubling of the fleet's size.
 const TRANSMISSIONS_PER_DOUBLING: f64 = 3.0;
-/// Updates that wait to go out.
+/// Maximum number of queued updates.
 const MAX_QUEUED_UPDATES: usize = 256;
-/// Bytes of an update besides its names, at most.
+/// Maximum encoded length of an update without its names.
 const UPDATE_HEADER_BYTES: usize = 48;
 
-/// Updates that wait to go out, with the number of times that each still has to.
+/// Queued updates, each with the number of transmissions left.
 #[derive(Default)]
 pub(super) struct Dissemination {
     queue: Vec<(Update, u32)>,
 }
 
 impl Dissemination {
-    /// Queues an update in a fleet of so many, in the place of those that it supersedes. Where the queue is full it is
-    /// dropped: its members are heard of again.
+    /// Queues an update in a fleet of this many members and removes those that it supersedes. If the queue is full the
+    /// update is dropped: it will be received again.
     pub(super) fn push(&mut self, update: Update, members: usize) {
         let is_superseded = |known: &Update| {
             known.name == update.name && (witness(known) == witness(&update) || update.replaces(known))
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Those that went out least often, as many as a datagram takes.
+    /// The updates with the most transmissions left, as many as fit into a datagram.
     pub(super) fn next_batch(&mut self) -> Vec<Update> {
         self.queue.sort_by_key(|(_, remaining_sends)| std::cmp::Reverse(*remaining_sends));
         let (mut sent, mut remaining) = (Vec::new(), MAX_UPDATE_BYTES);
@@ -47,13 +47,13 @@
         sent
     }
 
-    /// Drops those that are not to go out any more.
+    /// Removes the updates that `keep` rejects.
     pub(super) fn retain(&mut self, mut keep: impl FnMut(&Update) -> bool) {
         self.queue.retain(|(update, _)| keep(update));
     }
 }
 
-/// The witness of a suspicion.
+/// The witness, if the update is a suspicion.
 fn witness(update: &Update) -> Option<&str> {
     match &update.state {
         MemberState::Suspect { by } => Some(by),
--- a/src/fleet/member/event.rs
+++ b/src/fleet/member/event.rs
@@ -1,34 +1,34 @@
-//! What happens to a member, and what it wants done.
+//! Events that a member handles, and actions that it returns.
 
 use crate::fleet::frame::Frame;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What happens to a member.
+/// An event that a member handles.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A datagram, and where it came from.
+    /// A datagram was received, from this source address.
     Frame(Box<Frame>, SocketAddr),
-    /// Time went on.
+    /// A timer is due.
     Wake,
-    /// Its process was kept from its work for so long.
+    /// The process was delayed by this much: stopped, or without processor time.
     Delayed(Duration),
-    /// It is to leave.
+    /// The member is to leave the fleet.
     Leave,
 }
 
-/// What is to be done.
+/// An action to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// A datagram goes out.
+    /// Send this frame to this address.
     Send(SocketAddr, Frame),
-    /// Something changed: of whom, what, and by what evidence.
+    /// Log a change of the fleet's state.
     Note {
-        /// Of whom.
+        /// The member, or the view, that changed.
         name: String,
-        /// What.
+        /// Its new state.
         what: &'static str,
-        /// Why it is held to be so.
+        /// The observation behind it.
         evidence: String,
     },
 }
--- a/src/fleet/member/fetch.rs
+++ b/src/fleet/member/fetch.rs
@@ -1,4 +1,4 @@
-//! Fetching a view that another member has and this one missed, a page a datagram, and serving the pages of one's own.
+//! Fetching a later view from another member, one page per datagram, and serving pages of the installed view.
 
 use super::receive::Sender;
 use super::{Action, Member, MAX_MEMBERS};
@@ -8,9 +8,9 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Pages of the largest view that is fetched: its members, and as many names that have ended.
+/// Maximum number of pages that are fetched: a view's members, and as many ended generations.
 const MAX_PAGES: usize = 2 * MAX_MEMBERS / ENTRIES_PER_PAGE;
-/// A page may take as long as so many answers.
+/// Timeout of a page, in ack timeouts.
 const PAGE_TIMEOUT_ANSWERS: u32 = 2;
 
 /// A view that is being fetched.
@@ -19,12 +19,12 @@
     from: String,
     pages: BTreeMap<u16, Vec<ViewEntry>>,
     count: u16,
-    /// Without another page by then it is given up.
+    /// When the fetch is given up unless another page arrives.
     pub(super) until: Duration,
 }
 
 impl Member {
-    /// Somebody has a later view: its first page is asked for, unless that one or a later one is being fetched already.
+    /// Requests the first page of a sender's later view, unless that view or a later one is being fetched already.
     pub(super) fn request_view(&mut self, now: Duration, sender: Sender, actions: &mut Vec<Action>) {
         let id = sender.view;
         if self.fetch.as_ref().is_some_and(|fetch| fetch.id >= id && now < fetch.until) {
@@ -36,7 +36,7 @@
         self.send(sender.address, Message::Fetch(0), actions);
     }
 
-    /// Sends a page of the view that this member has.
+    /// Sends a page of the installed view.
     pub(super) fn serve_page(&mut self, page: u16, to: SocketAddr, actions: &mut Vec<Action>) {
         if self.view.id == ViewId::default() {
             return;
@@ -53,7 +53,7 @@
         }
     }
 
-    /// A page came: the next one is asked for, or the view is whole.
+    /// Stores a received page, and requests the next one or installs the complete view.
     pub(super) fn receive_page(
         &mut self,
         now: Duration,
@@ -75,10 +75,10 @@
         }
         let Some(fetch) = self.fetch.take() else { return };
         let view = View::from_entries(id, fetch.pages.into_values().flatten());
-        self.install(now, view, &format!("fetched of {}", fetch.from), actions);
+        self.install(now, view, &format!("fetched from {}", fetch.from), actions);
     }
 
-    /// Gives up a fetch whose next page did not come.
+    /// Gives up a fetch whose next page did not arrive in time.
     pub(super) fn expire_fetch(&mut self, now: Duration) {
         self.fetch = self.fetch.take().filter(|fetch| now < fetch.until);
     }
--- a/src/fleet/member/identity.rs
+++ b/src/fleet/member/identity.rs
@@ -1,4 +1,5 @@
-//! One member over two processes: what the older one gives, and how the newer one goes on from it.
+//! Handing a member over from one process to the next, as in an upgrade: the state that the older process passes on,
+//! and how the newer one resumes from it.
 
 use super::{Member, Parameters, Phase};
 use crate::fleet::update::Generation;
@@ -6,8 +7,8 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// What one process of a member gives to the one that takes its place: the same generation, with all its promises.
-/// Serialized names stay as they were introduced: `upgrade::frame::SCHEMA` is checked by them.
+/// The state that one process of a member passes to its successor, which continues the same generation and keeps the
+/// Paxos promises. The serialized names must not change: `upgrade::frame::SCHEMA` is checked against them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Identity {
     name: String,
@@ -23,7 +24,7 @@
 }
 
 impl Member {
-    /// What the next process of this member goes on from. This one is to send nothing after that.
+    /// The state from which the next process of this member resumes. This process must send nothing from then on.
     pub fn identity(&self) -> Identity {
         let (generation, incarnation, abandoned_view, view) =
             (self.generation, self.incarnation, self.abandoned_view, self.view.id);
@@ -39,7 +40,7 @@
         }
     }
 
-    /// Goes on in the place of the process before; as one that begins to join, where that had another name.
+    /// Resumes the member of the preceding process. If that process had another name, begins to join as a new member.
     pub fn resume(own: Parameters, identity: Identity, now: Duration) -> Self {
         let mut member = Member::new(own, now);
         if identity.name != member.own.name {
--- a/src/fleet/member/install.rs
+++ b/src/fleet/member/install.rs
@@ -1,4 +1,4 @@
-//! Installing another view: the table of peers follows it, and the member finds its own place in it.
+//! Installing a view: updates the table of peers and the member's own phase.
 
 use super::{Action, Member, Peer, Phase};
 use crate::fleet::update::{Generation, MemberState, Update};
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 impl Member {
-    /// Installs a view, unless it is not later than the present one.
+    /// Installs a view if it is later than the present one and than any view that was given up.
     pub(super) fn install(&mut self, now: Duration, view: View, evidence: &str, actions: &mut Vec<Action>) {
         if view.id <= self.view.id.max(self.abandoned_view) {
             return;
@@ -24,7 +24,7 @@
         self.update_own_phase(now, actions);
     }
 
-    /// Notes each generation that was in the view before and is not in this one.
+    /// Logs each generation of the preceding view that is not in the present one.
     fn note_departures(&self, before: &View, actions: &mut Vec<Action>) {
         if before.id == ViewId::default() {
             return;
@@ -41,20 +41,20 @@
         }
     }
 
-    /// Keeps the table of peers in step with the view.
+    /// Makes the table of peers follow the installed view.
     pub(super) fn update_peers(&mut self, now: Duration, before: &View) {
         let view = &self.view;
-        // A generation that was removed is forgotten with all its updates.
+        // Forgets generations that the view has removed, with their updates.
         self.peers.retain(|name, peer| match (view.members.get(name), before.members.get(name)) {
             (Some(listed), _) => peer.update.generation >= listed.generation,
             (None, Some(listed)) => peer.update.generation > listed.generation,
             (None, None) => true,
         });
-        // The view itself tells everybody who joined: that needs no updates.
+        // The view itself announces the joined members: no updates about them need to be disseminated.
         let in_view = |update: &Update| {
-            let listed =
+            let current =
                 view.members.get(&update.name).is_some_and(|listed| listed.generation == update.generation);
-            listed
+            current
                 && update.incarnation == 0
                 && matches!(update.state, MemberState::Joining | MemberState::Alive)
         };
@@ -72,25 +72,25 @@
         }
     }
 
-    /// Finds its own place in a view that it entered.
+    /// Adapts the phase and generation of this member to whether the installed view has it.
     fn update_own_phase(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let own = self.view.members.get(&self.own.name).map(|listed| listed.generation);
         match (self.phase, own) {
             (Phase::Joining, Some(generation)) if generation == self.generation => {
                 (self.next_probe, self.last_received) = (now, now);
                 self.drop_suspicions();
-                self.change_phase(now, Phase::Member, "taken in", actions);
+                self.change_phase(now, Phase::Member, "admitted to the view", actions);
             }
             (_, Some(generation)) if generation > self.generation => {
                 self.resolve_name_conflict(now, generation, actions)
             }
             (Phase::Member, own) if own != Some(self.generation) => {
-                // Most could not reach it for long. It comes again, as one that was never there.
+                // A majority could not reach this member for the suspicion timeout. It joins again as a new generation.
                 let generation = Generation(self.generation.0 + 1);
-                self.begin_generation(now, generation, "taken out of the view", actions);
+                self.begin_generation(now, generation, "removed from the view", actions);
             }
             (Phase::Joining, None) => {
-                // It was taken in and out again before it heard of either.
+                // It was admitted and removed again before it received either view.
                 if let Some(ended) =
                     self.view.ended.get(&self.own.name).filter(|generation| **generation >= self.generation)
                 {
@@ -98,7 +98,7 @@
                     self.begin_generation(now, generation, "its generation had ended", actions);
                 }
             }
-            (Phase::Leaving, None) => self.change_phase(now, Phase::Left, "out of the view", actions),
+            (Phase::Leaving, None) => self.change_phase(now, Phase::Left, "no longer in the view", actions),
             _ => {}
         }
     }
--- a/src/fleet/member/join.rs
+++ b/src/fleet/member/join.rs
@@ -1,4 +1,4 @@
-//! Coming and going: asking to be taken into the view or out of it, beginning another generation, and giving way to a
+//! Joining and leaving: asks to be admitted to the view, announces a leave, begins another generation, and yields to a
 //! newer process of the same name.
 
 use super::{Action, Member, Phase};
@@ -9,13 +9,13 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Joiners that are not heard of any more are forgotten after so many periods.
+/// Periods after which a joining process is forgotten if no update about it is received.
 const FORGET_AFTER_PERIODS: u32 = 12;
-/// Periods for which a leave is announced.
+/// Periods during which a leave is announced.
 const LEAVE_ANNOUNCEMENT_PERIODS: u32 = 4;
 
 impl Member {
-    /// Begins to leave, and announces it to a few at once.
+    /// Begins to leave; the announcement is due at once.
     pub(super) fn leave(&mut self, now: Duration, actions: &mut Vec<Action>) {
         if !matches!(self.phase, Phase::Member | Phase::Joining) {
             return;
@@ -26,7 +26,7 @@
         self.next_join = now;
     }
 
-    /// Comes again as one that was never there.
+    /// Begins to join as a new generation.
     pub(super) fn begin_generation(
         &mut self,
         now: Duration,
@@ -43,8 +43,8 @@
         self.change_phase(now, Phase::Joining, evidence, actions);
     }
 
-    /// Another process has this name, in a generation that began later. A process that is only joining is the newer
-    /// one, and takes a later generation; one that is in the view gives way.
+    /// Handles a later generation of this member's name, which belongs to another process. A process that is still
+    /// joining is the newer of the two and takes a generation after that one; a process that is in the view yields.
     pub(super) fn resolve_name_conflict(
         &mut self,
         now: Duration,
@@ -58,7 +58,7 @@
             Phase::Joining => self.begin_generation(
                 now,
                 Generation(generation.0 + 1),
-                "its name was another generation's",
+                "its name was used by another generation",
                 actions,
             ),
             Phase::Member | Phase::Leaving => {
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Asks the seeds and some of the view to be taken in, or announces to some of the view that it leaves.
+    /// Asks the seeds and some members of the view for admission, or announces to some members that this one leaves.
     pub(super) fn announce(&mut self, now: Duration, actions: &mut Vec<Action>) {
         self.next_join = now + self.own.period.mul_f64(0.75 + self.random.draw() / 2.0);
         let leaves = self.phase == Phase::Leaving;
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Addresses of so many other members, drawn.
+    /// Addresses of at most `max` other members of the view, chosen at random.
     pub(super) fn random_members(&mut self, max: usize) -> Vec<SocketAddr> {
         let mut others: Vec<SocketAddr> =
             self.view.members.values().filter(|it| it.name != self.own.name).map(|it| it.address).collect();
@@ -98,8 +98,8 @@
         others
     }
 
-    /// Probes a seed that is not in the view: it may have bootstrapped another fleet during a cut, and the two are to
-    /// meet.
+    /// Probes a random seed that is not in the view: it may have bootstrapped another fleet during a network partition,
+    /// and the two fleets have to find each other.
     pub(super) fn probe_absent_seed(&mut self, actions: &mut Vec<Action>) {
         let absent = self.own.seeds.iter().filter(|(name, _)| !self.view.members.contains_key(*name));
         let absent: Vec<SocketAddr> = absent.map(|(_, address)| *address).collect();
@@ -109,10 +109,10 @@
         }
     }
 
-    /// Forgets joiners that have not been heard of for long.
+    /// Forgets joining processes about which no update was received for [`FORGET_AFTER_PERIODS`].
     pub(super) fn forget_joiners(&mut self, now: Duration) {
-        // All others of the view are peers: where there are no more peers than those, nobody is a joiner. Guards the cost
-        // of a period against the size of the view.
+        // All other members of the view are peers: without further peers nobody is joining. Skipping the scan then keeps
+        // the cost of a period independent of the view's size.
         if self.peers.len() < self.view.members.len() {
             return;
         }
--- a/src/fleet/member/mod.rs
+++ b/src/fleet/member/mod.rs
@@ -1,15 +1,18 @@
-//! One member: probes, suspicions, joins, and its part in deciding views. Pure: `handle(now, event)` on a scale of its
-//! own that never jumps, randomness by a seed, actions to be carried out.
+//! The state machine of one member: probes, suspicions, joins, and its votes on views. It does no I/O: the caller
+//! passes events with a monotonic time to [`Member::handle`] and carries out the returned actions. Random numbers come
+//! from a seed.
 //!
-//! - `probe`: each period the next member of a shuffled round is probed; where no answer comes, a few helpers probe it
-//!   too. Only where some of these answer, and none reached it, is it suspected: a member that nobody answers lowers its
-//!   own health instead.
-//! - `suspect`, `updates`, `dissemination`: a suspicion goes round with the name of its witness. It ends when its
-//!   member refutes it by a higher incarnation, or answers; or when its time is over, and then the member is lost here.
-//! - `agreement`, `install`, `fetch`: a member is gone when the next view is without it, and that is decided by a
-//!   majority of the view before, each of whom has an unrefuted suspicion of its own.
-//! - `bootstrap`, `join`, `identity`: the first view, coming and going, and one member over two processes.
-//! - `receive`, `send`: datagrams in and out.
+//! - `probe`: each protocol period the next member of a shuffled round is probed; without an ack a few helpers probe it
+//!   too. It is suspected only if helpers report back and none reached it; a member that receives no answer at all
+//!   lowers its own health instead.
+//! - `suspect`, `updates`, `dissemination`: a suspicion is disseminated with the name of its witness. It ends when the
+//!   suspected member refutes it by a higher incarnation or answers a probe; or it times out, and then this member
+//!   considers the suspected one faulty.
+//! - `agreement`, `install`, `fetch`: a faulty member is removed by the next view, which a majority of the present view
+//!   decides. Each voter in favour has an unrefuted suspicion of its own.
+//! - `bootstrap`, `join`, `identity`: the first view, joining and leaving, and handing a member over to the next
+//!   process.
+//! - `receive`, `send`: incoming and outgoing datagrams.
 
 mod agreement;
 mod bootstrap;
@@ -45,7 +48,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Members that are known of at once. Guards the memory against whoever invents names.
+/// Maximum number of known peers. Bounds the memory against a sender that invents names.
 pub const MAX_MEMBERS: usize = 4096;
 
 /// Counts since the start.
@@ -53,17 +56,17 @@
 pub struct Counters {
     /// Members probed.
     pub probes: u64,
-    /// Others asked for an indirect probe.
+    /// Indirect probes requested of helpers.
     pub indirect_probes: u64,
     /// Suspicions raised by this member.
     pub suspicions: u64,
-    /// Suspicions of this member that it contradicted.
+    /// Suspicions of this member that it refuted.
     pub refuted: u64,
-    /// Views entered.
+    /// Views installed.
     pub views: u64,
     /// Views proposed.
     pub proposals: u64,
-    /// Datagrams from another address than their sender's.
+    /// Datagrams dropped since they did not come from the known address of their sender.
     pub wrong_source: u64,
 }
 
@@ -72,20 +75,20 @@
     own: Parameters,
     random: Random,
     generation: Generation,
-    /// When it was made, on its own scale.
+    /// When it was created.
     created: Duration,
     incarnation: u32,
     phase: Phase,
     phase_since: Duration,
     view: View,
-    /// A view that can decide nothing any more, since most of its generations have ended.
+    /// The latest view that was given up, since a majority of its generations had ended and it could decide nothing.
     abandoned_view: ViewId,
-    /// The others. Once there is a view, everybody in it but this member is among them.
+    /// The known other members, by name. All others of the installed view are among them.
     peers: BTreeMap<String, Peer>,
     health: Health,
-    /// When anything of anybody came.
+    /// When a datagram of any peer was last received.
     last_received: Duration,
-    /// Members that are still to be probed in this round, the next one last.
+    /// Members still to be probed in this round, the next one last.
     round: Vec<String>,
     next_probe: Duration,
     probe: Option<Probe>,
@@ -96,11 +99,12 @@
     acceptor: Acceptor,
     proposal: Option<Proposal>,
     propose_at: Option<Duration>,
-    /// Peers changed since the view was last compared with them.
+    /// Peers have changed since the view was last compared with them, so that a proposal may be due.
     view_may_change: bool,
-    /// An update named a generation later than the view's.
+    /// A peer's generation has changed, or a view was installed, since the last check for a view that can decide
+    /// nothing.
     generations_changed: bool,
-    /// Names of all suspects, and of some that no longer are.
+    /// Names of all suspected peers, and possibly of some that no longer are.
     suspects: BTreeSet<String>,
     next_join: Duration,
     /// Counts since the start.
@@ -108,7 +112,7 @@
 }
 
 impl Member {
-    /// One that begins to join.
+    /// A member that begins to join.
     pub fn new(own: Parameters, now: Duration) -> Self {
         let mut random = Random::new(own.seed ^ own.generation.0);
         let drawn = own.period.mul_f64(random.draw());
@@ -145,7 +149,7 @@
         member
     }
 
-    /// Its phase.
+    /// Its present phase.
     pub fn phase(&self) -> Phase {
         self.phase
     }
@@ -155,12 +159,12 @@
         self.generation
     }
 
-    /// The view that it has; without a bootstrap there is none.
+    /// The installed view; `None` before the fleet is bootstrapped or joined.
     pub fn view(&self) -> Option<&View> {
         (self.view.id != ViewId::default()).then_some(&self.view)
     }
 
-    /// The others, by name.
+    /// The known other members, by name.
     pub fn peers(&self) -> &BTreeMap<String, Peer> {
         &self.peers
     }
@@ -170,7 +174,7 @@
         self.health.score()
     }
 
-    /// Whether it is, as far as it can tell, with a majority of its view.
+    /// Whether it is in contact with a majority of its view, as far as it can tell.
     pub fn is_quorate(&self, now: Duration) -> bool {
         let (_, max) = timeout_bounds(self.own.period, self.own.suspicion_periods, self.view.members.len());
         let faulty = |name: &&String| self.peers.get(*name).is_some_and(|peer| peer.faulty);
@@ -181,7 +185,7 @@
             && (alone || now.saturating_sub(self.last_received) < max)
     }
 
-    /// Takes what has happened, and adds what is to be done.
+    /// Handles an event, runs due timers, and appends the actions to carry out. `now` must not go backwards.
     pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
         if self.phase == Phase::Left {
             return;
@@ -195,7 +199,7 @@
         self.run_timers(now, actions);
     }
 
-    /// When it has something to do by itself.
+    /// When [`Event::Wake`] is next due.
     pub fn next_timer(&self) -> Option<Duration> {
         if matches!(self.phase, Phase::Superseded | Phase::Left) {
             return None;
@@ -209,7 +213,7 @@
         all.into_iter().flatten().min()
     }
 
-    /// Does what is due.
+    /// Runs all timers that are due.
     fn run_timers(&mut self, now: Duration, actions: &mut Vec<Action>) {
         self.expire_relayed(now, actions);
         self.expire_fetch(now);
@@ -231,7 +235,7 @@
         }
     }
 
-    /// Takes up another phase, and notes it.
+    /// Enters another phase, and notes it in the log.
     fn change_phase(&mut self, now: Duration, phase: Phase, evidence: &str, actions: &mut Vec<Action>) {
         if self.phase == phase {
             return;
@@ -249,7 +253,7 @@
         self.gossip.push(update, self.view.members.len());
     }
 
-    /// A number below this one, drawn evenly.
+    /// A uniformly distributed random number below this bound.
     fn draw(&mut self, below: usize) -> usize {
         ((self.random.draw() * below as f64) as usize).min(below.saturating_sub(1))
     }
--- a/src/fleet/member/parameters.rs
+++ b/src/fleet/member/parameters.rs
@@ -1,4 +1,4 @@
-//! Parameters of a member, fixed at its start.
+//! The parameters of a member.
 
 use crate::fleet::update::Generation;
 use std::collections::BTreeMap;
@@ -10,19 +10,19 @@
 pub struct Parameters {
     /// Its name.
     pub name: String,
-    /// Where the others reach it.
+    /// Address under which the other members reach it.
     pub address: SocketAddr,
     /// Its first generation: a Unix time in milliseconds.
     pub generation: Generation,
-    /// Members that bootstrap a fleet, a majority of them together, and that are asked for it at the start.
+    /// Members, by name, of which a majority bootstraps the fleet, and which a joining member asks for admission.
     pub seeds: BTreeMap<String, SocketAddr>,
-    /// One member is probed a period.
+    /// Protocol period: one member is probed per period.
     pub period: Duration,
-    /// How long an answer may take before helpers are asked for an indirect probe.
+    /// How long to wait for an ack before helpers are asked for indirect probes.
     pub ack_timeout: Duration,
-    /// How many helpers.
+    /// Number of helpers asked for an indirect probe.
     pub helpers: usize,
-    /// How long a suspicion lasts at least, in periods, in a fleet of ten.
+    /// Minimum suspicion timeout, in protocol periods, for a fleet of up to ten members.
     pub suspicion_periods: f64,
     /// Seed of its random numbers.
     pub seed: u64,
--- a/src/fleet/member/peer.rs
+++ b/src/fleet/member/peer.rs
@@ -1,30 +1,30 @@
-//! Another member, as it is known here.
+//! What this member knows about another one.
 
 use crate::fleet::suspicion::Suspicion;
 use crate::fleet::update::Update;
 use std::time::Duration;
 
-/// Another member, as it is known here.
+/// What this member knows about another one. Times are on this member's scale.
 #[derive(Clone, Debug)]
 pub struct Peer {
     /// The latest update about it.
     pub update: Update,
-    /// When a datagram of it last came.
+    /// When a datagram of it was last received.
     pub last_received: Option<Duration>,
-    /// When it answered a probe of this member.
+    /// When it last answered a probe of this member.
     pub last_ack: Option<Duration>,
-    /// When a helper last reached it, and which.
+    /// When a helper last reported that it answered an indirect probe, and the helper's name.
     pub last_indirect_ack: Option<(Duration, String)>,
-    /// A suspicion that nothing has refuted.
+    /// The unrefuted suspicion of it, if any.
     pub suspicion: Option<Suspicion>,
-    /// The suspicion has lasted its time.
+    /// The suspicion has timed out: this member considers it faulty.
     pub faulty: bool,
-    /// When it last asked to be taken in.
+    /// While it is not in the view: when an update about it was last received.
     pub(super) last_announced: Duration,
 }
 
 impl Peer {
-    /// One of which only this update is known.
+    /// A peer of which only this update is known.
     pub(super) fn new(update: Update, now: Duration) -> Self {
         Peer {
             update,
--- a/src/fleet/member/phase.rs
+++ b/src/fleet/member/phase.rs
@@ -1,22 +1,22 @@
-//! Which part a member takes in the fleet.
+//! The phases of a member.
 
-/// Its own part in the fleet.
+/// How this process takes part in the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// It asks to be taken in.
+    /// It asks to be admitted to the view.
     Joining,
-    /// It is in the view that it knows.
+    /// It is in its installed view.
     Member,
-    /// Another process has its name: it takes no part.
+    /// Another process uses its name in a later generation: this one has stopped taking part.
     Superseded,
-    /// It announces that it leaves.
+    /// It announces to the others that it leaves.
     Leaving,
     /// It has left.
     Left,
 }
 
 impl Phase {
-    /// Its name.
+    /// Its name in reports and logs.
     pub fn name(self) -> &'static str {
         match self {
             Phase::Joining => "joining",
--- a/src/fleet/member/probe.rs
+++ b/src/fleet/member/probe.rs
@@ -1,5 +1,5 @@
-//! Probes: each period the next member of a shuffled round is probed, directly and then through helpers, and what the
-//! silence of all of them means.
+//! Probes: each protocol period the next member of a shuffled round is probed, directly and then through helpers.
+//! Without any ack either the probed member is suspected, or this member's own health score is lowered.
 
 use super::{Action, Member};
 use crate::fleet::frame::Message;
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Indirect probes that are made for others at once. Guards the memory against whoever asks for more.
+/// Maximum number of concurrent indirect probes on behalf of others. Bounds the memory against a flood of requests.
 const MAX_RELAYED: usize = 256;
 
 /// The probe of this period.
@@ -15,14 +15,14 @@
     pub(super) number: u32,
     pub(super) name: String,
     pub(super) sent: Duration,
-    /// Helpers that were asked; 0: not yet.
+    /// Number of helpers asked; 0 if none has been asked yet.
     pub(super) asked: usize,
-    /// Helpers that answered.
+    /// Number of helpers that reported a result.
     pub(super) reports: usize,
     pub(super) answered: bool,
 }
 
-/// An indirect probe that is made for another member.
+/// An indirect probe that this member makes as a helper.
 pub(super) struct RelayedProbe {
     pub(super) number: u32,
     pub(super) until: Duration,
@@ -31,7 +31,7 @@
 }
 
 impl Member {
-    /// Does what is due of probes.
+    /// Asks helpers, and begins the next probe, when these are due.
     pub(super) fn run_probes(&mut self, now: Duration, actions: &mut Vec<Action>) {
         if self.next_indirect_probe().is_some_and(|at| at <= now) {
             self.ask_helpers(actions);
@@ -45,7 +45,7 @@
         }
     }
 
-    /// When helpers are asked about a probe that has no answer yet.
+    /// When helpers are asked to probe the member that has not answered yet.
     pub(super) fn next_indirect_probe(&self) -> Option<Duration> {
         let probe = self.probe.as_ref().filter(|probe| probe.asked == 0 && !probe.answered);
         probe.map(|probe| probe.sent + self.health.stretch(self.own.ack_timeout))
@@ -65,12 +65,12 @@
         self.counters.probes += 1;
         let number = self.last_number;
         self.probe = Some(Probe { number, name, sent: now, asked: 0, reports: 0, answered: false });
-        // A suspect learns of it at once, and can refute it.
+        // A suspected member is sent the suspicion with the probe, so that it can refute it at once.
         update.into_iter().for_each(|update| self.enqueue(update));
         self.send(address, Message::Ping(number), actions);
     }
 
-    /// Shuffles all others of the view.
+    /// Begins a round: all other members of the view in random order.
     fn begin_round(&mut self) {
         let others = self.view.members.keys().filter(|name| **name != self.own.name);
         let mut round: Vec<String> = others.cloned().collect();
@@ -81,7 +81,7 @@
         self.round = round;
     }
 
-    /// No answer came so far: helpers are asked for an indirect probe.
+    /// Asks random unsuspected members for indirect probes, since the probed member has not answered.
     fn ask_helpers(&mut self, actions: &mut Vec<Action>) {
         let Some(probe) = &self.probe else { return };
         let (number, name) = (probe.number, probe.name.clone());
@@ -100,12 +100,12 @@
         }
         self.counters.indirect_probes += asked as u64;
         if let Some(probe) = &mut self.probe {
-            // Where nobody else is there, nobody needs to be asked again.
+            // At least 1 also without any helper, so that helpers are not looked for again.
             probe.asked = asked.max(1);
         }
     }
 
-    /// Probes a member for another one that got no answer of it.
+    /// As a helper, probes a member on behalf of another one that received no ack from it.
     pub(super) fn relay_probe(
         &mut self,
         now: Duration,
@@ -121,7 +121,7 @@
         self.send(address, Message::Ping(number), actions);
     }
 
-    /// Reports indirect probes that were not answered in time.
+    /// As a helper, reports the indirect probes that were not answered in time.
     pub(super) fn expire_relayed(&mut self, now: Duration, actions: &mut Vec<Action>) {
         while let Some(at) = self.relayed.iter().position(|relayed| relayed.until <= now) {
             let relayed = self.relayed.swap_remove(at);
@@ -133,7 +133,7 @@
         }
     }
 
-    /// A probe was answered: this member's own, or one that it made for another.
+    /// Handles an ack: of this member's own probe, or of one that it made as a helper.
     pub(super) fn receive_ack(&mut self, now: Duration, number: u32, from: &str, actions: &mut Vec<Action>) {
         if let Some(at) = self.relayed.iter().position(|relayed| relayed.number == number) {
             let relayed = self.relayed.swap_remove(at);
@@ -153,10 +153,10 @@
         if let Some(peer) = self.peers.get_mut(from) {
             peer.last_ack = Some(now);
         }
-        self.clear_suspicion(from, "answered", actions);
+        self.clear_suspicion(from, "answered a probe", actions);
     }
 
-    /// A helper reports what came of an indirect probe.
+    /// Handles a helper's report on an indirect probe.
     pub(super) fn receive_indirect_result(
         &mut self,
         now: Duration,
@@ -174,19 +174,20 @@
             if let Some(peer) = self.peers.get_mut(&name) {
                 peer.last_indirect_ack = Some((now, by.to_string()));
             }
-            self.clear_suspicion(&name, "found by another", actions);
+            self.clear_suspicion(&name, "reached by a helper", actions);
         } else if all_reported {
-            // No helper reached it: the rest of the period would bring nothing more.
+            // No helper reached it: waiting for the rest of the period would not change that.
             self.conclude_probe(now, actions);
         }
     }
 
-    /// Ends the probe: without any answer its member is suspected, or this member lowers its own health.
+    /// Ends the present probe. Without an ack the probed member is suspected; if no helper reported either, this member
+    /// lowers its own health instead.
     fn conclude_probe(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let Some(probe) = self.probe.take().filter(|probe| !probe.answered) else { return };
         let no_helpers = self.view.members.len() <= 2;
         if probe.reports == 0 && !no_helpers {
-            // Nobody answered at all: it suspects itself first.
+            // No answer at all points to a problem of this member.
             return self.health.probe_unanswered();
         }
         let Some(peer) = self.peers.get(&probe.name) else { return };
--- a/src/fleet/member/receive.rs
+++ b/src/fleet/member/receive.rs
@@ -1,4 +1,4 @@
-//! Incoming datagrams: whether one is its sender's at all, and which part of the member its message is for.
+//! Incoming datagrams: checks that one comes from its sender's address, and dispatches its message.
 
 use super::{Action, Member, Phase};
 use crate::fleet::frame::{Frame, Message};
@@ -12,14 +12,14 @@
 pub(super) struct Sender<'a> {
     pub(super) name: &'a str,
     pub(super) generation: Generation,
-    /// The view that it has.
+    /// The view that it has installed.
     pub(super) view: ViewId,
-    /// Where it came from.
+    /// The source address of the datagram.
     pub(super) address: SocketAddr,
 }
 
 impl Member {
-    /// Takes a datagram: checks its sender, then applies its updates, then its message.
+    /// Handles a datagram: checks its sender, applies its updates, then handles its message.
     pub(super) fn receive(
         &mut self,
         now: Duration,
@@ -29,11 +29,11 @@
     ) {
         let Frame { from, generation, view, message, updates } = frame;
         if from == self.own.name {
-            // Somebody has this name, or a datagram of this member came back.
+            // Another process uses this name, or a datagram of this member was sent back.
             return self.resolve_name_conflict(now, generation, actions);
         }
         let sender = Sender { name: &from, generation, view, address: source };
-        // Guards the members against whoever speaks in their name from elsewhere.
+        // Rejects datagrams that claim a member's name but come from another address.
         if self.known_address(sender, &updates) != Some(source) {
             self.counters.wrong_source += 1;
             return;
@@ -54,8 +54,8 @@
         self.dispatch(now, sender, message, actions);
     }
 
-    /// The address that a sender must have: as known of this generation or a later one, else by its own update, else by
-    /// the view.
+    /// The address that a sender must have: the known one of this generation or a later one, else the one in its own
+    /// update, else the one in the view.
     fn known_address(&self, sender: Sender, updates: &[Update]) -> Option<SocketAddr> {
         let known = self.peers.get(sender.name).filter(|peer| peer.update.generation >= sender.generation);
         let introduces =
@@ -64,7 +64,7 @@
         known.map(|peer| peer.update.address).or(introduces.map(|it| it.address)).or(listed)
     }
 
-    /// Hands a message to the part of the member that it is for.
+    /// Dispatches a message to its handler.
     fn dispatch(&mut self, now: Duration, sender: Sender, message: Message, actions: &mut Vec<Action>) {
         match message {
             Message::Ping(number) => self.send(sender.address, Message::Ack(number), actions),
@@ -80,7 +80,7 @@
                 self.begin_generation(
                     now,
                     Generation(theirs.0 + 1),
-                    "its name was another generation's",
+                    "its name was used by another generation",
                     actions,
                 );
             }
@@ -105,14 +105,14 @@
         }
     }
 
-    /// Answers a joiner: its name is held, or the head of the answer shows it which view there is.
+    /// Answers a joining process: its name is in use, or an ack, whose header names the present view.
     fn answer_join(&mut self, sender: Sender, actions: &mut Vec<Action>) {
         let listed = self.view.members.get(sender.name);
-        let held = listed.filter(|listed| {
+        let taken = listed.filter(|listed| {
             listed.generation > sender.generation
                 || (listed.generation == sender.generation && listed.address != sender.address)
         });
-        let answer = match held.map(|listed| listed.generation) {
+        let answer = match taken.map(|listed| listed.generation) {
             Some(generation) if self.view.id != ViewId::default() => Message::NameTaken(generation),
             _ => Message::Ack(0),
         };
--- a/src/fleet/member/send.rs
+++ b/src/fleet/member/send.rs
@@ -6,10 +6,10 @@
 use std::net::SocketAddr;
 
 impl Member {
-    /// Sends a message, with updates where they fit.
+    /// Sends a message; probe messages carry queued updates.
     pub(super) fn send(&mut self, to: SocketAddr, message: Message, actions: &mut Vec<Action>) {
         let updates = match message {
-            // A receiver that does not know this view yet learns who sends.
+            // The own update identifies the sender to a receiver that does not have this view yet.
             Message::Ping(_) => [vec![self.own_update()], self.gossip.next_batch()].concat(),
             Message::Ack(_) | Message::IndirectProbe { .. } | Message::IndirectResult { .. } => {
                 self.gossip.next_batch()
--- a/src/fleet/member/suspect.rs
+++ b/src/fleet/member/suspect.rs
@@ -1,15 +1,15 @@
-//! Suspicions of others: how one begins, how it ends, and what this member's own lateness takes off it.
+//! Suspicions of other members: how they begin and end, and how a delay of this process affects them.
 
 use super::{Action, Member};
 use crate::fleet::suspicion::Suspicion;
 use crate::fleet::update::{MemberState, Update};
 use std::time::Duration;
 
-/// Members that probe a suspect of another's themselves, in the mean.
+/// Mean number of members that probe a suspect themselves after they received another member's suspicion.
 const INDEPENDENT_PROBERS: f64 = 8.0;
 
 impl Member {
-    /// A witness suspects a member.
+    /// Records a suspicion of a member, or a further witness of it, and disseminates it.
     pub(super) fn suspect(&mut self, now: Duration, update: &Update, actions: &mut Vec<Action>) {
         let MemberState::Suspect { by } = &update.state else { return };
         let Some(peer) = self.peers.get_mut(&update.name) else { return };
@@ -27,7 +27,7 @@
         }
         self.suspects.insert(update.name.clone());
         self.enqueue(update.clone());
-        // A few probe it soon themselves: they reach it, or are independent witnesses.
+        // A few members probe the suspect next: they either reach it or become independent witnesses.
         let name = update.name.clone();
         if *by != self.own.name && self.random.draw() * (self.view.members.len() as f64) < INDEPENDENT_PROBERS
         {
@@ -36,7 +36,7 @@
         }
     }
 
-    /// A member was reached: this member's suspicion of it ends.
+    /// Ends this member's suspicion of a member that was reached.
     pub(super) fn clear_suspicion(&mut self, name: &str, evidence: &str, actions: &mut Vec<Action>) {
         let Some(peer) = self.peers.get_mut(name) else { return };
         if peer.suspicion.take().is_some() {
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Members whose suspicion has lasted its time are lost here.
+    /// Considers members faulty whose suspicion has timed out.
     pub(super) fn expire_suspicions(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let (period, suspicion_periods) = (self.own.period, self.own.suspicion_periods);
         let members = self.view.members.len();
@@ -65,7 +65,7 @@
         });
     }
 
-    /// When the first suspicion expires, if nothing refutes it.
+    /// When the next suspicion times out, unless it is refuted.
     pub(super) fn next_expiry(&self) -> Option<Duration> {
         let suspected = self.suspects.iter().filter_map(|name| self.peers.get(name));
         let suspicions = suspected.filter(|peer| !peer.faulty).filter_map(|peer| peer.suspicion.as_ref());
@@ -75,7 +75,7 @@
             .min()
     }
 
-    /// Drops all suspicions: those of a time in which it was not with most of the others say nothing about them.
+    /// Drops all suspicions: those from a time without contact to a majority say nothing about the other members.
     pub(super) fn drop_suspicions(&mut self) {
         self.suspects.clear();
         self.gossip.retain(|update| !matches!(update.state, MemberState::Suspect { .. }));
@@ -84,10 +84,10 @@
         }
     }
 
-    /// This member's process was kept from its work for so long.
+    /// Accounts for a delay of this process by this much.
     pub(super) fn record_delay(&mut self, now: Duration, by: Duration) {
         self.health.record_delay();
-        // It received nothing meanwhile: what it missed counts against nobody, and suspicions have not aged.
+        // It could not receive answers meanwhile: probes of that time are void, and suspicions have not aged.
         self.last_received += by;
         for suspicion in self.peers.values_mut().filter_map(|peer| peer.suspicion.as_mut()) {
             suspicion.since = (suspicion.since + by).min(now);
--- a/src/fleet/member/tests.rs
+++ b/src/fleet/member/tests.rs
@@ -9,7 +9,7 @@
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-/// A member that is the only seed, and has bootstrapped a fleet of itself.
+/// A member that is the only seed and has bootstrapped a fleet of one.
 fn alone() -> (Member, Duration) {
     let parameters = Parameters {
         name: "a".into(),
@@ -28,7 +28,7 @@
     (member, now)
 }
 
-/// Wakes a member whenever it has something to do, until a time.
+/// Wakes a member whenever a timer is due, until a time.
 fn run(member: &mut Member, from: Duration, until: Duration) -> Duration {
     let mut now = from;
     while let Some(at) = member.next_timer().filter(|at| *at <= until) {
@@ -48,18 +48,18 @@
 }
 
 #[test]
-fn who_is_not_in_the_view_is_forgotten_after_a_silence_and_members_are_not() {
+fn a_silent_process_outside_the_view_is_forgotten_and_a_silent_member_is_kept() {
     let (mut member, now) = alone();
     member.handle(now, datagram("b", 2, MemberState::Joining), &mut Vec::new());
     let now = run(&mut member, now, now + 4 * PERIOD);
-    assert_eq!(member.view().unwrap().members.len(), 2, "b was taken in");
-    // It announces that it leaves before it was ever a member: it is not taken in.
+    assert_eq!(member.view().unwrap().members.len(), 2, "b has joined");
+    // It announces a leave before it was ever a member: it is not admitted.
     member.handle(now, datagram("c", 3, MemberState::Leaving), &mut Vec::new());
     let now = run(&mut member, now, now + 8 * PERIOD);
-    assert!(member.peers().contains_key("c"), "it may still be heard of");
+    assert!(member.peers().contains_key("c"), "not forgotten yet");
     run(&mut member, now, now + 8 * PERIOD);
     assert!(!member.peers().contains_key("c"));
-    assert!(member.peers().contains_key("b"), "its silence alone takes nobody out");
+    assert!(member.peers().contains_key("b"), "silence alone removes no member");
 }
 
 /// Operators' programs read them.
--- a/src/fleet/member/updates.rs
+++ b/src/fleet/member/updates.rs
@@ -1,4 +1,4 @@
-//! Incoming updates: about other members, and about this one.
+//! Incoming updates about other members and about this one.
 
 use super::{Action, Member, Peer, Phase, MAX_MEMBERS};
 use crate::fleet::frame::Message;
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 impl Member {
-    /// Takes an update.
+    /// Applies a received update.
     pub(super) fn receive_update(&mut self, now: Duration, update: Update, actions: &mut Vec<Action>) {
         if update.name == self.own.name {
             return self.receive_own_update(now, &update, actions);
@@ -14,7 +14,7 @@
         let in_view =
             self.view.members.get(&update.name).is_some_and(|listed| listed.generation == update.generation);
         let suspected = matches!(update.state, MemberState::Suspect { .. });
-        // An update of a generation that has ended, or a suspicion of one that has not joined, changes nothing.
+        // Ignores updates of a generation that has ended, and suspicions of one that has not joined.
         if self.has_ended(&update) || (suspected && !in_view) {
             return;
         }
@@ -22,7 +22,7 @@
             return self.add_peer(now, update, actions);
         };
         if !in_view && update.generation >= peer.update.generation {
-            // It still asks to be taken in.
+            // It still asks to join.
             peer.last_announced = now;
         }
         if update.replaces(&peer.update) {
@@ -35,13 +35,13 @@
         }
     }
 
-    /// Whether an update is of a generation that a view has ended, or that a later one of its name replaced.
+    /// Whether an update is of a generation that a view has removed, or that a later one has replaced in the view.
     fn has_ended(&self, update: &Update) -> bool {
         self.view.members.get(&update.name).is_some_and(|listed| listed.generation > update.generation)
             || self.view.ended.get(&update.name).is_some_and(|generation| *generation >= update.generation)
     }
 
-    /// A member is heard of for the first time.
+    /// Adds a peer that was not known yet.
     fn add_peer(&mut self, now: Duration, update: Update, actions: &mut Vec<Action>) {
         if self.peers.len() >= MAX_MEMBERS {
             return;
@@ -54,11 +54,11 @@
         }
     }
 
-    /// An update takes the place of what was known of its member.
+    /// Applies an update that overrides the known one.
     fn replace(&mut self, now: Duration, update: Update, actions: &mut Vec<Action>) {
         let Some(peer) = self.peers.get_mut(&update.name) else { return };
         let another = update.generation != peer.update.generation;
-        // Guards a member against forged moves: one generation has one address.
+        // Within a generation the address stays, so that a forged update cannot redirect a member's datagrams.
         let address = if another { update.address } else { peer.update.address };
         let update = Update { address, ..update };
         if another {
@@ -77,7 +77,8 @@
         self.enqueue(update);
     }
 
-    /// An update about this member: a suspicion is refuted, and a later generation of its name is another process.
+    /// Handles an update about this member: refutes a suspicion, and detects another process with the same name by its
+    /// later generation.
     fn receive_own_update(&mut self, now: Duration, update: &Update, actions: &mut Vec<Action>) {
         if update.generation > self.generation {
             return self.resolve_name_conflict(now, update.generation, actions);
@@ -92,13 +93,13 @@
         }
     }
 
-    /// Refutes a suspicion of this incarnation by a higher one.
+    /// Refutes a suspicion of this incarnation with a higher one.
     fn refute(&mut self, incarnation: u32, actions: &mut Vec<Action>) {
         self.incarnation = incarnation + 1;
         self.counters.refuted += 1;
         let update = self.own_update();
         self.enqueue(update);
-        // A few get it at once: a member that was late probes seldom, and the refutation must not wait for that.
+        // Sends it to a few members at once: a member of bad health probes rarely, and the refutation must not wait.
         for to in self.random_members(self.own.helpers) {
             self.send(to, Message::Ping(0), actions);
         }
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -1,12 +1,23 @@
-//! Membership among initiators: who is there, who is gone, and how sure we are. Members probe each other, directly and
-//! through helpers, suspect themselves before they suspect another, and agree by majority on numbered views: SWIM with
-//! the extensions of Lifeguard, and one decision of Paxos a view.
+//! Membership among initiators: which initiators are in the fleet, and which have failed or left.
 //!
-//! From below: [`update`] is what is disseminated about a member, [`view`] how a view is decided, [`frame`] the
-//! messages, [`health`] how far a member relies on its own observations, [`suspicion`] how long a suspicion lasts,
-//! [`member`] all of one member; none of these does I/O or reads a clock. [`settings`] is the file, [`traffic`] counts
-//! datagrams, [`report`] is what operators see, [`speaker`] the socket. Each imports only what stands before it.
-//! docs/fleet.md says why it is built so.
+//! Failure detection is SWIM with the extensions of Lifeguard: members probe each other directly and through helpers,
+//! and a member that receives no answers at all lowers its own health score before it suspects another. The set of
+//! members is a numbered view; the members of each view choose the next one by majority, with one Paxos instance.
+//!
+//! Modules, each of which imports only those before it:
+//!
+//! - [`update`]: the state of a member as it is disseminated,
+//! - [`view`]: views, and the Paxos roles that decide them,
+//! - [`frame`]: the datagrams,
+//! - [`health`]: the local health score of Lifeguard,
+//! - [`suspicion`]: how long a suspicion lasts,
+//! - [`member`]: the state machine of one member,
+//! - [`settings`]: the settings file,
+//! - [`traffic`]: counters of datagrams,
+//! - [`report`]: what operators see,
+//! - [`speaker`]: the UDP socket that drives a member.
+//!
+//! Those up to [`member`] do no I/O and read no clock. docs/fleet.md gives the reasons for this design.
 
 pub mod frame;
 pub mod health;
--- a/src/fleet/report.rs
+++ b/src/fleet/report.rs
@@ -1,4 +1,4 @@
-//! What operators see of the fleet: `INFO FLEET` as JSON, and a few lines of `INFO`.
+//! The fleet as operators see it: `INFO FLEET` as JSON, and a few rows of `INFO`.
 
 use super::member::{Member, Peer};
 use super::traffic::Traffic;
@@ -6,7 +6,7 @@
 use serde_json::json;
 use std::time::Duration;
 
-/// How another member stands, by all that is known here.
+/// The state of another member, as far as this one knows.
 fn peer_state(member: &Member, name: &str, peer: &Peer) -> &'static str {
     let listed = member.view().and_then(|view| view.members.get(name));
     match () {
@@ -18,7 +18,7 @@
     }
 }
 
-/// Lines and JSON of a member at this time of its own scale. Ages are in milliseconds.
+/// The rows of `INFO` and the JSON of `INFO FLEET` for a member, at a time on its own scale. Ages are in milliseconds.
 pub fn render(member: &Member, traffic: Traffic, now: Duration) -> (String, String) {
     let age = |at: Option<Duration>| at.map(|at| now.saturating_sub(at).as_millis() as u64);
     let peers = member.peers().iter().map(|(name, peer)| {
--- a/src/fleet/settings.rs
+++ b/src/fleet/settings.rs
@@ -1,5 +1,5 @@
-//! `deploy/fleet.toml`: an initiator's part in a fleet. Checked whole; each error is one line that names the key and
-//! what is allowed.
+//! The settings file `deploy/fleet.toml`: whether this initiator is a member of a fleet, and its parameters there. All
+//! values are checked when the file is read; an error is one line that names the key and the allowed values.
 
 use super::member::Parameters;
 use super::update::{Generation, MAX_NAME_BYTES};
@@ -8,33 +8,33 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Most seeds that may be given.
+/// Maximum number of seeds.
 const MAX_SEEDS: usize = 16;
-/// Periods may be so long, in milliseconds.
+/// Allowed protocol periods, in milliseconds.
 const PERIOD_RANGE_MS: std::ops::RangeInclusive<u64> = 20..=60_000;
-/// An answer may take such a part of a period: helpers answer within the rest.
+/// The protocol period is at least this many times the ack timeout: the rest of it is left for indirect probes.
 const MIN_PERIOD_PER_ANSWER: u64 = 3;
 
-/// Everything that the file says, under its names.
+/// The values of the file, checked.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The fleet's name.
+    /// Name of the fleet.
     pub fleet: String,
-    /// This member's.
+    /// Name of this member.
     pub name: String,
-    /// Where it listens.
+    /// Local UDP address that it binds.
     pub address: SocketAddr,
-    /// Where the others reach it.
+    /// Address under which the other members reach it.
     pub advertise: SocketAddr,
-    /// Members by which a fleet may be bootstrapped.
+    /// Members, by name, that may bootstrap the fleet; the same on all members.
     pub seeds: BTreeMap<String, SocketAddr>,
-    /// One member is probed a period.
+    /// Protocol period: each member probes one other per period.
     pub period: Duration,
-    /// How long an answer may take before helpers are asked for an indirect probe.
+    /// How long to wait for an ack before helpers are asked for indirect probes.
     pub ack_timeout: Duration,
-    /// How many helpers.
+    /// Number of helpers asked for an indirect probe.
     pub helpers: usize,
-    /// How long a suspicion lasts at least, in periods, in a fleet of ten.
+    /// Minimum suspicion timeout, in protocol periods, for a fleet of up to ten members.
     pub suspicion_periods: f64,
 }
 
@@ -52,9 +52,11 @@
     period_ms: u64,
     #[serde(default = "answer_ms")]
     answer_ms: u64,
-    #[serde(rename = "lookers", default = "helpers")]
+    #[serde(rename = "lookers")]
+    #[serde(default = "helpers")]
     helpers: usize,
-    #[serde(rename = "doubt_periods", default = "suspicion_periods")]
+    #[serde(rename = "doubt_periods")]
+    #[serde(default = "suspicion_periods")]
     suspicion_periods: f64,
 }
 
@@ -82,7 +84,7 @@
 }
 
 impl Settings {
-    /// Reads the text of `deploy/fleet.toml` or its like: nothing where it is switched off.
+    /// Parses and checks the text of a fleet settings file; `None` if it has `enabled = false`.
     pub fn parse(text: &str) -> Result<Option<Settings>, String> {
         let file: File = toml::from_str(text).map_err(|error| error.message().replace('\n', " "))?;
         let named = |key: &str, name: &str| match name.len() {
@@ -115,15 +117,18 @@
         for Seed { name, address } in file.seed {
             named("seed.name", &name)?;
             if seeds.insert(name.clone(), address).is_some() {
-                return Err(format!("seed.name: {name:?} is there twice"));
+                return Err(format!("seed.name: {name:?} is listed twice"));
             }
         }
         let advertise = file.advertise.unwrap_or(file.address);
         if advertise.ip().is_unspecified() || advertise.port() == 0 {
-            return Err("advertise: an address is needed that the others reach".into());
+            return Err("advertise: an address that the other members can reach is required".into());
         }
         if seeds.get(&file.name).is_some_and(|address| *address != advertise) {
-            return Err(format!("seed: {:?} is this member, and has another address", file.name));
+            return Err(format!(
+                "seed: {:?} is this member, but its address differs from this member's",
+                file.name
+            ));
         }
         Ok(file.enabled.then_some(Settings {
             fleet: file.fleet,
@@ -138,7 +143,7 @@
         }))
     }
 
-    /// For a member whose generation begins at this Unix time.
+    /// Parameters of a member whose generation begins at this Unix time; `seed` initializes its random numbers.
     pub fn parameters(&self, unix: Duration, seed: u64) -> Parameters {
         Parameters {
             name: self.name.clone(),
--- a/src/fleet/settings/tests.rs
+++ b/src/fleet/settings/tests.rs
@@ -3,14 +3,14 @@
 const SHIPPED: &str = include_str!("../../../deploy/fleet.toml");
 
 #[test]
-fn the_shipped_file_is_off_and_sound() {
+fn the_shipped_file_is_valid_and_disabled() {
     assert_eq!(Settings::parse(SHIPPED), Ok(None));
     let on = Settings::parse(&SHIPPED.replace("enabled = false", "enabled = true")).unwrap().unwrap();
     assert_eq!((on.seeds.len(), on.advertise), (3, on.address));
 }
 
 #[test]
-fn each_error_is_one_line_that_names_its_key() {
+fn each_error_is_one_line_that_names_the_key() {
     for (from, to, key) in [
         ("fleet = \"lights\"", "fleet = \"\"", "fleet"),
         ("period_ms = 500", "period_ms = 1", "period_ms"),
--- a/src/fleet/speaker.rs
+++ b/src/fleet/speaker.rs
@@ -1,4 +1,5 @@
-//! The socket of a member: carries its frames over UDP, and hands it its own lateness before anything that came.
+//! Drives a member over UDP: passes received frames and due timers to it, and sends its frames. A delay of the process
+//! is reported to the member before the datagrams that arrived meanwhile.
 
 use super::frame::{tag, Frame, MAX_DATAGRAM_BYTES};
 use super::member::{Action, Event, Identity, Member};
@@ -10,23 +11,24 @@
 use std::io::ErrorKind;
 use std::time::{Duration, Instant};
 
-/// The name of its report.
+/// Name of the report in `INFO`.
 pub const REPORT: &str = "fleet";
-/// Datagrams read in one turn of the loop. Guards requests against a flood; the kernel drops what is too much.
+/// Maximum number of datagrams read in one iteration of the event loop, so that a flood does not delay requests. The
+/// kernel drops what exceeds its buffer.
 const MAX_READS_PER_POLL: usize = 64;
-/// Least time between two reports, for each [`PEERS_PER_REPORT_INTERVAL`] peers.
+/// Minimum time between two reports, for each [`PEERS_PER_REPORT_INTERVAL`] peers.
 const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(100);
-/// Peers that a report of [`MIN_REPORT_INTERVAL`] may have: larger ones are made more seldom.
+/// Number of peers for which the time between reports grows by [`MIN_REPORT_INTERVAL`], since larger reports cost more.
 const PEERS_PER_REPORT_INTERVAL: u32 = 64;
 
-/// A member with its socket.
+/// A member with its UDP socket.
 pub struct Driver {
     socket: UdpSocket,
     member: Member,
     tag: u64,
-    /// Where the member's scale of time begins.
+    /// The zero of the member's scale of time.
     origin: Instant,
-    /// Late by more than this it may not have heard an answer.
+    /// A delay longer than this is reported to the member, since it may have missed an ack.
     max_lateness: Duration,
     readable: bool,
     traffic: Traffic,
@@ -34,7 +36,8 @@
 }
 
 impl Driver {
-    /// Binds its address and begins to join, or goes on in the place of the process before.
+    /// Binds the address and begins to join, or resumes the member of the preceding process. `unix` is the present Unix
+    /// time, `seed` that of the random numbers. Fails if the address cannot be bound.
     pub fn start(
         settings: &Settings,
         (unix, seed): (Duration, u64),
@@ -65,12 +68,12 @@
         })
     }
 
-    /// Datagrams wait.
+    /// The socket has become readable.
     pub fn set_readable(&mut self) {
         self.readable = true;
     }
 
-    /// When [`Speaker::turn`] has something to do.
+    /// When [`Driver::poll`] is to be called next.
     pub fn next_timer(&self, now: Instant) -> Option<Instant> {
         if self.readable {
             return Some(now);
@@ -78,7 +81,7 @@
         self.member.next_timer().map(|at| self.origin + at)
     }
 
-    /// One turn of the loop, which came late by so much: takes what came and does what is due.
+    /// One iteration of the event loop, which was delayed by `late`: handles received datagrams and due timers.
     pub fn poll(&mut self, now: Instant, late: Duration) {
         let at = now.saturating_duration_since(self.origin);
         let mut actions = Vec::new();
@@ -86,8 +89,8 @@
             self.member.handle(at, Event::Delayed(late), &mut actions);
         }
         self.read(at, &mut actions);
-        // What has come is heard before what is due: an answer may lie there that a suspicion waits for. A flood holds
-        // that up for as long as an answer may take, and no longer.
+        // Received datagrams are handled before due timers: an ack among them may end a suspicion. A flood delays the
+        // timers by at most the ack timeout.
         let wait = if self.readable { self.max_lateness } else { Duration::ZERO };
         if self.member.next_timer().is_some_and(|due| due + wait <= at) {
             self.member.handle(at, Event::Wake, &mut actions);
@@ -95,13 +98,13 @@
         self.carry_out(actions);
     }
 
-    /// Sends nothing from now on, and gives what the next process of this member goes on from: one of them sends at a
-    /// time.
+    /// Closes the socket and returns the state from which the next process resumes this member: only one of the two
+    /// processes sends.
     pub fn hand_over(self) -> Identity {
         self.member.identity()
     }
 
-    /// Announces to the others that this member leaves.
+    /// Begins to leave and announces it to the others.
     pub fn leave(&mut self, now: Instant) {
         let mut actions = Vec::new();
         self.member.handle(now.saturating_duration_since(self.origin), Event::Leave, &mut actions);
@@ -118,7 +121,7 @@
                         Ok(frame) => self.member.handle(at, Event::Frame(Box::new(frame), from), actions),
                         Err(why) => {
                             self.traffic.unreadable += 1;
-                            tracing::debug!(%from, "fleet: passed over: {why}");
+                            tracing::debug!(%from, "fleet: dropped a datagram: {why}");
                         }
                     }
                 }
@@ -126,7 +129,7 @@
                     self.readable = false;
                     return;
                 }
-                // A peer that is not there is reported by the system as an error of this socket.
+                // The kernel reports an unreachable peer as an error of this socket.
                 Err(error) => tracing::debug!("fleet: {error}"),
             }
         }
@@ -150,7 +153,7 @@
         }
     }
 
-    /// Its report, as lines and as JSON, where one is due.
+    /// The member's report as rows of `INFO` and as JSON, if one is due.
     pub fn due_report(&mut self, now: Instant) -> Option<(String, String)> {
         let pause = MIN_REPORT_INTERVAL * (1 + self.member.peers().len() as u32 / PEERS_PER_REPORT_INTERVAL);
         if self.reported.is_some_and(|at| now - at < pause) {
--- a/src/fleet/suspicion.rs
+++ b/src/fleet/suspicion.rs
@@ -1,13 +1,15 @@
-//! How long a suspicion lasts before the one who has it holds the member for lost. It grows with the size of the fleet,
-//! in which updates take longer, and shrinks with witnesses of their own.
+//! The suspicion timeout of Lifeguard: how long a suspicion lasts before the suspected member is considered faulty. It
+//! grows with the logarithm of the fleet's size, since updates take longer to reach everybody, and shrinks with each
+//! further independent witness.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Witnesses beyond the first that shorten it to the least.
+/// Further independent witnesses after which the timeout is at its minimum.
 const MAX_FURTHER_WITNESSES: usize = 3;
 
-/// The least and the longest that a suspicion lasts in a fleet of so many, where periods are so long.
+/// Minimum and maximum of the suspicion timeout in a fleet of this many members, with this protocol period.
+/// `suspicion_periods` is the minimum for a fleet of up to ten, in periods.
 pub fn timeout_bounds(period: Duration, suspicion_periods: f64, members: usize) -> (Duration, Duration) {
     let scale = (members.max(2) as f64).log10().max(1.0);
     let min = period.mul_f64(suspicion_periods * scale);
@@ -17,20 +19,21 @@
 /// A suspicion of one member.
 #[derive(Clone, Debug)]
 pub struct Suspicion {
-    /// Since when.
+    /// When it began.
     pub since: Duration,
-    /// Who has it.
+    /// Names of the members that suspect it from probes of their own.
     pub witnesses: BTreeSet<String>,
 }
 
 impl Suspicion {
-    /// One that begins now.
+    /// A suspicion that begins now with one witness.
     pub fn new(now: Duration, witness: &str) -> Self {
         Suspicion { since: now, witnesses: BTreeSet::from([witness.to_string()]) }
     }
 
-    /// When it is over, in a fleet of so many: the first witness counts least, and each further one that was not asked
-    /// by another brings it nearer to the least. Where there cannot be more, it is the least at once.
+    /// When the suspected member is considered faulty, in a fleet of this many members. With a single witness the
+    /// timeout is the maximum; each further independent witness brings it logarithmically nearer to the minimum. In a
+    /// fleet too small for a further witness it is the minimum at once.
     pub fn expires(&self, period: Duration, suspicion_periods: f64, members: usize) -> Duration {
         let (min, max) = timeout_bounds(period, suspicion_periods, members);
         let needed = MAX_FURTHER_WITNESSES.min(members.saturating_sub(3));
--- a/src/fleet/suspicion/tests.rs
+++ b/src/fleet/suspicion/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_suspicion_lasts_longer_in_a_large_fleet_and_shorter_with_witnesses() {
+fn the_timeout_grows_with_the_fleet_and_shrinks_with_witnesses_down_to_the_minimum() {
     let (period, start) = (Duration::from_secs(1), Duration::from_secs(10));
     let mut suspicion = Suspicion::new(start, "a");
     let mut last = suspicion.expires(period, 2.0, 50) - start;
@@ -14,7 +14,7 @@
     }
     assert_eq!(last, timeout_bounds(period, 2.0, 50).0);
     suspicion.witnesses.insert("e".into());
-    assert_eq!(suspicion.expires(period, 2.0, 50) - start, last, "never sooner than the least");
+    assert_eq!(suspicion.expires(period, 2.0, 50) - start, last, "never below the minimum");
     assert_eq!(Suspicion::new(start, "a").expires(period, 2.0, 3) - start, timeout_bounds(period, 2.0, 3).0);
     assert!(timeout_bounds(period, 2.0, 3000).0 > timeout_bounds(period, 2.0, 50).0);
 }
--- a/src/fleet/traffic.rs
+++ b/src/fleet/traffic.rs
@@ -1,16 +1,16 @@
-//! Datagrams and bytes of a member's socket, counted since the start.
+//! Counters of the datagrams and bytes at a member's socket.
 
-/// What came and went.
+/// Datagrams and bytes received and sent since the start.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Traffic {
-    /// Datagrams that came, readable or not.
+    /// Datagrams received, valid or not.
     pub datagrams_in: u64,
-    /// Datagrams that went out.
+    /// Datagrams sent.
     pub datagrams_out: u64,
-    /// Bytes of those, without heads of UDP and IP.
+    /// Payload bytes of the sent datagrams, without UDP and IP headers.
     pub bytes_out: u64,
-    /// Datagrams that came and were passed over whole.
+    /// Datagrams received and dropped since they were not valid.
     pub unreadable: u64,
-    /// Datagrams that the system did not take.
+    /// Datagrams that the kernel refused to send.
     pub not_sent: u64,
 }
--- a/src/fleet/update.rs
+++ b/src/fleet/update.rs
@@ -1,52 +1,53 @@
-//! What is disseminated about a member: its name, its generation, where it is, and its state. Later updates replace
-//! earlier ones.
+//! Updates: the name, generation, address and state of a member, as disseminated by piggybacking. A later update
+//! replaces an earlier one.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// A name is not longer.
+/// Maximum length of a name.
 pub const MAX_NAME_BYTES: usize = 32;
 
-/// One run of a process under a name. A process that starts again is another generation, and no generation ends twice:
-/// whoever was taken out of a view and still runs joins as a new one.
+/// Identifies one membership under a name; initially the Unix time in milliseconds when the process started. A
+/// restarted process has a later generation, and so has a process that was removed from the view while still running
+/// and joins again: a removed generation never comes back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
 pub struct Generation(pub u64);
 
-/// The state of a member, as somebody states it.
+/// The state of a member, as an update claims it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MemberState {
-    /// It asks to be taken into the view.
+    /// It asks to be admitted to the view.
     Joining,
-    /// It is there.
+    /// It is in the view and not suspected.
     Alive,
-    /// It gave no answer to this witness.
+    /// It did not answer a probe of the named member.
     Suspect {
-        /// Whose suspicion it is.
+        /// The witness: the member that raised this suspicion.
         by: String,
     },
-    /// It leaves, as it announced itself.
+    /// It has announced that it leaves.
     Leaving,
 }
 
 /// One update about a member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Update {
-    /// Its name.
+    /// Name of the member that the update is about.
     pub name: String,
     /// Where it receives datagrams.
     pub address: SocketAddr,
     /// Its generation.
     pub generation: Generation,
-    /// Grows each time that it contradicts a suspicion.
+    /// Incremented by the member itself each time that it refutes a suspicion.
     pub incarnation: u32,
     /// Its state.
     pub state: MemberState,
 }
 
 impl Update {
-    /// Whether this is news to somebody who knows the other. Guards against old updates that come late or twice: within
-    /// a generation a suspicion beats the incarnation it was raised against, a higher incarnation beats the suspicion,
-    /// and leaving is final.
+    /// Whether this update overrides `known`, so that delayed and duplicated updates have no effect. A later generation
+    /// overrides an earlier one. Within a generation a suspicion overrides the incarnation that it names, a higher
+    /// incarnation overrides the suspicion, and leaving is final.
     pub fn replaces(&self, known: &Update) -> bool {
         let rank = |state: &MemberState| match state {
             MemberState::Joining => 0,
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Whether it can be one: bounds of what comes from outside.
+    /// Whether a received update is within bounds: names of 1 to [`MAX_NAME_BYTES`] bytes and a port.
     pub fn is_valid(&self) -> bool {
         let named = |name: &str| !name.is_empty() && name.len() <= MAX_NAME_BYTES;
         let witness = match &self.state {
--- a/src/fleet/update/tests.rs
+++ b/src/fleet/update/tests.rs
@@ -6,7 +6,7 @@
 }
 
 #[test]
-fn a_suspicion_beats_its_incarnation_a_higher_one_beats_the_suspicion_and_leaving_is_final() {
+fn updates_are_ordered_by_generation_then_incarnation_then_state_and_leaving_is_final() {
     let suspicion = || MemberState::Suspect { by: "b".into() };
     let order = [
         update(1, 0, MemberState::Joining),
--- a/src/fleet/view.rs
+++ b/src/fleet/view.rs
@@ -1,38 +1,39 @@
-//! How a view is decided. A view is numbered, and the next one is chosen by most of its members: one decision of Paxos
-//! a number, with the members of the view before as acceptors. What an acceptor has promised it keeps in memory alone,
-//! which is enough: a process that starts again is another generation, and is in no view before one has taken it in.
+//! Views, and the Paxos roles that decide them. Views are numbered; each is decided by one Paxos instance with the
+//! members of the preceding view as acceptors. Acceptors keep their promises in memory only. That suffices, since a
+//! restarted process is another generation and has no vote before a view has admitted it.
 //!
-//! Serialized names stay as they were introduced: the schema of an upgrade (`upgrade::frame::SCHEMA`) is checked by them.
+//! The serialized names must not change: the schema of an upgrade (`upgrade::frame::SCHEMA`) is checked against them.
 
 use super::update::Generation;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// Members that come and go from one view to the next: what one datagram holds.
+/// Maximum number of members that join and leave from one view to the next: what fits into one datagram.
 pub const MAX_CHANGES: usize = 12;
 
-/// Identifies a view. What is built on views names the one it acted in; a later bootstrap goes before an earlier one.
+/// Identifies a view. Views are ordered by bootstrap, then by number: a view of a later bootstrap supersedes all of an
+/// earlier one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
 pub struct ViewId {
-    /// When and by whom the fleet was bootstrapped; 0: not yet.
+    /// When and by which member the fleet was bootstrapped; 0 before that. See [`BOOTSTRAPPER_BITS`].
     #[serde(rename = "founded")]
     pub bootstrap: u64,
-    /// Counts the views from there.
+    /// Number of the view, counted from the bootstrap.
     pub number: u64,
 }
 
-/// Low bits of a bootstrap, which identify its bootstrapper; those above are the Unix time in milliseconds.
+/// Number of low bits of a bootstrap that identify the member; those above are the Unix time in milliseconds.
 pub const BOOTSTRAPPER_BITS: u32 = 10;
 
 impl ViewId {
-    /// When the fleet was bootstrapped, Unix time in milliseconds.
+    /// When the fleet was bootstrapped, as Unix time in milliseconds.
     pub fn bootstrapped_ms(self) -> u64 {
         self.bootstrap >> BOOTSTRAPPER_BITS
     }
 }
 
-/// A member of a view, with where it is.
+/// A member of a view.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ViewMember {
     /// Its name.
@@ -44,35 +45,35 @@
     pub address: SocketAddr,
 }
 
-/// An entry of a view as it is fetched: a member, or the last generation of a name that is in it no more.
+/// An entry of a view in a fetched page: a member, or the last generation of a name that has been removed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ViewEntry {
-    /// It is in the view.
+    /// A member of the view.
     #[serde(rename = "There")]
     Member(ViewMember),
-    /// It was in an earlier one.
+    /// A name that was in an earlier view, with its last generation there.
     #[serde(rename = "Over")]
     Ended(String, Generation),
 }
 
-/// A proposal number of Paxos, higher than all before; the name distinguishes proposers of one round.
+/// A Paxos proposal number, ordered by round; the name of the proposer breaks ties.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
 pub struct Ballot {
-    /// Grows with each proposal.
+    /// Incremented with each proposal.
     pub round: u32,
     /// The proposer.
     pub by: String,
 }
 
-/// What a view changes against the one before.
+/// The difference between a view and the preceding one.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
 pub struct Change {
-    /// Where it is the first of a fleet: when that was bootstrapped.
+    /// Only for the first view of a fleet: its bootstrap, see [`ViewId::bootstrap`].
     #[serde(rename = "founded")]
     pub bootstrap: Option<u64>,
-    /// Members that come, or come again in another generation.
+    /// Members that join, or join again as another generation.
     pub joins: Vec<ViewMember>,
-    /// Members that go.
+    /// Names of the members that are removed.
     pub leaves: Vec<String>,
 }
 
@@ -83,32 +84,33 @@
     }
 }
 
-/// A numbered set of members.
+/// A view: a numbered set of members.
 #[derive(Clone, Debug, PartialEq, Eq, Default)]
 pub struct View {
-    /// Its identity.
+    /// Its identifier.
     pub id: ViewId,
-    /// Its members by name.
+    /// Its members, by name.
     pub members: BTreeMap<String, ViewMember>,
-    /// The last generation of each name that was in an earlier view and is not in this one as that. Guards against late
-    /// updates: a generation that has ended does not come again.
+    /// The last generation of each name that an earlier view had and this one has not. It keeps a delayed update from
+    /// bringing back a generation that has ended.
     pub ended: BTreeMap<String, Generation>,
 }
 
-/// Names whose last generation is kept. The oldest are forgotten first: no update is late by that much.
+/// Maximum number of names whose last generation is kept. The oldest are forgotten first: no update is delayed by that
+/// much.
 const MAX_ENDED: usize = 4096;
 
 impl View {
-    /// How many members are a majority.
+    /// Number of members that make a majority.
     pub fn majority(&self) -> usize {
         self.members.len() / 2 + 1
     }
 
-    /// The one after it.
+    /// The view that follows this one by a change.
     pub fn after(&self, change: &Change) -> View {
         let (mut members, mut ended) = (self.members.clone(), self.ended.clone());
         if change.bootstrap.is_some() {
-            // Seeds vote for the first view, and are in it only if they were heard.
+            // The seeds vote for the first view, but are members of it only if they join.
             members.clear();
         }
         for name in &change.leaves {
@@ -128,19 +130,19 @@
         View { id, members, ended }
     }
 
-    /// Whether a generation may come into the next view: none before it was later.
+    /// Whether a generation may join: it is later than the last one of its name in this view and in earlier ones.
     pub fn admits(&self, name: &str, generation: Generation) -> bool {
         let later = |known: Option<Generation>| known.is_none_or(|known| known < generation);
         later(self.ended.get(name).copied()) && later(self.members.get(name).map(|listed| listed.generation))
     }
 
-    /// All of it, as it is fetched.
+    /// All entries, in the order in which they are fetched.
     pub fn entries(&self) -> impl Iterator<Item = ViewEntry> + '_ {
         let members = self.members.values().cloned().map(ViewEntry::Member);
         members.chain(self.ended.iter().map(|(name, generation)| ViewEntry::Ended(name.clone(), *generation)))
     }
 
-    /// One that was fetched.
+    /// A view made of fetched entries.
     pub fn from_entries(id: ViewId, entries: impl IntoIterator<Item = ViewEntry>) -> View {
         let mut view = View { id, ..View::default() };
         for entry in entries {
@@ -153,7 +155,7 @@
     }
 }
 
-/// What one member of a view has promised and accepted of the next.
+/// The Paxos acceptor of one member: what it has promised and accepted for the next view.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Default, Serialize, Deserialize)]
 pub struct Acceptor {
     promised: Ballot,
@@ -161,7 +163,7 @@
 }
 
 impl Acceptor {
-    /// A vote for a ballot, unless a higher one has it: what was accepted before.
+    /// Phase 1: promises a ballot and returns the change accepted before, if any; `None` if a higher one is promised.
     pub fn prepare(&mut self, ballot: &Ballot) -> Option<Option<(Ballot, Change)>> {
         if *ballot < self.promised {
             return None;
@@ -170,7 +172,7 @@
         Some(self.accepted.clone())
     }
 
-    /// Accepts a change, unless a higher ballot has this vote.
+    /// Phase 2: accepts a change and returns true, unless a higher ballot is promised.
     pub fn accept(&mut self, ballot: &Ballot, change: &Change) -> bool {
         if *ballot < self.promised {
             return false;
@@ -180,45 +182,46 @@
         true
     }
 
-    /// The highest ballot that was seen.
+    /// The highest ballot promised or accepted.
     pub fn promised(&self) -> &Ballot {
         &self.promised
     }
 }
 
-/// A vote, as it comes back.
+/// A promise received by the proposer.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Default)]
 struct Vote {
     accepted: Option<(Ballot, Change)>,
     objections: BTreeSet<String>,
 }
 
-/// One ballot of a proposer.
+/// The Paxos proposer of one ballot.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Proposal {
-    /// Its ballot.
+    /// The ballot.
     pub ballot: Ballot,
-    /// What it would change.
+    /// The change to propose unless an earlier proposal has to be completed.
     desired: Change,
     votes: BTreeMap<String, Vote>,
-    /// What it proposed, once most had voted.
+    /// The proposed change, once a majority has promised.
     pub proposed: Option<Change>,
     accepted: BTreeSet<String>,
 }
 
 impl Proposal {
-    /// Begins one.
+    /// A proposal without votes.
     pub fn new(ballot: Ballot, desired: Change) -> Self {
         Proposal { ballot, desired, votes: BTreeMap::new(), proposed: None, accepted: BTreeSet::new() }
     }
 
-    /// Members that it would take out.
+    /// Names of the members that it would remove.
     pub fn leaves(&self) -> &[String] {
         &self.desired.leaves
     }
 
-    /// A vote came. What is to be proposed now, if most have voted: what was accepted at the highest ballot, else what
-    /// is wanted, less the members for whose going not most of the view are. An empty change is proposed to nobody.
+    /// Adds a promise. Returns the change to propose once a majority has promised: the one accepted at the highest
+    /// ballot, else the desired one without the removals that no majority of the view agrees to. An empty change is not
+    /// proposed.
     pub fn add_vote(
         &mut self,
         view: &View,
@@ -252,7 +255,7 @@
         Some(change)
     }
 
-    /// It was accepted by a member: the change, once most of the view have.
+    /// Adds an acceptance by a member. Returns the decided change once a majority of the view has accepted it.
     pub fn add_accepted(&mut self, view: &View, from: &str) -> Option<Change> {
         let change = self.proposed.as_ref().filter(|_| view.members.contains_key(from))?;
         self.accepted.insert(from.to_string());
--- a/src/fleet/view/tests.rs
+++ b/src/fleet/view/tests.rs
@@ -23,20 +23,20 @@
 }
 
 #[test]
-fn a_member_goes_only_where_most_of_the_view_cannot_reach_it() {
+fn a_member_is_removed_only_if_a_majority_of_the_view_agrees() {
     let view = view(&["a", "b", "c", "d", "e"]);
     let mut proposal = Proposal::new(ballot(1, "a"), removal_of("e"));
-    assert_eq!(proposal.add_vote(&view, "x", None, []), None, "no member");
+    assert_eq!(proposal.add_vote(&view, "x", None, []), None, "not a member");
     assert_eq!(proposal.add_vote(&view, "a", None, []), None);
     assert_eq!(proposal.add_vote(&view, "b", None, []), None);
     assert_eq!(
         proposal.add_vote(&view, "c", None, ["e".to_string()]),
         None,
-        "two are for it, three are most"
+        "two agree, three are a majority"
     );
     assert_eq!(proposal.add_vote(&view, "d", None, []), Some(removal_of("e")));
     assert_eq!(proposal.add_accepted(&view, "a"), None);
-    assert_eq!(proposal.add_accepted(&view, "a"), None, "who says it twice counts once");
+    assert_eq!(proposal.add_accepted(&view, "a"), None, "a repeated acceptance counts once");
     assert_eq!(proposal.add_accepted(&view, "b"), None);
     let decided = proposal.add_accepted(&view, "c").unwrap();
     let next = view.after(&decided);
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_generation_that_has_ended_does_not_come_again_and_a_later_one_does() {
+fn an_ended_generation_cannot_join_again_and_a_later_one_can() {
     let view = view(&["a", "b", "c"]);
     let next = view.after(&removal_of("c"));
     let joining = |generation| Change {
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn what_may_have_been_decided_is_proposed_again() {
+fn a_possibly_decided_change_is_proposed_again_at_a_higher_ballot() {
     let view = view(&["a", "b", "c"]);
     let (mut a, mut b, mut c) = (Acceptor::default(), Acceptor::default(), Acceptor::default());
     let (first, second) = (ballot(1, "a"), ballot(2, "b"));
@@ -67,11 +67,11 @@
     proposal.add_vote(&view, "a", a.prepare(&first).unwrap(), []);
     let change = proposal.add_vote(&view, "b", b.prepare(&first).unwrap(), []).unwrap();
     assert!(a.accept(&first, &change));
-    // Another one tries before it hears of it, and finds what one of most has accepted.
+    // Another proposer does not know of it and learns it from an acceptor of its own majority.
     let mut other = Proposal::new(second.clone(), removal_of("a"));
     other.add_vote(&view, "c", c.prepare(&second).unwrap(), []);
     assert_eq!(other.add_vote(&view, "a", a.prepare(&second).unwrap(), []), Some(removal_of("c")));
-    assert!(!a.accept(&first, &change), "the lower ballot comes too late");
+    assert!(!a.accept(&first, &change), "a higher ballot is promised");
     assert_eq!(b.prepare(&second), Some(None));
     assert_eq!(b.prepare(&first), None);
 }
