--- a/src/fleet/member/join.rs
+++ b/src/fleet/member/join.rs
@@ -111,8 +111,8 @@
 
     /// Forgets joining processes about which no update was received for [`FORGET_AFTER_PERIODS`].
     pub(super) fn forget_joiners(&mut self, now: Duration) {
-        // All other members of the view are peers: without further peers nobody is joining. Skipping the scan then keeps
-        // the cost of a period independent of the view's size.
+        // All other members of the view are peers: without further peers nobody is joining. Skipping the scan then
+        // keeps the cost of a period independent of the view's size.
         if self.peers.len() < self.view.members.len() {
             return;
         }
--- a/src/vrrp/address.rs
+++ b/src/vrrp/address.rs
@@ -1,6 +1,6 @@
-//! What becoming Active does to an address, and what stepping down does: it is listened at, also where it is not
-//! local yet, or a command moves it first. A command has a bound on its time, and its end is looked for, not waited
-//! for: the loop goes on.
+//! Acquires the addresses of a virtual router when it becomes Active, and releases them when it steps down. Either the
+//! process just listens at them, even before they are local, or a command moves them to this host first. Commands have
+//! a timeout and are polled, so that they do not block the event loop.
 
 use super::settings::TakeoverMethod;
 use crate::listener::{self, Locality};
@@ -8,37 +8,37 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// How often an address that cannot be bound is tried again, and a command's end looked for.
+/// How often a pending takeover is polled: retries a failed bind, and checks whether a command has ended.
 pub const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// How long after a command that failed the next one is started.
+/// Delay after a failed command before the next one is started.
 const COMMAND_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// How far an address has come.
+/// Progress of acquiring or releasing the addresses.
 #[derive(Debug)]
 pub enum Progress {
-    /// It is being got or let go; look again after [`PAUSE`].
+    /// In progress, or unchanged since [`Progress::Acquired`]. While in progress, poll again after [`POLL_INTERVAL`].
     Pending,
-    /// It is here: a listener for each address asked for, in their order. Told once.
+    /// Acquired: a listener for each requested address, in the same order. Returned once.
     Acquired(Vec<TcpListener>),
-    /// It is let go, or never was here.
+    /// Released, or never acquired.
     Released,
-    /// It could not be got so far; it is tried again.
+    /// The last attempt failed for this reason; acquiring is retried.
     Failed(String),
 }
 
-/// An address that comes and goes.
+/// The addresses of one virtual router, which this host acquires and releases.
 pub trait AddressTakeover {
-    /// It is to come here.
+    /// Begins to acquire the addresses.
     fn acquire(&mut self, now: Instant);
 
-    /// It is to go. Its listeners are the caller's to close, before this.
+    /// Begins to release the addresses. The caller has to close the listeners first.
     fn release(&mut self, now: Instant);
 
-    /// Goes on with what was asked last.
+    /// Continues with the last request.
     fn poll(&mut self, now: Instant) -> Progress;
 }
 
-/// The means of the settings, for one virtual router.
+/// Implements the configured method for one virtual router, which is to listen at these addresses.
 pub fn address_takeover(
     method: &TakeoverMethod,
     router: &super::routers::Router,
@@ -71,7 +71,7 @@
     }
 }
 
-/// Listens at the addresses, wherever they are.
+/// Listens at the addresses, whether or not they are local.
 struct BindTakeover {
     listen: Vec<SocketAddr>,
     wanted: bool,
@@ -111,25 +111,25 @@
     }
 }
 
-/// Has a command move the addresses, then listens.
+/// Runs a command that moves the addresses to this host, then listens.
 struct CommandTakeover {
     bind: BindTakeover,
     take: Vec<String>,
     release: Vec<String>,
     timeout: Duration,
-    /// What the commands are told, as variables.
+    /// Environment variables of the commands.
     environment: [(&'static str, String); 3],
     wanted: bool,
-    /// The addresses are here, as far as the commands tell.
+    /// The last successful command moved the addresses to this host.
     moved: bool,
     running: Option<RunningCommand>,
-    /// No command is started before. Guards the machine against one that fails at once, again and again.
+    /// No command is started before this time, so that one that fails at once is not restarted in a busy loop.
     not_before: Option<Instant>,
 }
 
 struct RunningCommand {
     child: Child,
-    /// It moves the addresses here.
+    /// It moves the addresses to this host, not away from it.
     acquires: bool,
     deadline: Instant,
 }
@@ -145,7 +145,7 @@
         Ok(())
     }
 
-    /// Whether the command that runs has ended, and how.
+    /// The result of the running command once it has ended: whether it acquired (true) or released the addresses.
     fn poll_command(&mut self, now: Instant) -> Option<Result<bool, String>> {
         let timeout = self.timeout;
         let running = self.running.as_mut()?;
@@ -153,7 +153,7 @@
         let result = match running.child.try_wait() {
             Ok(None) if now < running.deadline => return None,
             Ok(None) => {
-                // Guards against a command that hangs: the address would be nobody's for as long.
+                // While a command hangs, no host serves the addresses.
                 let _ = running.child.kill();
                 let _ = running.child.wait();
                 Err(format!("the command took longer than {} ms", timeout.as_millis()))
@@ -181,11 +181,11 @@
     fn poll(&mut self, now: Instant) -> Progress {
         match self.poll_command(now) {
             Some(Ok(acquires)) => self.moved = acquires,
-            // An address that could not be let go is not asked to go again: the other machine has it by now.
+            // A failed release is not retried: the other host has acquired the addresses by now.
             Some(Err(why)) => {
                 self.moved = false;
                 self.not_before = Some(now + COMMAND_RETRY_DELAY);
-                tracing::warn!("an address could not be moved: {why}");
+                tracing::warn!("moving a VRRP address failed: {why}");
                 return Progress::Failed(why);
             }
             None if self.running.is_some() => return Progress::Pending,
@@ -199,7 +199,7 @@
                 Ok(()) => Progress::Pending,
                 Err(why) => {
                     self.not_before = Some(now + COMMAND_RETRY_DELAY);
-                    // It is tried again to take one; what cannot be let go is left.
+                    // Acquiring is retried, releasing is not.
                     self.moved = false;
                     Progress::Failed(why)
                 }
--- a/src/vrrp/address/tests.rs
+++ b/src/vrrp/address/tests.rs
@@ -27,7 +27,7 @@
         if let Some(found) = wanted(address.poll(Instant::now())) {
             return found;
         }
-        assert!(start.elapsed() < Duration::from_secs(20), "never came true");
+        assert!(start.elapsed() < Duration::from_secs(20), "timed out");
         std::thread::sleep(Duration::from_millis(2));
     }
 }
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_listener_may_be_at_an_address_that_is_not_local_and_is_told_once() {
+fn a_listener_is_bound_to_a_non_local_address_and_returned_once() {
     let mut address =
         address_takeover(&TakeoverMethod::Bind, &router(), vec!["127.0.0.1:0".parse().unwrap()]);
     let now = Instant::now();
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn an_address_in_use_is_tried_until_it_is_free() {
+fn binding_an_address_in_use_is_retried_until_it_is_free() {
     let other = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut address = address_takeover(&TakeoverMethod::Bind, &router(), vec![other.local_addr().unwrap()]);
     address.acquire(Instant::now());
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_command_moves_it_and_is_told_what() {
+fn commands_move_the_addresses_and_receive_them_in_the_environment() {
     let file = std::env::temp_dir().join(format!("topazpath-address-{}", std::process::id()));
     let log_command = |what: &str| {
         let line = format!(
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn a_command_that_fails_is_started_again_after_a_pause() {
+fn a_failed_command_is_restarted_after_a_delay() {
     let file = std::env::temp_dir().join(format!("topazpath-again-{}", std::process::id()));
     let line = format!("echo x >> {}; exit 1", file.display());
     let (take, release) = (words(&["/bin/sh", "-c", &line]), words(&["/bin/true"]));
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn a_command_that_hangs_is_ended_and_one_that_fails_is_told() {
+fn a_hanging_command_is_killed_and_a_failure_is_reported_with_its_reason() {
     let file = PathBuf::from("/nonexistent/program").display().to_string();
     for (take, expected) in [
         (words(&["/bin/sleep", "100"]), "longer than 30 ms"),
--- a/src/vrrp/machine.rs
+++ b/src/vrrp/machine.rs
@@ -1,29 +1,29 @@
-//! The state machine of one virtual router (RFC 9568, section 6). No I/O and no clock: times are spans on a monotonic
-//! scale that the caller hands in, and what is to be done comes back.
+//! The state machine of one virtual router (RFC 9568, section 6). It does no I/O and reads no clock: the caller passes
+//! events with times on a monotonic scale, and carries out the returned steps.
 //!
-//! Beyond the RFC: a priority that changes in service, priority 0 by choice (maintenance), a delay before preempting
-//! (RFC 8347, hold-time), and calls that come late. A process that was stopped and goes on may have been replaced:
-//! it looks for another Active router before it acts as one.
+//! Beyond the RFC it supports a priority that changes at run time, a configured priority of 0 (maintenance), a delay
+//! before preemption (hold-time of RFC 8347), and delayed calls: a process that was stopped may have been replaced, and
+//! checks for another Active router before it acts as one.
 
 use super::packet::{PRIORITY_OWNER, PRIORITY_RESIGN};
 use std::net::IpAddr;
 use std::time::Duration;
 
-/// Intervals without an advertisement before another is taken to be gone.
+/// Advertisement intervals in the Active_Down_Interval (RFC 9568, 6.1), to which the Skew_Time is added.
 const ACTIVE_DOWN_INTERVALS: u32 = 3;
-/// An Active router that has advertised within this part of its interval does not do so again for what it hears.
+/// An Active router that has advertised within its interval divided by this does not answer a received advertisement.
 const MIN_ADVERTISE_DIVISOR: u32 = 10;
 
-/// How one router takes part.
+/// Configuration of one virtual router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Parameters {
-    /// How often it advertises as Active.
+    /// Advertisement_Interval.
     pub interval: Duration,
-    /// Whether it takes over from an Active router of lower priority.
+    /// Preempt_Mode: whether it takes over from an Active router of lower priority.
     pub preempt: bool,
-    /// How long it hears of one of lower priority before it does.
+    /// How long it receives advertisements of lower priority before it preempts.
     pub preempt_delay: Duration,
-    /// Its primary address; the higher one breaks a tie.
+    /// Its primary address; among equal priorities the higher address wins.
     pub address: IpAddr,
 }
 
@@ -32,62 +32,62 @@
 pub enum State {
     /// Not started.
     Initialize,
-    /// Another is Active, or nobody yet.
+    /// Monitors the Active router, or waits whether there is one.
     Backup {
-        /// The Active_Down_Timer; none while the priority is 0: then this router never takes over.
+        /// Active_Down_Timer. None while the priority is 0, so that this router never takes over.
         down_at: Option<Duration>,
     },
-    /// This one is Active.
+    /// Serves the addresses and advertises.
     Active {
-        /// The Adver_Timer.
+        /// Adver_Timer.
         advertise_at: Duration,
-        /// When it advertised last.
+        /// When the last advertisement was sent.
         advertised: Duration,
     },
 }
 
-/// What happens to a router.
+/// An event that a virtual router handles.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
-    /// It starts.
+    /// The router starts.
     Startup,
-    /// It ends.
+    /// The router shuts down.
     Shutdown,
     /// A timer may be due.
     Timer,
-    /// A sound advertisement for it came.
+    /// A valid advertisement for this virtual router was received.
     Advertisement {
         /// The sender's priority.
         priority: u8,
-        /// The sender's interval.
+        /// The sender's Advertisement_Interval.
         interval: Duration,
-        /// Where it came from.
+        /// The source address.
         sender: IpAddr,
     },
-    /// Its priority is another from now on; 0 puts it into maintenance.
+    /// The priority changes; 0 puts the router into maintenance.
     Priority(u8),
 }
 
-/// Why a state changed.
+/// The reason of a transition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Reason {
     /// It started.
     Startup,
     /// It ended.
     Shutdown,
-    /// It owns the addresses.
+    /// It is the address owner.
     Owner,
-    /// Nothing was heard of an Active router for the Active_Down_Interval.
+    /// No advertisement was received for the Active_Down_Interval.
     NoResponse,
     /// The Active router resigned with priority 0.
     Resigned,
-    /// It takes over from one of lower priority.
+    /// It preempts an Active router of lower priority.
     Preempts,
-    /// One of higher priority is Active.
+    /// A router of higher priority is Active.
     HigherPriority,
-    /// One of the same priority and a higher address is Active.
+    /// A router of the same priority and a higher address is Active.
     HigherAddress,
-    /// It was not called for so long that another may have taken over.
+    /// It was delayed for so long that another router may have taken over.
     Late,
     /// Its priority was set to 0.
     Maintenance,
@@ -98,25 +98,25 @@
 pub struct Transition {
     /// The state before.
     pub from: Role,
-    /// The state since.
+    /// The state after.
     pub to: Role,
-    /// Why.
+    /// The reason.
     pub reason: Reason,
 }
 
-/// A state less its timers.
+/// A state without its timers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Role {
     /// Not started.
     Initialize,
-    /// Waits.
+    /// Monitors the Active router.
     Backup,
-    /// Serves.
+    /// Serves the addresses.
     Active,
 }
 
 impl Role {
-    /// The name that RFC 9568 gives it, in lower case.
+    /// Its name in RFC 9568, in lower case.
     pub fn name(self) -> &'static str {
         match self {
             Role::Initialize => "initialize",
@@ -126,31 +126,31 @@
     }
 }
 
-/// What a step asks for, in this order: advertise, then act on the transition.
+/// The actions of one step, to carry out in this order: advertise, then act on the transition.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Step {
-    /// An advertisement is to be sent, with this priority.
+    /// Send an advertisement with this priority.
     pub advertise: Option<u8>,
     /// The state changed.
     pub transition: Option<Transition>,
 }
 
-/// One virtual router on this machine.
+/// The state machine of one virtual router on this host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct StateMachine {
     state: State,
-    /// Its priority now; tracking and maintenance change it.
+    /// The present priority, after tracking and maintenance.
     priority: u8,
-    /// The Active router's interval as learnt last.
+    /// Active_Adver_Interval: the interval in the last advertisement of the Active router.
     active_interval: Duration,
-    /// Since when only Active routers of lower priority have been heard of.
+    /// Since when only advertisements of lower priority have been received.
     lower_since: Option<Duration>,
-    /// The last advertisement heard resigned.
+    /// The last received advertisement had priority 0.
     resigned: bool,
 }
 
 impl StateMachine {
-    /// A router that has not started.
+    /// A virtual router that has not started.
     pub fn new(parameters: &Parameters, priority: u8) -> Self {
         StateMachine {
             state: State::Initialize,
@@ -166,7 +166,7 @@
         self.state
     }
 
-    /// Its state less timers.
+    /// Its state without timers.
     pub fn role(&self) -> Role {
         match self.state {
             State::Initialize => Role::Initialize,
@@ -175,12 +175,12 @@
         }
     }
 
-    /// Its priority now.
+    /// Its present priority.
     pub fn priority(&self) -> u8 {
         self.priority
     }
 
-    /// The Active router's interval as learnt last; its own while it is Active.
+    /// Active_Adver_Interval: the Active router's interval as last received; its own while it is Active.
     pub fn active_interval(&self) -> Duration {
         self.active_interval
     }
@@ -194,18 +194,18 @@
         }
     }
 
-    /// Skew_Time: the lower the priority, the longer; less than an interval (RFC 9568, 6.1).
+    /// Skew_Time (RFC 9568, 6.1): at most an interval, and the longer the lower the priority.
     pub fn skew_time(&self) -> Duration {
         self.active_interval * (256 - u32::from(self.priority)) / 256
     }
 
-    /// Active_Down_Interval: three of the Active router's intervals and the skew.
+    /// Active_Down_Interval (RFC 9568, 6.1): three of the Active router's intervals and the Skew_Time.
     pub fn active_down_interval(&self) -> Duration {
         ACTIVE_DOWN_INTERVALS * self.active_interval + self.skew_time()
     }
 
-    /// The same router on a scale that begins later by so much; what would lie before its beginning lies there. For
-    /// callers that keep times relative to now, as a model checker does, so that states come again.
+    /// The same router on a time scale that begins later by this much; earlier times become zero. A model checker that
+    /// keeps times relative to the present uses it to recognize equal states.
     pub fn rebased(mut self, by: Duration) -> StateMachine {
         let earlier = |at: Duration| at.saturating_sub(by);
         self.lower_since = self.lower_since.map(earlier);
@@ -219,13 +219,13 @@
         self
     }
 
-    /// Takes one event. Advertisements that wait are to be handed in before a timer that is due as well: after a stop
-    /// they tell of another Active router.
+    /// Handles one event. The caller must pass received advertisements before a due timer: after a stop of the process
+    /// they tell whether another router is Active.
     pub fn step(&mut self, parameters: &Parameters, now: Duration, event: Event) -> Step {
         let before = self.role();
         let mut outcome = Outcome::default();
         if self.is_late(parameters, now) {
-            // Guards against two Active routers after a stop: others may have taken over by now.
+            // Another router may have taken over during a stop: avoids two Active routers.
             self.wait_as_backup(now, parameters.interval);
             outcome.reason = Some(Reason::Late);
         }
@@ -241,7 +241,7 @@
         Step { advertise: outcome.advertise, transition }
     }
 
-    /// Active, but silent for so long that the quickest of the others may have taken over.
+    /// Whether this router is Active but has been silent for so long that the fastest other router may have taken over.
     fn is_late(&self, parameters: &Parameters, now: Duration) -> bool {
         let silent = |advertised: Duration| now.saturating_sub(advertised);
         let limit = ACTIVE_DOWN_INTERVALS * parameters.interval;
@@ -289,7 +289,8 @@
             Event::Timer => match down_at.filter(|at| *at <= now) {
                 None => {}
                 Some(at) if now - at > self.active_interval => {
-                    // Guards against a stop: an Active router is heard of within its interval, if there is one.
+                    // The timer is late by more than an interval, so the process was stopped. If there is an Active
+                    // router, it advertises within its interval.
                     let wait = self.active_interval + self.skew_time();
                     self.state = State::Backup { down_at: Some(now + wait) };
                 }
@@ -329,7 +330,7 @@
         (advertise_at, advertised): (Duration, Duration),
         outcome: &mut Outcome,
     ) {
-        // Guards against a flood of advertisements that would be answered one by one.
+        // Limits the answers to a flood of advertisements.
         let advertised_recently =
             now.saturating_sub(advertised) < parameters.interval / MIN_ADVERTISE_DIVISOR;
         match event {
@@ -348,7 +349,7 @@
             Event::Priority(priority) if priority == self.priority => {}
             Event::Priority(priority) => {
                 self.priority = priority;
-                // Sent at once, so that a better one need not wait for it.
+                // Sent at once, so that a router of higher priority need not wait for the next advertisement.
                 self.advertise(parameters, now, outcome);
             }
             Event::Timer if now < advertise_at => {}
@@ -364,14 +365,14 @@
                         Some(if higher { Reason::HigherPriority } else { Reason::HigherAddress });
                     self.wait_as_backup(now, interval);
                 } else if !advertised_recently {
-                    // RFC 9568 sends at once, so that the other, and switches, learn of this one.
+                    // RFC 9568, 6.4.3: sent at once, so that the other router and learning bridges see the Active one.
                     self.advertise(parameters, now, outcome);
                 }
             }
         }
     }
 
-    /// Advertises as Active, from now on if it was not.
+    /// Advertises, and becomes Active if it was not.
     fn advertise(&mut self, parameters: &Parameters, now: Duration, outcome: &mut Outcome) {
         self.state = State::Active { advertise_at: now + parameters.interval, advertised: now };
         (self.lower_since, self.resigned) = (None, false);
@@ -379,10 +380,10 @@
         outcome.advertise = Some(self.priority);
     }
 
-    /// Waits for the Active router, whose interval this is, to be gone.
+    /// Becomes or stays Backup, and restarts the Active_Down_Timer with the Active router's interval.
     fn wait_as_backup(&mut self, now: Duration, interval: Duration) {
         self.active_interval = interval;
-        // An owner that was stopped need not wait for one that must yield to it, only hear what has come.
+        // Other routers yield to an owner: after a stop it only waits until received advertisements are handled.
         let wait =
             if self.priority == PRIORITY_OWNER { self.skew_time() } else { self.active_down_interval() };
         let in_maintenance = self.priority == PRIORITY_RESIGN;
@@ -390,7 +391,7 @@
     }
 }
 
-/// What a step has come to so far.
+/// The result of a step while it is computed.
 #[derive(Default)]
 struct Outcome {
     advertise: Option<u8>,
--- a/src/vrrp/machine/tests.rs
+++ b/src/vrrp/machine/tests.rs
@@ -12,14 +12,14 @@
     Event::Advertisement { priority, interval: MS(100), sender: [192, 0, 2, last].into() }
 }
 
-/// A router that has started at time 0.
+/// A router that started at time 0.
 fn started(own: &Parameters, priority: u8) -> StateMachine {
     let mut machine = StateMachine::new(own, priority);
     machine.step(own, Duration::ZERO, Event::Startup);
     machine
 }
 
-/// A router that is Active since 400 ms.
+/// A router that became Active at 400 ms.
 fn active(own: &Parameters, priority: u8) -> StateMachine {
     let mut machine = started(own, priority);
     machine.step(own, MS(400), Event::Timer);
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_backup_takes_over_after_three_intervals_and_its_skew() {
+fn a_backup_becomes_active_after_three_intervals_and_the_skew_time() {
     let own = parameters(1);
     let mut machine = started(&own, 128);
     assert_eq!(machine.timer(), Some(MS(350)));
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn an_owner_is_active_at_once() {
+fn an_address_owner_becomes_active_at_startup() {
     let own = parameters(1);
     let mut machine = StateMachine::new(&own, PRIORITY_OWNER);
     let step = machine.step(&own, MS(5), Event::Startup);
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_backup_learns_the_interval_and_waits_by_it() {
+fn a_backup_uses_the_interval_of_the_active_router() {
     let own = parameters(1);
     let mut machine = started(&own, 128);
     let slow = Event::Advertisement { priority: 128, interval: MS(1000), sender: [192, 0, 2, 2].into() };
@@ -63,12 +63,12 @@
     assert_eq!((machine.skew_time(), machine.active_down_interval()), (MS(500), MS(3500)));
     assert_eq!(machine.timer(), Some(MS(3800)));
     machine.step(&own, MS(3800), Event::Timer);
-    assert_eq!(machine.timer(), Some(MS(3900)), "as Active it goes by its own");
+    assert_eq!(machine.timer(), Some(MS(3900)), "as Active it uses its own interval");
     assert_eq!(machine.active_interval(), MS(100));
 }
 
 #[test]
-fn a_backup_preempts_a_lower_one_unless_told_not_to() {
+fn a_backup_preempts_a_lower_priority_unless_preempt_is_off() {
     let own = parameters(1);
     let mut machine = started(&own, 100);
     machine.step(&own, MS(300), advertised_by(99, 9));
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_preempt_delay_counts_from_when_the_lower_one_was_heard_first() {
+fn the_preempt_delay_begins_with_the_first_advertisement_of_lower_priority() {
     let own = Parameters { preempt_delay: MS(1000), ..parameters(1) };
     let mut machine = started(&own, 200);
     for tenth in 1..=10 {
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn priority_zero_hands_over_after_the_skew_alone() {
+fn after_priority_zero_a_backup_becomes_active_after_the_skew_time_alone() {
     let own = parameters(1);
     let mut machine = active(&own, 200);
     let step = machine.step(&own, MS(410), Event::Shutdown);
@@ -106,13 +106,13 @@
     backup.step(&own, MS(200), advertised_by(0, 9));
     assert_eq!(backup.timer(), Some(MS(250)));
     assert_eq!(reason(backup.step(&own, MS(250), Event::Timer)), Some(Reason::Resigned));
-    assert_eq!(backup.step(&own, MS(259), advertised_by(0, 9)), Step::default(), "it was told just now");
+    assert_eq!(backup.step(&own, MS(259), advertised_by(0, 9)), Step::default(), "it advertised just now");
     let step = backup.step(&own, MS(260), advertised_by(0, 9));
-    assert_eq!(step.advertise, Some(128), "whoever resigns is told who is there");
+    assert_eq!(step.advertise, Some(128), "a resigning router is answered");
 }
 
 #[test]
-fn of_two_active_ones_the_higher_stays_and_a_tie_goes_by_the_address() {
+fn of_two_active_routers_the_higher_priority_stays_and_then_the_higher_address() {
     let own = parameters(5);
     let step_with = |priority, last| {
         let mut machine = active(&own, 100);
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn a_stopped_active_router_waits_before_it_acts_again() {
+fn an_active_router_that_was_stopped_becomes_backup_before_it_acts() {
     let own = parameters(1);
     for event in [Event::Timer, advertised_by(50, 9), advertised_by(0, 9), Event::Priority(150)] {
         let mut machine = active(&own, 200);
@@ -137,14 +137,18 @@
     }
     let mut machine = active(&own, 200);
     let step = machine.step(&own, MS(10_400), Event::Shutdown);
-    assert_eq!((step.advertise, machine.role()), (None, Role::Initialize), "it has nothing to resign");
+    assert_eq!(
+        (step.advertise, machine.role()),
+        (None, Role::Initialize),
+        "it no longer is Active and does not resign"
+    );
     let mut owner = started(&own, PRIORITY_OWNER);
     assert_eq!(owner.step(&own, MS(10_000), Event::Timer).advertise, None);
     assert!(owner.timer().unwrap() < MS(10_001), "others yield to an owner");
 }
 
 #[test]
-fn a_stopped_backup_listens_before_it_takes_over() {
+fn a_backup_that_was_stopped_waits_for_advertisements_before_it_becomes_active() {
     let own = parameters(1);
     let mut machine = started(&own, 128);
     assert_eq!(machine.step(&own, MS(10_000), Event::Timer), Step::default());
@@ -154,7 +158,7 @@
 }
 
 #[test]
-fn maintenance_resigns_and_never_takes_over_until_it_ends() {
+fn in_maintenance_a_router_resigns_and_stays_backup() {
     let own = parameters(1);
     let mut machine = active(&own, 200);
     let step = machine.step(&own, MS(410), Event::Priority(0));
@@ -169,7 +173,7 @@
 }
 
 #[test]
-fn a_changed_priority_is_told_at_once_and_a_better_one_takes_over() {
+fn a_changed_priority_is_advertised_at_once_and_a_higher_router_takes_over() {
     let own = parameters(1);
     let mut machine = active(&own, 200);
     assert_eq!(machine.step(&own, MS(410), Event::Priority(200)), Step::default());
@@ -183,7 +187,7 @@
 }
 
 #[test]
-fn a_rebased_router_does_the_same_earlier() {
+fn a_rebased_router_takes_the_same_steps_earlier() {
     let own = parameters(1);
     let (one, other) = (active(&own, 200), started(&own, 100));
     for machine in [one, other, StateMachine::new(&own, 7)] {
@@ -205,10 +209,11 @@
 }
 
 proptest! {
-    /// Whatever comes: a started router always has a way on, states change only as told, an Active one has
-    /// advertised, and none acts as Active after a silence of its own.
+    /// For any sequence of events: a started router has a timer unless it is in maintenance, a state changes only with
+    /// a transition, an Active router has advertised, and none acts as Active after it has been silent for three
+    /// intervals.
     #[test]
-    fn every_state_has_a_way_on(events in prop::collection::vec((0..500_u64, any_event()), 1..60)) {
+    fn invariants_hold_for_any_events(events in prop::collection::vec((0..500_u64, any_event()), 1..60)) {
         let own = parameters(5);
         let (mut machine, mut now, mut last_sent) = (StateMachine::new(&own, 150), Duration::ZERO, None);
         for (wait, event) in events {
--- a/src/vrrp/mod.rs
+++ b/src/vrrp/mod.rs
@@ -1,9 +1,20 @@
-//! VRRP version 3 (RFC 9568): which of a few machines answers at an address. Initiators and planners take part alike.
+//! VRRP version 3 (RFC 9568): elects which of a few hosts serves an address. A host runs an initiator or a planner:
+//! initiators use VRRP for service addresses, planners for the leadership of partitions.
 //!
-//! From below: [`packet`] is what is said, [`machine`] one virtual router, [`timers`] and [`track`] what it waits for
-//! and looks at, [`routers`] all of a process; none of these does I/O or reads a clock. [`settings`] is the file,
-//! [`speaker`] the sockets, [`address`] what becoming Active does. docs/vrrp.md says why it is built so, and what
-//! UDP cannot carry.
+//! Modules:
+//!
+//! - [`packet`]: advertisements,
+//! - [`machine`]: the state machine of one virtual router,
+//! - [`timers`]: the timers of many virtual routers,
+//! - [`track`]: conditions of the host that lower the priorities,
+//! - [`routers`]: all virtual routers of a process,
+//! - [`settings`]: the settings file,
+//! - [`speaker`]: the UDP sockets that drive the routers,
+//! - [`address`]: acquiring and releasing addresses on transitions,
+//! - [`report`]: what operators see.
+//!
+//! Those up to [`routers`] do no I/O and read no clock. docs/vrrp.md gives the reasons for this design, and what cannot
+//! be carried over UDP.
 
 pub mod address;
 pub mod machine;
--- a/src/vrrp/packet.rs
+++ b/src/vrrp/packet.rs
@@ -1,34 +1,33 @@
-//! Advertisements of VRRP version 3 (RFC 9568, section 5): from fields to bytes, and from bytes to fields or to the
-//! reason why they are none. No I/O.
+//! Encoding and decoding of VRRP version 3 advertisements (RFC 9568, section 5). No I/O.
 
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr};
 use std::time::Duration;
 
-/// The version of the protocol.
+/// Version of the protocol.
 const VERSION: u8 = 3;
-/// The type of its only packet.
+/// Type of the ADVERTISEMENT packet, the only one.
 const ADVERTISEMENT: u8 = 1;
-/// Bytes before the addresses.
+/// Length of the fields before the addresses.
 const HEADER_BYTES: usize = 8;
-/// The next header of the pseudo-header, also where UDP carries the packet.
+/// Protocol number in the pseudo-header, also when UDP carries the packet.
 const PROTOCOL: u8 = 112;
-/// What IPv4's TTL and IPv6's hop limit must be on receipt: whatever came through a router has less.
+/// Required TTL (IPv4) or hop limit (IPv6) of a received packet: one that was forwarded by a router has less.
 pub const REQUIRED_HOP_LIMIT: u8 = 255;
-/// Priority of a router that gives up its role.
+/// Priority that an Active router advertises when it stops taking part.
 pub const PRIORITY_RESIGN: u8 = 0;
-/// Priority of the router that owns the addresses.
+/// Priority of the address owner.
 pub const PRIORITY_OWNER: u8 = 255;
-/// Addresses of one virtual router.
+/// Maximum number of addresses of one virtual router.
 pub const MAX_ADDRESSES: usize = 255;
-/// The longest packet: 255 IPv6 addresses.
+/// Maximum length of a packet: one with 255 IPv6 addresses.
 pub const MAX_PACKET_BYTES: usize = HEADER_BYTES + MAX_ADDRESSES * 16;
-/// The unit of intervals, and the longest in these units.
+/// The unit of intervals in packets, and the maximum interval in this unit.
 pub const CENTISECOND: Duration = Duration::from_millis(10);
 const MAX_CENTISECONDS: u16 = 0x0fff;
-/// The longest interval that a packet can state: 40.95 s.
+/// The maximum interval in a packet: 40.95 s.
 pub const MAX_INTERVAL: Duration = Duration::from_millis(10 * MAX_CENTISECONDS as u64);
 
-/// IPv4 and IPv6 have virtual routers apart, also under one number.
+/// The address family. Virtual routers of different families are separate, even with the same VRID.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Family {
     /// IPv4.
@@ -54,60 +53,59 @@
     }
 }
 
-/// What the checksum covers. For IPv6 the pseudo-header always counts. For IPv4 the versions of the standard were
-/// read both ways: RFC 5798 names the pseudo-header for both families, RFC 9568 says the message alone for IPv4, and
-/// routers of both kinds are in service.
+/// What the checksum covers. For IPv6 it always includes the pseudo-header. For IPv4 the standards differ: RFC 5798
+/// names the pseudo-header for both families, RFC 9568 the message alone, and routers of both kinds are in use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Coverage {
-    /// The pseudo-header of source, destination, length and protocol, and the message.
+    /// The message and a pseudo-header of source, destination, length and protocol.
     PseudoHeader,
     /// The message alone.
     Message,
 }
 
-/// Where a packet comes from and goes to, as the network sees it: what the pseudo-header states.
+/// Source and destination address of a packet, as in the pseudo-header.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Path {
     /// The sender's primary address.
     pub source: IpAddr,
-    /// Where it was sent.
+    /// The address that it was sent to.
     pub destination: IpAddr,
 }
 
-/// An advertisement.
+/// The fields of an advertisement.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Advertisement {
-    /// Virtual router id, 1 to 255.
+    /// Virtual router identifier (VRID), 1 to 255.
     pub vrid: u8,
-    /// The sender's priority: 0 resigns, 255 owns the addresses.
+    /// The sender's priority; 0: it resigns, 255: it is the address owner.
     pub priority: u8,
-    /// The sender's interval, in whole centiseconds, 10 ms to 40.95 s.
+    /// The sender's Advertisement_Interval: whole centiseconds, 10 ms to 40.95 s.
     pub interval: Duration,
-    /// The addresses that the virtual router stands for, all of one family, 1 to 255 of them.
+    /// The addresses of the virtual router: 1 to 255 of one family.
     pub addresses: Vec<IpAddr>,
 }
 
-/// Why bytes are no advertisement, in the order of the checks (RFC 9568, 7.1).
+/// Why a packet is not a valid advertisement, in the order of the checks (RFC 9568, 7.1).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Invalid {
-    /// Another version.
+    /// Unsupported version.
     Version,
-    /// Cut off, or longer than its count of addresses says.
+    /// The length does not match the number of addresses.
     Length,
     /// The checksum is wrong.
     Checksum,
-    /// Another type than an advertisement.
+    /// The type is not ADVERTISEMENT.
     Type,
-    /// Virtual router 0.
+    /// The VRID is 0.
     Vrid,
     /// No addresses.
     Addresses,
-    /// An interval of 0, by which no timer can be set.
+    /// The interval is 0.
     Interval,
 }
 
 impl Advertisement {
-    /// Its bytes for one path (RFC 9568, 5.2).
+    /// Encodes the advertisement for one source and destination (RFC 9568, 5.2).
     pub fn write(&self, path: Path, coverage: Coverage) -> Vec<u8> {
         let addresses = &self.addresses[..self.addresses.len().min(MAX_ADDRESSES)];
         let centiseconds = (self.interval.as_millis() / CENTISECOND.as_millis())
@@ -126,8 +124,8 @@
         packet
     }
 
-    /// Reads a packet of a family, with the path it came by. IPv4 packets are taken with either coverage of the
-    /// checksum, and the one that held is told.
+    /// Decodes and checks a packet with this source and destination. IPv4 packets are accepted with either coverage of
+    /// the checksum; the matching one is returned.
     pub fn read(packet: &[u8], path: Path) -> Result<(Advertisement, Coverage), Invalid> {
         let family = Family::of(path.source);
         let version = packet.first().ok_or(Invalid::Length)? >> 4;
@@ -166,12 +164,12 @@
     }
 }
 
-/// The path that the checksum covers, if any.
+/// The pseudo-header addresses, if the checksum covers them.
 fn covered(path: Path, coverage: Coverage) -> Option<Path> {
     (coverage == Coverage::PseudoHeader || Family::of(path.source) == Family::V6).then_some(path)
 }
 
-/// The Internet checksum (RFC 1071); over a packet that holds its own it is zero.
+/// The Internet checksum (RFC 1071); zero over a packet that contains its valid checksum.
 fn checksum(message: &[u8], path: Option<Path>) -> u16 {
     let mut sum = words(message);
     if let Some(Path { source, destination }) = path {
--- a/src/vrrp/packet/tests.rs
+++ b/src/vrrp/packet/tests.rs
@@ -15,10 +15,10 @@
     Advertisement { vrid: 7, priority: 128, interval, addresses: vec![[192, 0, 2, 1].into()] }
 }
 
-/// Worked out by hand from RFC 9568, 5.1, and RFC 1071: 0x3107 + 0x8001 + 0x0064 + 0xc000 + 0x0201 = 0x1736d,
+/// Computed by hand from RFC 9568, 5.1, and RFC 1071: 0x3107 + 0x8001 + 0x0064 + 0xc000 + 0x0201 = 0x1736d,
 /// folded 0x736e; the pseudo-header adds 2 * 0xc000 + 0x0207 + 0x0209 + 112 + 12, in all 0xf7fb.
 #[test]
-fn bytes_are_those_of_the_standard() {
+fn the_encoding_matches_rfc_9568() {
     let head = [0x31, 7, 128, 1, 0, 100];
     let message = advertisement().write(path(), Coverage::Message);
     assert_eq!(message[..6], head);
@@ -28,7 +28,7 @@
     assert_eq!(pseudo[6..8], (!0xf7fb_u16).to_be_bytes());
 }
 
-/// Changes one thing of a packet and makes its checksum right again.
+/// Decodes a packet that was altered and given a valid checksum again.
 fn altered(change: impl Fn(&mut Vec<u8>)) -> Result<(Advertisement, Coverage), Invalid> {
     let mut packet = advertisement().write(path(), Coverage::Message);
     change(&mut packet);
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn each_check_of_the_standard_has_its_reason() {
+fn each_failed_check_has_its_own_error() {
     assert_eq!(altered(|_| ()), Ok((advertisement(), Coverage::Message)));
     assert_eq!(altered(|packet| packet[0] = 0x21), Err(Invalid::Version));
     assert_eq!(altered(|packet| packet[0] = 0x32), Err(Invalid::Type));
@@ -53,14 +53,14 @@
         packet.truncate(HEADER_BYTES);
     };
     assert_eq!(altered(none), Err(Invalid::Addresses));
-    let reserved = altered(|packet| packet[4] |= 0xf0).expect("reserved bits are not looked at");
+    let reserved = altered(|packet| packet[4] |= 0xf0).expect("reserved bits are ignored");
     assert_eq!(reserved.0, advertisement());
     assert_eq!(Advertisement::read(&[], path()), Err(Invalid::Length));
     assert_eq!(Advertisement::read(&[0x31, 7], path()), Err(Invalid::Length));
 }
 
 #[test]
-fn six_needs_the_pseudo_header_and_holds_255_addresses() {
+fn an_ipv6_checksum_covers_the_pseudo_header_and_255_addresses_fit() {
     let addresses = (1..=255).map(|last| IpAddr::from([0xfe80, 0, 0, 0, 0, 0, 1, last])).collect();
     let sent = Advertisement { addresses, ..advertisement() };
     let packet = sent.write(path6(), Coverage::Message);
@@ -87,16 +87,16 @@
 
 proptest! {
     #[test]
-    fn what_is_written_is_read((sent, path, coverage) in any_advertisement()) {
+    fn an_encoded_advertisement_is_decoded_unchanged((sent, path, coverage) in any_advertisement()) {
         let packet = sent.write(path, coverage);
-        let (read, _) = Advertisement::read(&packet, path).expect("sound");
+        let (read, _) = Advertisement::read(&packet, path).expect("valid");
         prop_assert_eq!(read, sent);
     }
 
-    /// One checksum finds every single flipped bit; with two coverages allowed one in some thousand packets is
-    /// right by the other, so that a flip is tried against the one the packet was made with.
+    /// The checksum detects every single flipped bit. Since either coverage is accepted, about one altered packet in
+    /// some thousand is valid by the other coverage; the flip is therefore checked against the coverage in use.
     #[test]
-    fn a_flipped_bit_is_found((sent, path, _) in any_advertisement(), at in any::<prop::sample::Index>()) {
+    fn the_checksum_detects_a_flipped_bit((sent, path, _) in any_advertisement(), at in any::<prop::sample::Index>()) {
         let mut packet = sent.write(path, Coverage::PseudoHeader);
         let bit = at.index(packet.len() * 8);
         packet[bit / 8] ^= 1 << (bit % 8);
@@ -104,7 +104,7 @@
     }
 
     #[test]
-    fn any_bytes_are_read_without_harm(packet in prop::collection::vec(any::<u8>(), 0..64)) {
+    fn arbitrary_bytes_are_decoded_or_rejected_without_panic(packet in prop::collection::vec(any::<u8>(), 0..64)) {
         for path in [path(), path6()] {
             if let Ok((read, coverage)) = Advertisement::read(&packet, path) {
                 let again = read.write(path, coverage);
--- a/src/vrrp/report.rs
+++ b/src/vrrp/report.rs
@@ -1,4 +1,4 @@
-//! What an operator is told of the virtual routers: lines behind the counters of `INFO`, and a snapshot as JSON.
+//! The virtual routers as operators see them: rows of `INFO`, and a snapshot as JSON.
 
 use super::machine::State;
 use super::routers::{Errors, Statistics};
@@ -9,68 +9,68 @@
 use std::net::IpAddr;
 use std::time::{Duration, Instant};
 
-/// All there is to tell at one moment.
+/// The state of all virtual routers at one moment. Field names are those of the JSON.
 #[derive(Debug, Serialize)]
 pub struct Snapshot {
-    /// Its routers.
+    /// The virtual routers.
     pub routers: Vec<RouterReport>,
-    /// Conditions that lower the priorities now.
+    /// Names of the conditions that lower the priorities at present.
     pub holds: Vec<&'static str>,
-    /// Counts of packets that belong to no router, by their names in RFC 8347.
+    /// Counts of packets that belong to no virtual router, and of sent bytes; named as in RFC 8347 where it has them.
     pub errors: Counts,
-    /// Parts of each limit, in rate and at once, that this machine may use.
+    /// Share of each limit's rate that this host may use.
     pub rate_share: f64,
-    /// Likewise.
+    /// Share of each limit's burst that this host may use.
     pub burst_share: f64,
 }
 
-/// Counts by name.
+/// Names and values of counters.
 pub type Counts = Vec<(&'static str, u64)>;
 
-/// One router.
+/// The state of one virtual router.
 #[derive(Debug, Serialize)]
 pub struct RouterReport {
     /// Its name.
     pub name: String,
-    /// Its number.
+    /// Its VRID.
     pub vrid: u8,
     /// `initialize`, `backup` or `active`.
     pub state: &'static str,
-    /// Its priority now, and as configured.
+    /// Its present priority.
     pub priority: u8,
-    /// As configured.
+    /// Its priority as configured.
     pub configured_priority: u8,
-    /// The addresses it stands for.
+    /// Its addresses.
     pub addresses: Vec<IpAddr>,
-    /// What this machine does for the address: `standby`, `opening`, `serving` or `retired`.
+    /// What this host does for the addresses: `standby`, `opening`, `serving` or `retired`.
     pub duty: &'static str,
-    /// Requests taken at the address that have no final answer yet.
+    /// Requests received at the addresses that have no final answer yet.
     pub open_requests: usize,
-    /// Milliseconds until it would take over, while it waits.
+    /// Milliseconds until the Active_Down_Timer is due, in state Backup.
     pub active_down_ms: Option<u64>,
-    /// Milliseconds until it advertises, while it is Active.
+    /// Milliseconds until the Adver_Timer is due, in state Active.
     pub adver_ms: Option<u64>,
-    /// The Active router's interval, and its own.
+    /// Active_Adver_Interval: the interval of the Active router.
     pub active_interval_ms: u64,
-    /// As configured.
+    /// Its own Advertisement_Interval.
     pub interval_ms: u64,
     /// Skew_Time, in microseconds.
     pub skew_us: u64,
-    /// Counts by their names in RFC 8347.
+    /// Its counters.
     pub statistics: Counts,
 }
 
-/// What only the owner of the addresses knows of a router.
+/// State of a virtual router that only the service of its addresses knows.
 #[derive(Clone, Copy, Debug)]
 pub struct ServiceStatus {
-    /// The duty's name.
+    /// Name of the duty.
     pub duty: &'static str,
-    /// Requests open at the address.
+    /// Open requests received at the addresses.
     pub open_requests: usize,
 }
 
 impl Snapshot {
-    /// Takes one; `served` tells of each router by position.
+    /// Takes a snapshot; `served` returns the service status of a router by its position.
     pub fn take(
         driver: &Driver,
         now: Instant,
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Lines for `INFO`: how many routers are in which state, and the sums of all counts.
+    /// Rows of `INFO`: the number of routers in each state, and the sums of all counters.
     pub fn lines(&self) -> String {
         let mut lines: Counts = Vec::new();
         for (name, state) in
@@ -139,13 +139,13 @@
 
     /// The snapshot as one line of JSON.
     pub fn json(&self) -> String {
-        // Nothing in it can fail to be written.
+        // Serializing these types cannot fail.
         serde_json::to_string(self).unwrap_or_default()
     }
 }
 
 impl Statistics {
-    /// By their names in RFC 8347, the last one our own.
+    /// The counters by their names in RFC 8347; the last one is not in the RFC.
     pub fn counts(&self) -> Counts {
         vec![
             ("master-transitions", self.active_transitions),
@@ -163,7 +163,7 @@
 }
 
 impl Errors {
-    /// By their names in RFC 8347, the last one our own.
+    /// The counters by their names in RFC 8347; the last one is not in the RFC.
     pub fn counts(&self) -> Counts {
         vec![
             ("checksum-errors", self.checksum),
--- a/src/vrrp/routers.rs
+++ b/src/vrrp/routers.rs
@@ -1,5 +1,5 @@
-//! All virtual routers of one process: whose an advertisement is, what it counts as, whose timer is due, what their
-//! priorities are. No I/O and no clock.
+//! All virtual routers of one process: assigns received packets to them and counts errors, fires their timers, and
+//! applies tracked conditions to their priorities. It does no I/O and reads no clock.
 
 use super::machine::{Event, Parameters, Role, StateMachine, Step, Transition};
 use super::packet::{
@@ -11,24 +11,24 @@
 use std::net::IpAddr;
 use std::time::Duration;
 
-/// How one virtual router is set up on this machine.
+/// Configuration of one virtual router on this host.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Router {
-    /// Its name, for people.
+    /// Its name in logs and reports.
     pub name: String,
-    /// Its number.
+    /// Its virtual router identifier (VRID).
     pub vrid: u8,
-    /// Its configured priority: 1 to 254, 255 for the owner, 0 in maintenance.
+    /// Its configured priority: 1 to 254, 255 for the address owner, 0 in maintenance.
     pub priority: u8,
-    /// The addresses it stands for.
+    /// Its addresses.
     pub addresses: Vec<IpAddr>,
-    /// Its part in the protocol.
+    /// Parameters of its state machine.
     pub parameters: Parameters,
     /// What the checksum of IPv4 packets covers.
     pub coverage: Coverage,
 }
 
-/// Counts of one virtual router, named as in RFC 8347.
+/// Counters of one virtual router; the comments give the names in RFC 8347.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Statistics {
     /// master-transitions
@@ -49,11 +49,11 @@
     pub address_list_errors: u64,
     /// packet-length-errors
     pub packet_length_errors: u64,
-    /// Not in RFC 8347: advertisements that an owner of the addresses got, and left alone.
+    /// Not in RFC 8347: advertisements that an Active address owner received and ignored.
     pub ignored_as_owner: u64,
 }
 
-/// Counts of what belongs to no virtual router, named as in RFC 8347 but for the last.
+/// Counters of packets that belong to no virtual router; the comments give the names in RFC 8347.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Errors {
     /// checksum-errors
@@ -64,25 +64,25 @@
     pub vrid: u64,
     /// ip-ttl-errors
     pub ttl: u64,
-    /// Packets from addresses that are no peers.
+    /// Not in RFC 8347: packets from addresses that are not configured as peers.
     pub unknown_senders: u64,
 }
 
-/// What is to be done for a router, by its position.
+/// An action to carry out for a router.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
     /// Send an advertisement.
     Advertise {
-        /// The router.
+        /// Position of the router.
         router: usize,
-        /// With this priority.
+        /// The priority to advertise.
         priority: u8,
     },
-    /// Its state changed.
+    /// The router's state changed.
     Changed {
-        /// The router.
+        /// Position of the router.
         router: usize,
-        /// How.
+        /// The transition.
         transition: Transition,
     },
 }
@@ -99,12 +99,12 @@
     by_number: HashMap<(Family, u8), usize>,
     timers: Timers,
     tracker: Tracker,
-    /// Packets that belong to none of them.
+    /// Counters of packets that belong to none of the routers.
     pub errors: Errors,
 }
 
 impl Routers {
-    /// Routers that have not started. Their numbers are told apart by family.
+    /// Routers that have not started. VRIDs of different address families are independent.
     pub fn new(routers: Vec<Router>, tracker: Tracker) -> Self {
         let number = |(at, router): (usize, &Router)| ((router.family(), router.vrid), at);
         let by_number = routers.iter().enumerate().map(number).collect();
@@ -121,49 +121,49 @@
         0..self.running.len()
     }
 
-    /// A router's set-up.
+    /// Configuration of a router.
     pub fn router(&self, router: usize) -> &Router {
         &self.running[router].router
     }
 
-    /// A router's state.
+    /// State machine of a router.
     pub fn machine(&self, router: usize) -> &StateMachine {
         &self.running[router].machine
     }
 
-    /// A router's counts.
+    /// Counters of a router.
     pub fn statistics(&self, router: usize) -> &Statistics {
         &self.running[router].statistics
     }
 
-    /// What lowers the priorities.
+    /// The conditions that lower the priorities.
     pub fn tracker(&self) -> &Tracker {
         &self.tracker
     }
 
-    /// When [`Routers::tick`] has something to do.
+    /// When [`Routers::tick`] is to be called next.
     pub fn next_timer(&self) -> Option<Duration> {
         self.timers.next()
     }
 
-    /// All start.
+    /// Starts all routers.
     pub fn start(&mut self, now: Duration, outputs: &mut Vec<Output>) {
         self.all().for_each(|router| self.step(router, now, Event::Startup, outputs));
     }
 
-    /// All end; the Active ones resign.
+    /// Shuts all routers down; the Active ones resign.
     pub fn shut_down(&mut self, now: Duration, outputs: &mut Vec<Output>) {
         self.all().for_each(|router| self.step(router, now, Event::Shutdown, outputs));
     }
 
-    /// Fires what is due. What has come is to be handed in first.
+    /// Fires due timers. Received packets must be passed to [`Routers::receive`] before.
     pub fn tick(&mut self, now: Duration, outputs: &mut Vec<Output>) {
         while let Some(router) = self.timers.pop_due(now) {
             self.step(router, now, Event::Timer, outputs);
         }
     }
 
-    /// Takes a packet that came with so many hops left, where the system told.
+    /// Handles a received packet; `hops` is its TTL or hop limit, if the kernel reported it.
     pub fn receive(
         &mut self,
         now: Duration,
@@ -172,7 +172,7 @@
         hops: Option<u8>,
         outputs: &mut Vec<Output>,
     ) {
-        // Guards against packets from beyond a router: nobody there can make it 255.
+        // RFC 9568, 7.1: a packet from beyond a router cannot arrive with 255.
         if hops.is_some_and(|hops| hops != REQUIRED_HOP_LIMIT) {
             self.errors.ttl += 1;
             return;
@@ -202,15 +202,15 @@
         let (own, statistics) = (&running.router, &mut running.statistics);
         statistics.advertisements_received += 1;
         statistics.priority_zero_received += u64::from(received.priority == PRIORITY_RESIGN);
-        // These two tell of a wrong set-up, and the packet still counts (RFC 9568, 7.1): a router that left it out
-        // would become Active beside the other.
+        // The following two errors indicate a wrong configuration, but the packet is processed (RFC 9568, 7.1): a
+        // router that ignored it would become Active beside the sender.
         if !same_addresses(&received.addresses, &own.addresses) {
             statistics.address_list_errors += 1;
-            tracing::debug!(router = own.name, from = %path.source, "other addresses are advertised");
+            tracing::debug!(router = own.name, from = %path.source, "addresses differ from the configured ones");
         }
         statistics.interval_errors += u64::from(received.interval != own.parameters.interval);
         if running.machine.priority() == PRIORITY_OWNER && running.machine.role() == Role::Active {
-            // RFC 9568, 7.1: an owner does not listen; what it sends makes others yield.
+            // RFC 9568, 7.1: an address owner discards advertisements; its own ones make the other routers yield.
             statistics.ignored_as_owner += 1;
             return;
         }
@@ -219,7 +219,7 @@
         self.step(router, now, event, outputs);
     }
 
-    /// Takes a look at a condition of this machine; the priorities follow. True if it turned.
+    /// Records the result of a check of a condition and adapts the priorities. True if the condition has changed.
     pub fn record_check(
         &mut self,
         now: Duration,
@@ -234,7 +234,7 @@
         changed
     }
 
-    /// Takes other priorities, by number, and other rules of tracking.
+    /// Applies changed priorities, by VRID, and changed tracking rules.
     pub fn reconfigure(
         &mut self,
         now: Duration,
@@ -260,7 +260,7 @@
         }
     }
 
-    /// The packet of a router's advertisement for one path.
+    /// Encodes a router's advertisement with this priority for one source and destination.
     pub fn packet(&self, router: usize, priority: u8, path: Path) -> Vec<u8> {
         let Router { vrid, addresses, parameters, coverage, .. } = &self.running[router].router;
         let (addresses, interval) = (addresses.clone(), parameters.interval);
@@ -290,7 +290,7 @@
     }
 }
 
-/// Whether both lists hold the same addresses, in whatever order.
+/// Whether both lists have the same addresses in any order.
 fn same_addresses(one: &[IpAddr], other: &[IpAddr]) -> bool {
     let sorted = |list: &[IpAddr]| {
         let mut list = list.to_vec();
--- a/src/vrrp/routers/tests.rs
+++ b/src/vrrp/routers/tests.rs
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn two_routers_with_crossed_priorities_go_their_own_ways() {
+fn two_routers_with_opposite_priorities_change_state_independently() {
     let mut routers = routers(&[]);
     for at in [100, 200, 300, 400] {
         let packet = advertisement(2, 200).write(path(), Coverage::Message);
@@ -67,25 +67,25 @@
 }
 
 #[test]
-fn every_bad_packet_is_counted_where_it_belongs_and_changes_nothing() {
+fn each_invalid_packet_increments_its_counter_and_changes_no_state() {
     let mut routers = routers(&[]);
-    let sound = advertisement(1, 250).write(path(), Coverage::PseudoHeader);
+    let valid = advertisement(1, 250).write(path(), Coverage::PseudoHeader);
     let before = *routers.machine(0);
-    let mut bad = |alter: &dyn Fn(&mut Vec<u8>), hops| {
-        let mut packet = sound.clone();
+    let mut check_invalid = |alter: &dyn Fn(&mut Vec<u8>), hops| {
+        let mut packet = valid.clone();
         alter(&mut packet);
         assert_eq!(receive(&mut routers, 50, &packet, hops), []);
         assert_eq!(*routers.machine(0), before);
     };
-    bad(&|_| (), 254);
-    bad(&|packet| packet[0] = 0x21, 255);
-    bad(&|packet| packet[9] ^= 1, 255);
-    bad(&|packet| packet.truncate(packet.len() / 2), 255);
-    bad(&|packet| packet[1] = 9, 255);
+    check_invalid(&|_| (), 254);
+    check_invalid(&|packet| packet[0] = 0x21, 255);
+    check_invalid(&|packet| packet[9] ^= 1, 255);
+    check_invalid(&|packet| packet.truncate(packet.len() / 2), 255);
+    check_invalid(&|packet| packet[1] = 9, 255);
     let foreign = advertisement(9, 250).write(path(), Coverage::PseudoHeader);
-    bad(&|packet| packet.clone_from(&foreign), 255);
+    check_invalid(&|packet| packet.clone_from(&foreign), 255);
     let none = Advertisement { addresses: vec![], ..advertisement(1, 250) };
-    bad(&|packet| *packet = none.write(path(), Coverage::Message), 255);
+    check_invalid(&|packet| *packet = none.write(path(), Coverage::Message), 255);
     let errors = Errors { checksum: 2, version: 1, vrid: 1, ttl: 1, unknown_senders: 0 };
     assert_eq!(routers.errors, errors);
     let counts = Statistics { packet_length_errors: 1, address_list_errors: 1, ..Statistics::default() };
@@ -93,22 +93,22 @@
 }
 
 #[test]
-fn other_addresses_and_another_interval_are_counted_and_still_heard() {
+fn an_advertisement_with_other_addresses_or_interval_is_counted_and_processed() {
     let mut routers = routers(&[]);
     let addresses = vec![[192, 0, 2, 77].into()];
     let other = Advertisement { addresses, interval: MS(500), ..advertisement(1, 250) };
     receive(&mut routers, 300, &other.write(path(), Coverage::PseudoHeader), 255);
     let statistics = *routers.statistics(0);
     assert_eq!((statistics.address_list_errors, statistics.interval_errors), (1, 1));
-    assert!(routers.machine(0).timer() > Some(MS(1700)), "the interval is learnt");
+    assert!(routers.machine(0).timer() > Some(MS(1700)), "the interval of the sender is used");
     let mut swapped = advertisement(1, 250);
     swapped.addresses.reverse();
     receive(&mut routers, 310, &swapped.write(path(), Coverage::PseudoHeader), 255);
-    assert_eq!(routers.statistics(0).address_list_errors, 1, "their order means nothing");
+    assert_eq!(routers.statistics(0).address_list_errors, 1, "the order of addresses does not matter");
 }
 
 #[test]
-fn an_owner_leaves_what_it_hears_alone() {
+fn an_active_address_owner_ignores_advertisements() {
     let mut routers = Routers::new(vec![router(1, 255)], Tracker::default());
     routers.start(Duration::ZERO, &mut Vec::new());
     let packet = advertisement(1, 255).write(path(), Coverage::PseudoHeader);
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn conditions_and_a_reload_move_the_priorities() {
+fn conditions_and_a_reload_change_the_priorities() {
     let rule =
         |priority_decrement| Rule { condition: Condition::NoReadyNode, priority_decrement, fall: 2, rise: 2 };
     let mut routers = routers(&[rule(150)]);
@@ -127,7 +127,7 @@
     assert!(!routers.record_check(MS(410), Condition::NoReadyNode, true, &mut outputs));
     assert!(routers.record_check(MS(420), Condition::NoReadyNode, true, &mut outputs));
     let advertise = |priority, router| Output::Advertise { router, priority };
-    assert_eq!(outputs, [advertise(50, 0), advertise(1, 1)], "told at once");
+    assert_eq!(outputs, [advertise(50, 0), advertise(1, 1)], "advertised at once");
     outputs.clear();
     routers.reconfigure(MS(430), &[router(1, 0)], &[rule(150)], &mut outputs);
     assert_eq!(outputs[0], advertise(0, 0));
--- a/src/vrrp/settings.rs
+++ b/src/vrrp/settings.rs
@@ -1,5 +1,5 @@
-//! The settings of VRRP: `deploy/vrrp.toml` for an initiator, the `[vrrp]` table of a planner's file. Checked whole;
-//! each error is one line that names the key and what is allowed.
+//! The VRRP settings: the file `deploy/vrrp.toml` of an initiator, and the `[vrrp]` table in a planner's file. All
+//! values are checked when the file is read; an error is one line that names the key and the allowed values.
 
 use super::machine::Parameters;
 use super::packet::{Coverage, Family, CENTISECOND, MAX_ADDRESSES, MAX_INTERVAL};
@@ -11,82 +11,84 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Machines that hear each other on one interface.
+/// Maximum number of peers on one interface.
 const MAX_PEERS: usize = 32;
-/// Virtual routers of one process: what one family's numbers allow.
+/// Maximum number of virtual routers of one process: the number of VRIDs.
 pub const MAX_ROUTERS: usize = 255;
-/// The longest that a command may take.
+/// Maximum timeout of a takeover command.
 const MAX_COMMAND_TIMEOUT: Duration = Duration::from_secs(30);
-/// Machines that may share the limits.
+/// Maximum number of hosts that share the limits.
 const MAX_MACHINES: u64 = 16;
 
-/// Where advertisements go out and come in.
+/// A UDP socket address for advertisements, with the peers on it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Interface {
-    /// This machine's address, over UDP. The IP address is its primary one.
+    /// The local UDP address. Its IP address is the primary address of VRRP.
     pub address: SocketAddr,
-    /// The other machines.
+    /// UDP addresses of the other hosts.
     pub peers: Vec<SocketAddr>,
 }
 
-/// How an address comes to this machine.
+/// How this host acquires an address when it becomes Active.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TakeoverMethod {
-    /// It is listened at, also where it is not local yet.
+    /// Listen at it, even if it is not local yet.
     Bind,
-    /// A command moves it, and then it is listened at.
+    /// Run a command that moves it to this host, then listen at it.
     Command {
-        /// The program and its arguments when the address is to come, and when it is to go.
+        /// Program and arguments that acquire the addresses.
         take: Vec<String>,
-        /// Likewise.
+        /// Program and arguments that release the addresses.
         release: Vec<String>,
-        /// A command that takes longer is ended.
+        /// A command that runs longer is killed.
         timeout: Duration,
     },
 }
 
-/// One virtual router with what it serves.
+/// One virtual router and the endpoints at its addresses.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Service {
-    /// Its part in the protocol.
+    /// Configuration of the virtual router.
     pub router: Router,
-    /// Whether packets to the addresses are taken while Active (RFC 9568, Accept_Mode). An owner always takes them.
+    /// Accept_Mode of RFC 9568: whether packets to the addresses are accepted while Active. An address owner always
+    /// accepts them.
     pub accept: bool,
-    /// Where clients of RESP2 connect while it is Active.
+    /// Address for RESP2 clients while Active.
     pub listen: Option<SocketAddr>,
-    /// Where clients of the second front do.
+    /// Address for iSCSI clients while Active.
     pub listen_iscsi: Option<SocketAddr>,
 }
 
-/// What is looked at besides what the program knows by itself.
+/// Settings of the tracked conditions.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Tracking {
-    /// How often.
+    /// Interval between checks.
     pub check_interval: Duration,
-    /// Discovery that says nothing for longer is silent.
+    /// Discovery counts as silent after this time without a message.
     pub discovery_silent: Duration,
-    /// A turn of the loop that takes longer, or comes later than it was due, is late.
+    /// An iteration of the event loop is late if it takes longer than this or begins later than this after its due
+    /// time.
     pub loop_late: Duration,
-    /// Part of the memory, in percent, beyond which it is short.
+    /// Percentage of the memory limit above which memory is short.
     pub memory_percent: u8,
-    /// The operator's file.
+    /// Path of the file whose existence is tracked.
     pub file: Option<PathBuf>,
-    /// What counts, and how.
+    /// The tracked conditions and their effects.
     pub rules: Vec<Rule>,
 }
 
-/// Everything that an initiator is told.
+/// The VRRP settings of an initiator.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// One for each family in use.
+    /// One interface per address family in use.
     pub interfaces: Vec<Interface>,
-    /// The virtual routers.
+    /// The virtual routers with their endpoints.
     pub services: Vec<Service>,
-    /// What lowers their priorities.
+    /// The conditions that lower the priorities.
     pub tracking: Tracking,
-    /// How addresses come and go.
+    /// How addresses are acquired and released.
     pub takeover: TakeoverMethod,
-    /// The part that this machine has in what the machines share.
+    /// This host's share of the limits that the hosts have in common.
     pub share: crate::handover::Share,
 }
 
@@ -195,7 +197,7 @@
 }
 
 impl Settings {
-    /// Reads `deploy/vrrp.toml` or its like: nothing where it is not there or switched off.
+    /// Reads a VRRP settings file; `None` if it does not exist or has `enabled = false`.
     pub fn read(path: &Path) -> Result<Option<Settings>, String> {
         match std::fs::read_to_string(path) {
             Err(error) if error.kind() == std::io::ErrorKind::NotFound => Ok(None),
@@ -204,23 +206,23 @@
         }
     }
 
-    /// Reads the text of such a file.
+    /// Parses and checks the text of a VRRP settings file; `None` if it has `enabled = false`.
     pub fn parse(text: &str) -> Result<Option<Settings>, String> {
         let file: File = toml::from_str(text).map_err(|error| one_line(text, &error))?;
         if file.enabled && file.router.is_empty() {
-            return Err("router: at least one is needed where enabled = true".into());
+            return Err("router: at least one is required if enabled = true".into());
         }
-        // Checked whole also where it is off, so that switching it on brings no surprise.
+        // A disabled file is checked too, so that enabling it cannot fail unexpectedly.
         let settings = if file.router.is_empty() { None } else { Some(file.check()?) };
         Ok(settings.filter(|_| file.enabled))
     }
 
-    /// The virtual routers, less what they serve.
+    /// The virtual routers without their endpoints.
     pub fn routers(&self) -> Vec<Router> {
         self.services.iter().map(|service| service.router.clone()).collect()
     }
 
-    /// What of another file can only come into force by a restart.
+    /// Names of the tables that differ in `new` and take effect only after a restart.
     pub fn changes_needing_restart(&self, new: &Settings) -> Vec<&'static str> {
         let without_priorities = |settings: &Settings| {
             let mut services = settings.services.clone();
@@ -269,15 +271,16 @@
         let tracking = self.tracking.check(owner)?;
         let Some(handover) = &self.handover else {
             return Err(
-                "handover: missing; it says how many machines share the limits, and this one's part".into()
+                "handover: missing; it says how many machines share the limits, and the share of this one"
+                    .into(),
             );
         };
         let machines = within("handover.machines", handover.machines, 1, MAX_MACHINES)? as u32;
         let (rate, burst) = (handover.rate_share, handover.burst_share);
-        for (key, part) in [("rate_share", rate), ("burst_share", burst)] {
-            if !(part > 0.0 && part <= 1.0) {
+        for (key, value) in [("rate_share", rate), ("burst_share", burst)] {
+            if !(value > 0.0 && value <= 1.0) {
                 return Err(format!(
-                    "handover.{key}: {part} is not allowed, more than 0 and at most 1 is; all machines' sum to at most 1"
+                    "handover.{key}: {value} is not allowed, more than 0 and at most 1 is; all machines' sum to at most 1"
                 ));
             }
         }
@@ -291,7 +294,7 @@
         let key = format!("interface {}", self.address);
         if self.address.ip().is_unspecified() || self.address.ip().is_multicast() {
             return Err(format!(
-                "{key}: address: one address of this machine, since checksums and ties go by it"
+                "{key}: address: one address of this machine is required for checksums and ties"
             ));
         }
         if self.peers.is_empty() || self.peers.len() > MAX_PEERS {
@@ -402,31 +405,33 @@
     }
 }
 
-/// A planner's part in the elections: one virtual router for each partition, which stands for the planner's own
-/// address. Who leads which is dealt by the names of all, so that all work and each is another's backup.
+/// A planner's settings for the election of partition leaders: one virtual router for each partition, with the
+/// planner's own address. The priorities per partition are derived from the names of all planners, so that the
+/// leadership is spread over all of them.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Election {
-    /// Virtual router id of the first partition; the others follow.
+    /// VRID of the first partition; the other partitions have the following ones.
     vrid: i64,
-    /// How often the leading planner advertises, in milliseconds (steps of ten).
+    /// Advertisement_Interval of the leading planner, in milliseconds; a multiple of ten.
     interval_ms: i64,
-    /// Whether it takes over from one of lower priority.
+    /// Preempt_Mode: whether it takes over from a planner of lower priority.
     #[serde(default = "yes")]
     preempt: bool,
-    /// Where it hears advertisements, over UDP.
+    /// Local UDP address for advertisements.
     address: SocketAddrV4,
-    /// Where the other planners hear them.
+    /// UDP addresses of the other planners.
     peers: Vec<SocketAddrV4>,
 }
 
 impl Election {
-    /// Its interface, and a virtual router for each partition with this planner's priority there.
+    /// The interface, and a virtual router for each partition with this planner's priority there. The error names the
+    /// key.
     pub fn check(&self, priorities: &[u8]) -> Result<(Interface, Vec<Router>), String> {
         let peers = self.peers.iter().map(|peer| SocketAddr::from(*peer)).collect();
         let interface = Interface { address: self.address.into(), peers };
         if interface.peers.is_empty() {
-            // A planner alone leads everything.
+            // A single planner leads all partitions.
             within("vrid", self.vrid, 1, 255)?;
         } else {
             interface.check()?;
@@ -457,7 +462,7 @@
     checked.ok_or_else(|| format!("{key}: {value} is not allowed, {min} to {max} are"))
 }
 
-/// An error of the reader as one line that says where.
+/// A TOML error as one line with the line number.
 fn one_line(text: &str, error: &toml::de::Error) -> String {
     let line = error.span().map(|span| text[..span.start.min(text.len())].matches('\n').count() + 1);
     let message = error.message().replace('\n', ", ");
--- a/src/vrrp/settings/tests.rs
+++ b/src/vrrp/settings/tests.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_sound_file_is_taken_whole() {
+fn a_valid_file_is_parsed_completely() {
     let settings = Settings::parse(SOUND).unwrap().expect("enabled");
     let Service { router, accept, listen, .. } = &settings.services[0];
     assert_eq!((router.vrid, router.priority, *accept), (51, 200, true));
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn each_error_is_one_line_with_the_key_and_what_is_allowed() {
+fn each_error_is_one_line_with_the_key_and_the_allowed_values() {
     let cases = [
         (
             "priority = 200",
@@ -57,7 +57,7 @@
         ("[\"192.0.2.10\"]", "[]", "addresses: 1 to 255 are allowed"),
         ("[\"192.0.2.10\"]", "[\"192.0.2.10\", \"fe80::1\"]", "addresses: all of one family, IPv4 or IPv6"),
         ("[\"192.0.2.10\"]", "[\"fe80::1\"]", "addresses: no interface of their family"),
-        ("\"127.0.0.1:7112\"", "\"0.0.0.0:7112\"", "address: one address of this machine"),
+        ("\"127.0.0.1:7112\"", "\"0.0.0.0:7112\"", "address: one address of this machine is required"),
         ("[\"127.0.0.2:7112\"]", "[]", "peers: 1 to 32 are allowed"),
         ("[\"127.0.0.2:7112\"]", "[\"127.0.0.1:7112\"]", "peers: 127.0.0.1:7112 is not another"),
         ("rate_share = 0.5", "rate_share = 1.5", "handover.rate_share: 1.5 is not allowed"),
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn the_deployed_file_is_sound_and_off() {
+fn the_deployed_file_is_valid_and_disabled() {
     let deployed = include_str!("../../../deploy/vrrp.toml");
     assert_eq!(Settings::parse(deployed), Ok(None));
     let on = Settings::parse(&deployed.replace("enabled = false", "enabled = true")).unwrap();
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_reload_changes_priorities_and_tracking_and_names_the_rest() {
+fn only_priorities_and_tracking_change_without_a_restart() {
     let old = Settings::parse(SOUND).unwrap().unwrap();
     let new = |from: &str, to: &str| Settings::parse(&SOUND.replace(from, to)).unwrap().unwrap();
     assert!(old.changes_needing_restart(&new("priority = 200", "priority = 0")).is_empty());
@@ -103,13 +103,13 @@
 }
 
 #[test]
-fn a_planners_table_becomes_an_interface_and_a_router_for_each_partition() {
+fn a_planner_table_yields_an_interface_and_a_router_per_partition() {
     let text = "vrid = 7\ninterval_ms = 50\naddress = \"127.0.0.1:1\"\npeers = [\"127.0.0.1:2\"]\n";
     let election: Election = toml::from_str(text).unwrap();
     let (interface, routers) = election.check(&[200, 100]).unwrap();
     assert_eq!(interface.peers.len(), 1);
-    let told: Vec<(u8, u8)> = routers.iter().map(|router| (router.vrid, router.priority)).collect();
-    assert_eq!(told, [(7, 200), (8, 100)]);
+    let ids: Vec<(u8, u8)> = routers.iter().map(|router| (router.vrid, router.priority)).collect();
+    assert_eq!(ids, [(7, 200), (8, 100)]);
     let beyond: Election = toml::from_str(&text.replace("vrid = 7", "vrid = 255")).unwrap();
     assert!(beyond.check(&[200, 100]).unwrap_err().contains("vrid: 256 is not allowed"));
     let alone: Election = toml::from_str(&text.replace("\"127.0.0.1:2\"", "")).unwrap();
--- a/src/vrrp/speaker.rs
+++ b/src/vrrp/speaker.rs
@@ -1,4 +1,5 @@
-//! Carries advertisements over UDP, to each peer by its own address, and runs the routers on them.
+//! Drives the virtual routers of a process over UDP: passes received packets and due timers to them, and sends their
+//! advertisements to each peer's unicast address.
 
 use super::machine::Transition;
 use super::packet::{Path, MAX_PACKET_BYTES, REQUIRED_HOP_LIMIT};
@@ -15,43 +16,44 @@
 use std::os::fd::AsRawFd;
 use std::time::{Duration, Instant};
 
-/// Packets read of one interface in one turn of the loop. Guards against a flood: requests go on between, and the
-/// kernel drops what is too much.
+/// Maximum number of packets read from one interface in one iteration of the event loop, so that a flood does not delay
+/// requests. The kernel drops what exceeds its buffer.
 const MAX_READS_PER_POLL: usize = 128;
-/// Bytes that the kernel keeps of what has come: some thousand advertisements of a few addresses.
+/// Size of the kernel's receive buffer: some thousand advertisements of a few addresses.
 const RECEIVE_BUFFER_BYTES: usize = 1 << 20;
 
-/// A socket and who is heard on it.
+/// The socket of one interface.
 struct InterfaceSocket {
     socket: UdpSocket,
     address: SocketAddr,
     peers: Vec<SocketAddr>,
-    /// Packets may wait.
+    /// Packets may be waiting.
     readable: bool,
 }
 
-/// What came in one packet besides its bytes.
+/// Metadata of a received packet.
 struct Received {
     length: usize,
     from: SocketAddr,
     hops: Option<u8>,
 }
 
-/// The virtual routers of a process, with their sockets.
+/// The virtual routers of a process with their sockets.
 pub struct Driver {
     sockets: Vec<InterfaceSocket>,
     routers: Routers,
     outputs: Vec<Output>,
-    /// Where the routers' scale of time begins.
+    /// The zero of the routers' scale of time.
     origin: Instant,
-    /// Bytes of the advertisements sent, and packets that the system did not take.
+    /// Number of sent payload bytes.
     pub bytes_sent: u64,
-    /// Likewise: packets that could not be sent.
+    /// Number of advertisements that the kernel refused to send.
     pub send_errors: u64,
 }
 
 impl Driver {
-    /// Binds the interfaces, one token each, and starts the routers.
+    /// Binds the interfaces, each with one token, and starts the routers. The error names the address that could not be
+    /// bound.
     pub fn start(
         interfaces: &[Interface],
         routers: Vec<Router>,
@@ -87,14 +89,14 @@
         at.saturating_duration_since(self.origin)
     }
 
-    /// Something came on an interface, by position.
+    /// The socket of an interface, by position, has become readable.
     pub fn set_readable(&mut self, interface: usize) {
         if let Some(entry) = self.sockets.get_mut(interface) {
             entry.readable = true;
         }
     }
 
-    /// When [`Speaker::turn`] has something to do.
+    /// When [`Driver::poll`] is to be called next.
     pub fn next_timer(&self, now: Instant) -> Option<Instant> {
         if self.sockets.iter().any(|entry| entry.readable) {
             return Some(now);
@@ -102,8 +104,9 @@
         self.routers.next_timer().map(|at| self.origin + at)
     }
 
-    /// One turn of the loop: takes what came, fires what is due, sends. Returns changes of state, which the caller
-    /// acts on before it goes on with anything else: a process that was stopped learns here that it was replaced.
+    /// One iteration of the event loop: handles received packets, fires due timers, sends advertisements. Returns the
+    /// transitions by router, which the caller must act on first: after a stop of the process they tell that another
+    /// host has taken over.
     pub fn poll(&mut self, now: Instant) -> Vec<(usize, Transition)> {
         for at in 0..self.sockets.len() {
             self.read(now, at);
@@ -113,7 +116,7 @@
         self.carry_out()
     }
 
-    /// Takes a look at a condition.
+    /// Records the result of a check of a condition.
     pub fn record_check(
         &mut self,
         now: Instant,
@@ -127,7 +130,7 @@
         self.carry_out()
     }
 
-    /// Goes by other priorities and rules.
+    /// Applies changed priorities and tracking rules.
     pub fn reconfigure(
         &mut self,
         now: Instant,
@@ -139,7 +142,7 @@
         self.carry_out()
     }
 
-    /// Ends: the Active routers resign.
+    /// Shuts the routers down; the Active ones resign.
     pub fn shut_down(&mut self, now: Instant) -> Vec<(usize, Transition)> {
         let at = self.since_start(now);
         self.routers.shut_down(at, &mut self.outputs);
@@ -159,11 +162,11 @@
                     entry.readable = false;
                     return;
                 }
-                // A peer that is not there makes the system report it here; the next packet may be sound.
+                // The kernel reports unreachable peers as errors of this socket; further packets may be waiting.
                 Err(_) => continue,
             };
             let Some(Received { length, from, hops }) = received else { continue };
-            // Guards against strangers: only peers are heard.
+            // Only packets of configured peers are processed.
             if !entry.peers.contains(&from) {
                 self.routers.errors.unknown_senders += 1;
                 continue;
@@ -204,7 +207,7 @@
             for peer in &entry.peers {
                 let path = Path { source: entry.address.ip(), destination: peer.ip() };
                 let packet = self.routers.packet(router, priority, path);
-                // A peer that is not there hears nothing; the next advertisement comes in an interval.
+                // A failed advertisement is not repeated: the next one follows after an interval.
                 match entry.socket.send_to(&packet, *peer) {
                     Ok(length) => self.bytes_sent += length as u64,
                     Err(_) => self.send_errors += 1,
@@ -214,7 +217,7 @@
     }
 }
 
-/// A socket whose packets leave with all hops, and that tells how many were left of those that come.
+/// A UDP socket that sends with the maximum TTL or hop limit and reports that of received packets.
 fn bind(address: SocketAddr) -> std::io::Result<UdpSocket> {
     let socket = Socket::new(Domain::for_address(address), Type::DGRAM, Some(Protocol::UDP))?;
     if address.is_ipv4() {
@@ -225,14 +228,14 @@
         socket.set_unicast_hops_v6(u32::from(REQUIRED_HOP_LIMIT))?;
         setsockopt(&socket, sockopt::Ipv6RecvHopLimit, &true)?;
     }
-    // Guards against losing peers' packets behind a burst; a system that allows less gives less.
+    // Keeps packets of peers during a burst. The kernel may grant less.
     socket.set_recv_buffer_size(RECEIVE_BUFFER_BYTES)?;
     socket.set_nonblocking(true)?;
     socket.bind(&address.into())?;
     Ok(UdpSocket::from_std(socket.into()))
 }
 
-/// Takes one packet; nothing if it has no sender.
+/// Receives one packet; `None` if the kernel reports no source address.
 fn receive(socket: &UdpSocket, packet: &mut [u8]) -> std::io::Result<Option<Received>> {
     socket.try_io(|| {
         let mut space = cmsg_space!(i32, i32);
--- a/src/vrrp/speaker/tests.rs
+++ b/src/vrrp/speaker/tests.rs
@@ -12,7 +12,7 @@
     Router { name, vrid: 7, priority: 100, addresses, parameters, coverage: Coverage::PseudoHeader }
 }
 
-/// A speaker and the one socket that it hears, with the hops that its packets have.
+/// A driver, the socket of its only peer, which sends with this TTL or hop limit, and the path of its packets.
 fn pair(own: &str, hops: u32) -> (Driver, StdSocket, Path) {
     let address: IpAddr = own.parse().unwrap();
     let peer = StdSocket::bind((address, 0)).unwrap();
@@ -40,11 +40,11 @@
     Advertisement { vrid: 7, priority: 200, interval: INTERVAL * 10, addresses: vec![address] }
 }
 
-/// Turns until something is so. Time stands still, so that no timer fires.
+/// Polls until a condition is true. The time passed in does not advance, so that no timer fires.
 fn poll_until(driver: &mut Driver, what: impl Fn(&Driver) -> bool) {
     let (now, start) = (driver.origin, Instant::now());
     while !what(driver) {
-        assert!(start.elapsed() < Duration::from_secs(20), "never came true");
+        assert!(start.elapsed() < Duration::from_secs(20), "timed out");
         driver.set_readable(0);
         assert_eq!(driver.poll(now), []);
     }
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_peer_with_all_hops_is_heard_and_learnt_from() {
+fn an_advertisement_of_a_peer_with_full_hop_limit_is_processed() {
     both_families(|own| {
         let (mut driver, peer, path) = pair(own, 255);
         peer.send(&advertisement(path.source).write(path, Coverage::PseudoHeader)).unwrap();
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_packet_with_fewer_hops_is_counted_and_left() {
+fn a_packet_with_a_lower_hop_limit_is_counted_and_dropped() {
     both_families(|own| {
         let (mut driver, peer, path) = pair(own, 254);
         peer.send(&advertisement(path.source).write(path, Coverage::PseudoHeader)).unwrap();
@@ -76,18 +76,18 @@
 }
 
 #[test]
-fn a_stranger_is_counted_and_left() {
+fn a_packet_of_an_unknown_sender_is_counted_and_dropped() {
     let (mut driver, _peer, path) = pair("127.0.0.1", 255);
-    let stranger = StdSocket::bind("127.0.0.1:0").unwrap();
-    socket2::SockRef::from(&stranger).set_ttl_v4(255).unwrap();
+    let unknown = StdSocket::bind("127.0.0.1:0").unwrap();
+    socket2::SockRef::from(&unknown).set_ttl_v4(255).unwrap();
     let packet = advertisement(path.source).write(path, Coverage::PseudoHeader);
-    stranger.send_to(&packet, driver.sockets[0].address).unwrap();
+    unknown.send_to(&packet, driver.sockets[0].address).unwrap();
     poll_until(&mut driver, |driver| driver.routers().errors.unknown_senders == 1);
     assert_eq!(driver.routers().statistics(0).advertisements_received, 0);
 }
 
 #[test]
-fn one_turn_reads_a_bounded_part_of_a_flood() {
+fn one_poll_reads_a_bounded_number_of_packets() {
     let (mut driver, peer, path) = pair("127.0.0.1", 255);
     let packet = advertisement(path.source).write(path, Coverage::PseudoHeader);
     for _ in 0..MAX_READS_PER_POLL + 50 {
@@ -97,14 +97,14 @@
     driver.poll(driver.origin);
     let read = driver.routers().statistics(0).advertisements_received;
     assert!(read <= MAX_READS_PER_POLL as u64, "{read}");
-    assert_eq!(driver.next_timer(driver.origin), Some(driver.origin), "it goes on at once");
+    assert_eq!(driver.next_timer(driver.origin), Some(driver.origin), "the rest is due at once");
     poll_until(&mut driver, |driver| {
         driver.routers().statistics(0).advertisements_received == MAX_READS_PER_POLL as u64 + 50
     });
 }
 
 #[test]
-fn what_it_sends_is_sound_and_has_all_hops() {
+fn advertisements_are_sent_with_valid_checksums_on_transition_and_shutdown() {
     both_families(|own| {
         let (mut driver, peer, path) = pair(own, 255);
         let now = driver.origin + INTERVAL * 4;
--- a/src/vrrp/timers.rs
+++ b/src/vrrp/timers.rs
@@ -1,32 +1,32 @@
-//! The timers of many virtual routers: each has at most one, and almost every advertisement moves one.
+//! The timers of many virtual routers: each router has at most one, and almost every advertisement changes one.
 //!
-//! A heap that knows where each router's timer lies: a timer is moved in place in O(log n) and no stale entries
-//! gather, as they do in a plain heap; the next one is read in O(1), as a scan of all cannot. docs/vrrp.md has it
-//! measured against the scan.
+//! An indexed heap that knows the position of each router's timer. A timer is changed in place in O(log n), so that no
+//! stale entries accumulate as in a plain heap, and the next timer is read in O(1), unlike in a scan. docs/vrrp.md has
+//! a measurement against the scan.
 
 use std::time::Duration;
 
-/// Where a router has no timer.
+/// Position of a router without a timer.
 const NO_TIMER: usize = usize::MAX;
-/// Children of a place in the heap: four lie together in memory, and the heap of 255 is four high.
+/// Children per heap entry: four are adjacent in memory, and a heap of 255 timers has four levels below the root.
 const ARITY: usize = 4;
 
-/// One timer at most for each of a fixed number of routers, by their positions.
+/// At most one timer for each of a fixed number of routers, which are identified by index.
 #[derive(Clone, Debug)]
 pub struct Timers {
-    /// Due times and routers, a heap with the earliest first.
+    /// Due times with their routers, a heap with the earliest first.
     heap: Vec<(Duration, usize)>,
-    /// Where in the heap each router's timer lies.
+    /// Heap position of each router's timer, or [`NO_TIMER`].
     positions: Vec<usize>,
 }
 
 impl Timers {
-    /// No timers yet, for so many routers.
+    /// Without timers, for this number of routers.
     pub fn new(routers: usize) -> Self {
         Timers { heap: Vec::with_capacity(routers), positions: vec![NO_TIMER; routers] }
     }
 
-    /// Sets, moves or takes off a router's timer.
+    /// Sets, changes or removes a router's timer.
     pub fn set(&mut self, router: usize, at: Option<Duration>) {
         match (at, self.positions[router]) {
             (None, NO_TIMER) => {}
@@ -49,7 +49,7 @@
         self.heap.first().map(|(at, _)| *at)
     }
 
-    /// Takes off a timer that is due and tells whose it was. The earliest comes first.
+    /// Removes the earliest timer if it is due, and returns its router.
     pub fn pop_due(&mut self, now: Duration) -> Option<usize> {
         let (_, router) = *self.heap.first().filter(|(at, _)| *at <= now)?;
         self.remove_at(0);
--- a/src/vrrp/timers/tests.rs
+++ b/src/vrrp/timers/tests.rs
@@ -2,9 +2,9 @@
 use proptest::prelude::*;
 
 proptest! {
-    /// Against the plain way: a list that is scanned.
+    /// Compares with a list that is scanned.
     #[test]
-    fn it_does_what_a_scan_does(
+    fn the_heap_behaves_like_a_scanned_list(
         steps in prop::collection::vec((0..40_usize, prop::option::of(0..1000_u64), 0..1000_u64), 0..300)
     ) {
         let (mut timers, mut scan) = (Timers::new(40), [None::<Duration>; 40]);
--- a/src/vrrp/track.rs
+++ b/src/vrrp/track.rs
@@ -1,31 +1,32 @@
-//! What lowers a router's priority in service: conditions that are looked at again and again, each with counts
-//! before it is believed (hysteresis). No I/O: whoever looks hands in what it saw.
+//! Tracked conditions of the host, which lower the priorities of its virtual routers. Each condition has to be found in
+//! a number of successive checks before it takes effect or ends (hysteresis). No I/O: the caller makes the checks and
+//! passes their results.
 
 use super::packet::PRIORITY_OWNER;
 use serde::Deserialize;
 
-/// What is looked at.
+/// A tracked condition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Condition {
-    /// Discovery has said nothing for long.
+    /// No message from discovery for too long.
     DiscoverySilent,
-    /// No node takes work.
+    /// No node is ready for requests.
     NoReadyNode,
-    /// The loop came late to its timers.
+    /// An iteration of the event loop was late.
     LoopLate,
-    /// Descriptors for clients are used up.
+    /// The descriptors for clients are used up.
     Descriptors,
-    /// The process nears its memory.
+    /// The process approaches its memory limit.
     Memory,
-    /// A file is there that an operator has made.
+    /// The operator's file exists.
     File,
-    /// The address could not be taken.
+    /// An address could not be acquired.
     Address,
 }
 
 impl Condition {
-    /// All of them.
+    /// All conditions.
     pub const ALL: [Condition; 7] = [
         Condition::DiscoverySilent,
         Condition::NoReadyNode,
@@ -50,19 +51,19 @@
     }
 }
 
-/// How a condition counts.
+/// When a condition takes effect, and how.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rule {
-    /// What is looked at.
+    /// The condition.
     pub condition: Condition,
-    /// By how much the priority falls while it holds; 0: all the way, to maintenance.
+    /// By how much the priority is lowered while the condition holds; 0 means maintenance (priority 0).
     #[serde(rename = "lowers")]
     pub priority_decrement: u8,
-    /// Looks in a row that must find it before it counts.
+    /// Successive checks that must find the condition before it holds.
     #[serde(default = "three")]
     pub fall: u32,
-    /// Looks in a row that must not find it before it counts no more.
+    /// Successive checks that must not find the condition before it no longer holds.
     #[serde(default = "three")]
     pub rise: u32,
 }
@@ -74,26 +75,26 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Tracked {
     rule: Rule,
-    /// It counts.
+    /// The condition holds.
     holds: bool,
-    /// Looks in a row that found the opposite.
+    /// Successive checks with the opposite result.
     opposite_checks: u32,
 }
 
-/// The conditions of one machine.
+/// The tracked conditions of one host.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Tracker {
     tracked: Vec<Tracked>,
 }
 
 impl Tracker {
-    /// Nothing holds yet.
+    /// A tracker with these rules; no condition holds yet.
     pub fn new(rules: &[Rule]) -> Self {
         let tracked = rules.iter().map(|rule| Tracked { rule: *rule, holds: false, opposite_checks: 0 });
         Tracker { tracked: tracked.collect() }
     }
 
-    /// Goes by other rules from now on. What held goes on holding where it is still looked at.
+    /// Replaces the rules. A condition that holds keeps holding if it is still tracked.
     pub fn set_rules(&mut self, rules: &[Rule]) {
         let mut new = Tracker::new(rules);
         for tracked in &mut new.tracked {
@@ -102,17 +103,17 @@
         *self = new;
     }
 
-    /// Whether a condition is looked at.
+    /// Whether a condition is tracked.
     pub fn is_tracked(&self, condition: Condition) -> bool {
         self.tracked.iter().any(|tracked| tracked.rule.condition == condition)
     }
 
-    /// Whether a condition counts.
+    /// Whether a condition holds.
     pub fn holds(&self, condition: Condition) -> bool {
         self.tracked.iter().any(|tracked| tracked.rule.condition == condition && tracked.holds)
     }
 
-    /// Takes one look; true if the condition counts from now on, or no more.
+    /// Records the result of one check; true if the condition has begun or ceased to hold.
     pub fn record_check(&mut self, condition: Condition, found: bool) -> bool {
         let Some(tracked) = self.tracked.iter_mut().find(|it| it.rule.condition == condition) else {
             return false;
@@ -130,7 +131,8 @@
         changed
     }
 
-    /// The priority that is left of a configured one. An owner's falls only to 0: the RFC knows no owner of less.
+    /// The configured priority, lowered by all conditions that hold, but to no less than 1; 0 in maintenance. The
+    /// priority of an address owner changes only to 0, since in RFC 9568 an owner always has 255.
     pub fn priority(&self, configured: u8) -> u8 {
         let holding = || self.tracked.iter().filter(|tracked| tracked.holds);
         if configured == 0 || holding().any(|tracked| tracked.rule.priority_decrement == 0) {
--- a/src/vrrp/track/tests.rs
+++ b/src/vrrp/track/tests.rs
@@ -6,7 +6,7 @@
 }
 
 #[test]
-fn a_condition_counts_after_its_looks_in_a_row() {
+fn a_condition_changes_after_the_configured_number_of_successive_checks() {
     let mut tracker = Tracker::new(&[rule(Condition::LoopLate, 50)]);
     let checks = [true, true, false, true, true, true, false, true, false, false];
     let held = checks.map(|found| {
@@ -14,11 +14,11 @@
         tracker.holds(Condition::LoopLate)
     });
     assert_eq!(held, [false, false, false, false, false, true, true, true, true, false]);
-    assert!(!tracker.record_check(Condition::File, true), "nobody asked for it");
+    assert!(!tracker.record_check(Condition::File, true), "not tracked");
 }
 
 #[test]
-fn what_holds_adds_up_and_leaves_at_least_one() {
+fn decrements_add_up_to_a_minimum_priority_of_one() {
     let rules = [rule(Condition::LoopLate, 50), rule(Condition::Memory, 100), rule(Condition::File, 0)];
     let mut tracker = Tracker::new(&rules);
     let hold = |tracker: &mut Tracker, it| {
@@ -33,13 +33,13 @@
     hold(&mut tracker, Condition::File);
     assert_eq!((tracker.priority(200), tracker.priority(255)), (0, 0));
     tracker.set_rules(&rules[..1]);
-    assert_eq!(tracker.priority(200), 150, "what still counts goes on holding");
+    assert_eq!(tracker.priority(200), 150, "a condition that is still tracked keeps holding");
 }
 
 proptest! {
-    /// It turns only after as many looks in a row as the rule says.
+    /// A condition changes only after the number of successive checks in its rule.
     #[test]
-    fn it_never_turns_early(checks in prop::collection::vec(any::<bool>(), 0..60)) {
+    fn a_condition_never_changes_early(checks in prop::collection::vec(any::<bool>(), 0..60)) {
         let mut tracker = Tracker::new(&[rule(Condition::Memory, 10)]);
         for (at, found) in checks.iter().enumerate() {
             if tracker.record_check(Condition::Memory, *found) {
--- a/tests/net/vrrp.rs
+++ b/tests/net/vrrp.rs
@@ -1,5 +1,5 @@
-//! Addresses that move between machines: the real program, its peers real or stood in for by an advertiser that this
-//! file writes from RFC 9568.
+//! Addresses that move between initiators by VRRP. The peers of the real program are other processes of it, or an
+//! advertiser that is implemented here from RFC 9568, independently of the program.
 
 use crate::helper::*;
 use serde_json::Value as Json;
@@ -13,34 +13,34 @@
 const INTERVAL: u64 = 100;
 const VRID: u8 = 51;
 
-/// Loopback addresses of one test's own, so that no other can be given a port on them.
-fn ip(test: u8, last: u8) -> Ipv4Addr {
+/// A loopback address of one test's own, so that no other test is given a port on it.
+fn loopback(test: u8, last: u8) -> Ipv4Addr {
     Ipv4Addr::new(127, 140 + test, std::process::id() as u8, last)
 }
 
-/// A UDP address and a TCP address that are free.
-fn free(ip: Ipv4Addr) -> (SocketAddr, SocketAddr) {
-    let (udp, tcp) = (UdpSocket::bind((ip, 0)).unwrap(), TcpListener::bind((ip, 0)).unwrap());
+/// A free UDP address and a free TCP address.
+fn free_addresses(loopback: Ipv4Addr) -> (SocketAddr, SocketAddr) {
+    let (udp, tcp) = (UdpSocket::bind((loopback, 0)).unwrap(), TcpListener::bind((loopback, 0)).unwrap());
     (udp.local_addr().unwrap(), tcp.local_addr().unwrap())
 }
 
-/// One machine's file.
+/// The VRRP settings of one initiator.
 struct File {
     own: SocketAddr,
     peer: SocketAddr,
     priority: u8,
-    serves: SocketAddr,
-    more: &'static str,
+    listen: SocketAddr,
+    extra: &'static str,
 }
 
 impl File {
     fn text(&self) -> String {
-        let File { own, peer, priority, serves, more } = self;
+        let File { own, peer, priority, listen, extra } = self;
         format!(
             "enabled = true\n[[interface]]\naddress = \"{own}\"\npeers = [\"{peer}\"]\n\
              [[router]]\nname = \"dashboards\"\nvrid = {VRID}\npriority = {priority}\ninterval_ms = {INTERVAL}\n\
-             addresses = [\"192.0.2.1\"]\nlisten = \"{serves}\"\n\
-             [handover]\nmachines = 2\nrate_share = 0.5\nburst_share = 0.5\n[tracking]\nevery_ms = 20\n{more}"
+             addresses = [\"192.0.2.1\"]\nlisten = \"{listen}\"\n\
+             [handover]\nmachines = 2\nrate_share = 0.5\nburst_share = 0.5\n[tracking]\nevery_ms = 20\n{extra}"
         )
     }
 
@@ -49,27 +49,27 @@
     }
 }
 
-/// Files of two machines that hear each other; the first of higher priority.
-fn two(test: u8, priorities: [u8; 2]) -> [File; 2] {
-    let (one, other) = (free(ip(test, 1)), free(ip(test, 2)));
-    let file = |(own, serves): (SocketAddr, SocketAddr), peer, priority| File {
+/// Settings of two initiators that are peers of each other, with these priorities.
+fn file_pair(test: u8, priorities: [u8; 2]) -> [File; 2] {
+    let (one, other) = (free_addresses(loopback(test, 1)), free_addresses(loopback(test, 2)));
+    let file = |(own, listen): (SocketAddr, SocketAddr), peer, priority| File {
         own,
         peer,
         priority,
-        serves,
-        more: "",
+        listen,
+        extra: "",
     };
     [file(one, other.0, priorities[0]), file(other, one.0, priorities[1])]
 }
 
-/// Waits until somebody serves there.
-fn connect(serves: SocketAddr) -> Client {
+/// Connects to an address once an initiator serves it.
+fn connect(listen: SocketAddr) -> Client {
     eventually("the address is served", || {
-        std::net::TcpStream::connect(serves).is_ok().then(|| Client::connect(serves))
+        std::net::TcpStream::connect(listen).is_ok().then(|| Client::connect(listen))
     })
 }
 
-/// The first router of a report.
+/// The first virtual router in the report.
 fn router(program: &Program) -> Json {
     Client::connect(program.resp).report("vrrp")["routers"][0].clone()
 }
@@ -78,45 +78,48 @@
     eventually(&format!("{key} is {value}"), || (router(program)[key] == value).then_some(()));
 }
 
-fn is_served(client: &mut Client) {
+fn assert_served(client: &mut Client) {
     client.ask(1, 3, "", None);
     assert!(matches!(client.receive(), Value::Bulk(Some(_))));
 }
 
-/// A storage node that answers nothing until it is let go.
-fn held_back() -> (Node, Arc<AtomicBool>) {
-    let open = Arc::new(AtomicBool::new(false));
-    let gate = open.clone();
+/// A storage node that answers no request until the flag is set.
+fn blocked_node() -> (Node, Arc<AtomicBool>) {
+    let unblocked = Arc::new(AtomicBool::new(false));
+    let flag = unblocked.clone();
     let node = Node::start(move |_, words| {
-        while !gate.load(Ordering::Relaxed) {
+        while !flag.load(Ordering::Relaxed) {
             thread::sleep(Duration::from_millis(1));
         }
         Reply::Value(words[2].clone())
     });
-    (node, open)
+    (node, unblocked)
 }
 
-fn elsewhere() -> Value {
+fn busy() -> Value {
     Value::Error(b"BUSY 20".to_vec())
 }
 
 #[test]
-fn a_machine_that_dies_is_replaced_and_takes_its_address_back() {
+fn a_crashed_initiator_is_replaced_and_takes_its_address_back_after_a_restart() {
     let node = Node::echo();
     let discovery = Discovery::start(&[("s-1", node.address, 3)]);
-    let files = two(0, [200, 100]);
+    let files = file_pair(0, [200, 100]);
     let mut first = files[0].start(&discovery);
     let second = files[1].start(&discovery);
-    is_served(&mut connect(files[0].serves));
+    assert_served(&mut connect(files[0].listen));
     wait_for(&second, "state", "backup");
     assert_eq!(router(&second)["duty"], "standby");
-    assert!(std::net::TcpStream::connect(files[1].serves).is_err(), "a backup does not listen there");
+    assert!(
+        std::net::TcpStream::connect(files[1].listen).is_err(),
+        "a backup does not listen at the address"
+    );
     let killed = Instant::now();
     first.kill();
-    is_served(&mut connect(files[1].serves));
-    assert!(killed.elapsed() >= Duration::from_millis(2 * INTERVAL), "not before its time");
+    assert_served(&mut connect(files[1].listen));
+    assert!(killed.elapsed() >= Duration::from_millis(2 * INTERVAL), "not before the Active_Down_Interval");
     let _again = files[0].start(&discovery);
-    is_served(&mut connect(files[0].serves));
+    assert_served(&mut connect(files[0].listen));
     wait_for(&second, "state", "backup");
     let counts = router(&second)["statistics"].clone();
     let count = |name: &str| {
@@ -127,128 +130,128 @@
 }
 
 #[test]
-fn what_a_backup_took_is_answered_once_when_the_owner_returns() {
-    let (node, open) = held_back();
+fn requests_at_a_backup_are_answered_once_when_the_address_owner_returns() {
+    let (node, unblocked) = blocked_node();
     let discovery = Discovery::start(&[("s-1", node.address, 3)]);
-    let files = two(1, [255, 100]);
+    let files = file_pair(1, [255, 100]);
     let second = files[1].start(&discovery);
-    drop(connect(files[1].serves));
-    let mut clients: Vec<Client> = (0..50).map(|_| Client::connect(files[1].serves)).collect();
+    drop(connect(files[1].listen));
+    let mut clients: Vec<Client> = (0..50).map(|_| Client::connect(files[1].listen)).collect();
     for (number, client) in clients.iter_mut().enumerate() {
         let key = format!(",k={number:016x}");
         let body = (number % 2 == 0).then_some(&b"x"[..]);
         client.ask(number as u64, 3, &key, body);
     }
-    eventually("all are taken", || (router(&second)["open_requests"] == 50).then_some(()));
-    eventually("some are out", || (node.count() > 3).then_some(()));
+    eventually("all requests are accepted", || (router(&second)["open_requests"] == 50).then_some(()));
+    eventually("some attempts are in flight", || (node.count() > 3).then_some(()));
     let _first = files[0].start(&discovery);
     wait_for(&second, "duty", "retired");
     let mut late = Client::connect(second.resp);
-    is_held(&mut late);
-    // Whoever asks on is sent to the other machine, and is not taken here.
+    assert_answers_ping(&mut late);
+    // A further request is refused, so that the client turns to the other initiator.
     clients[0].ask(99, 3, "", None);
-    open.store(true, Ordering::Relaxed);
+    unblocked.store(true, Ordering::Relaxed);
     for client in &mut clients {
-        assert!(matches!(client.receive(), Value::Bulk(Some(_))), "what was taken is answered");
+        assert!(matches!(client.receive(), Value::Bulk(Some(_))), "accepted requests are answered");
     }
-    assert_eq!(clients[0].receive(), elsewhere());
+    assert_eq!(clients[0].receive(), busy());
     wait_for(&second, "duty", "standby");
-    is_served(&mut connect(files[0].serves));
+    assert_served(&mut connect(files[0].listen));
     let seen = node.seen.lock().unwrap();
     let writes = seen.iter().filter(|words| words[0] == "OBJ.PUT");
     let mut sent = std::collections::HashMap::new();
     writes.for_each(|words| *sent.entry(&words[2]).or_insert(0) += 1);
-    // A node that says nothing for long may be asked again under the same key, as the class allows: never by both.
+    // A silent node may be tried again with the same key, as often as the class allows, but by one initiator only.
     assert!(sent.len() == 25 && sent.values().all(|times| *times <= 4), "{sent:?}");
 }
 
-/// A machine's own address goes on serving, whoever has the other one.
-fn is_held(client: &mut Client) {
+/// The initiator's own address answers, no matter which initiator has the virtual router's.
+fn assert_answers_ping(client: &mut Client) {
     client.send(&[b"PING"]);
     assert_eq!(client.receive(), Value::Simple(b"PONG".to_vec()));
 }
 
 #[test]
-fn a_machine_that_was_stopped_steps_down_before_it_takes_anything() {
+fn a_stopped_initiator_steps_down_before_it_accepts_a_request() {
     let node = Node::echo();
     let discovery = Discovery::start(&[("s-1", node.address, 3)]);
-    let files = two(2, [200, 100]);
+    let files = file_pair(2, [200, 100]);
     let first = files[0].start(&discovery);
     let second = files[1].start(&discovery);
-    let mut client = connect(files[0].serves);
-    is_served(&mut client);
+    let mut client = connect(files[0].listen);
+    assert_served(&mut client);
     first.signal("STOP");
-    is_served(&mut connect(files[1].serves));
-    // Asked while it stands still; it wakes as one that was Active.
+    assert_served(&mut connect(files[1].listen));
+    // The request arrives while the process is stopped; it resumes in state Active.
     client.ask(7, 3, "", None);
     let before = node.count();
     first.signal("CONT");
-    assert_eq!(client.receive(), elsewhere());
-    assert_eq!(node.count(), before, "nothing was sent for it");
-    is_served(&mut connect(files[0].serves));
+    assert_eq!(client.receive(), busy());
+    assert_eq!(node.count(), before, "no attempt was made for it");
+    assert_served(&mut connect(files[0].listen));
     wait_for(&second, "state", "backup");
 }
 
 #[test]
-fn a_machine_that_is_ended_hands_over_at_once_and_answers_what_it_took() {
-    let (node, open) = held_back();
+fn a_terminated_initiator_hands_over_at_once_and_answers_its_requests() {
+    let (node, unblocked) = blocked_node();
     let quick = Node::echo();
     let discovery = Discovery::start(&[("s-1", node.address, 3), ("s-2", quick.address, 4)]);
-    let files = two(3, [200, 100]);
+    let files = file_pair(3, [200, 100]);
     let mut first = files[0].start(&discovery);
     let _second = files[1].start(&discovery);
-    let mut client = connect(files[0].serves);
+    let mut client = connect(files[0].listen);
     client.ask(1, 3, "", None);
-    eventually("it is out", || (node.count() > 0).then_some(()));
-    let told = Instant::now();
+    eventually("the attempt is in flight", || (node.count() > 0).then_some(()));
+    let terminated_at = Instant::now();
     first.terminate();
-    let mut next = connect(files[1].serves);
-    // Three intervals pass before a silent death is noticed; a resignation takes less than one.
-    assert!(told.elapsed() < Duration::from_millis(3 * INTERVAL), "{:?}", told.elapsed());
+    let mut next = connect(files[1].listen);
+    // A crash is noticed after three intervals; a resignation hands over in less than one.
+    assert!(terminated_at.elapsed() < Duration::from_millis(3 * INTERVAL), "{:?}", terminated_at.elapsed());
     next.ask(2, 4, "", None);
     assert!(matches!(next.receive(), Value::Bulk(Some(_))));
-    open.store(true, Ordering::Relaxed);
+    unblocked.store(true, Ordering::Relaxed);
     assert!(matches!(client.receive(), Value::Bulk(Some(_))));
     assert!(first.wait().success());
 }
 
 #[test]
-fn whoever_the_kernel_has_let_in_is_answered_when_the_address_goes() {
+fn a_connection_pending_in_the_kernel_is_answered_when_the_address_is_released() {
     let node = Node::echo();
     let discovery = Discovery::start(&[("s-1", node.address, 3)]);
-    let files = two(16, [200, 100]);
+    let files = file_pair(16, [200, 100]);
     let first = files[0].start(&discovery);
-    drop(connect(files[0].serves));
-    // Connected and asked while the program cannot look; the first thing it learns is that it is to end.
+    drop(connect(files[0].listen));
+    // Connects and sends a request while the process is stopped; the process handles SIGTERM first.
     first.signal("STOP");
-    let mut client = Client::connect(files[0].serves);
+    let mut client = Client::connect(files[0].listen);
     client.ask(1, 3, "", None);
     first.terminate();
     first.signal("CONT");
-    assert_eq!(client.receive(), elsewhere());
+    assert_eq!(client.receive(), busy());
 }
 
 #[test]
-fn a_reload_that_lowers_the_priority_moves_the_address_under_load() {
+fn a_reload_with_a_lower_priority_moves_the_address_under_load() {
     let node = Node::echo();
     let discovery = Discovery::start(&[("s-1", node.address, 3)]);
-    let files = two(4, [200, 100]);
+    let files = file_pair(4, [200, 100]);
     let first = files[0].start(&discovery);
     let second = files[1].start(&discovery);
-    drop(connect(files[0].serves));
-    let (serves, lowered) = ([files[0].serves, files[1].serves], Arc::new(AtomicBool::new(false)));
+    drop(connect(files[0].listen));
+    let (listen, lowered) = ([files[0].listen, files[1].listen], Arc::new(AtomicBool::new(false)));
     let done = lowered.clone();
-    // Clients that go where they are served; each request has one answer, on the connection it was sent on.
+    // A client that changes to the other initiator when refused; each request has one answer, on its own connection.
     let load = thread::spawn(move || {
-        let (mut at, mut counts, mut client) = (0, [0; 2], Client::connect(serves[0]));
+        let (mut at, mut counts, mut client) = (0, [0; 2], Client::connect(listen[0]));
         while !done.load(Ordering::Relaxed) || counts[1] == 0 {
             client.ask(1, 3, "", None);
             match client.receive() {
                 Value::Bulk(Some(_)) => counts[at] += 1,
                 refused => {
-                    assert_eq!(refused, elsewhere());
+                    assert_eq!(refused, busy());
                     at = 1 - at;
-                    client = connect(serves[at]);
+                    client = connect(listen[at]);
                 }
             }
         }
@@ -257,7 +260,7 @@
     wait_for(&second, "state", "backup");
     let [file, _] = files;
     first.reload_vrrp(&File { priority: 50, ..file }.text());
-    eventually("its priority falls", || (router(&first)["priority"] == 50).then_some(()));
+    eventually("the priority is lowered", || (router(&first)["priority"] == 50).then_some(()));
     wait_for(&second, "state", "active");
     wait_for(&first, "state", "backup");
     lowered.store(true, Ordering::Relaxed);
@@ -268,7 +271,7 @@
     assert_eq!(router(&first)["priority"], 50);
 }
 
-/// An advertiser written from RFC 9568, sections 5.1 and 5.2.
+/// Sends advertisements as in RFC 9568, sections 5.1 and 5.2.
 struct Advertiser {
     socket: UdpSocket,
     to: SocketAddr,
@@ -309,15 +312,15 @@
     }
 }
 
-/// One program and the socket of its peer.
-fn with_advertiser(test: u8, priority: u8, more: &'static str) -> (File, Advertiser) {
-    let (own, serves) = free(ip(test, 1));
-    let socket = UdpSocket::bind((ip(test, 2), 0)).unwrap();
+/// Settings of one initiator, and an advertiser as its peer.
+fn with_advertiser(test: u8, priority: u8, extra: &'static str) -> (File, Advertiser) {
+    let (own, listen) = free_addresses(loopback(test, 1));
+    let socket = UdpSocket::bind((loopback(test, 2), 0)).unwrap();
     let peer = socket.local_addr().unwrap();
-    (File { own, peer, priority, serves, more }, Advertiser::new(socket, own))
+    (File { own, peer, priority, listen, extra }, Advertiser::new(socket, own))
 }
 
-/// A count of the router, or of what belongs to none.
+/// A counter of the virtual router, or of packets that belong to none.
 fn count(program: &Program, name: &str) -> u64 {
     let report = Client::connect(program.resp).report("vrrp");
     let all = [&report["routers"][0]["statistics"], &report["errors"]];
@@ -326,7 +329,7 @@
 }
 
 #[test]
-fn a_higher_router_is_heard_from_the_start_also_with_many_addresses() {
+fn advertisements_of_a_higher_priority_keep_a_router_in_backup_even_with_255_addresses() {
     let node = Node::echo();
     let discovery = Discovery::start(&[("s-1", node.address, 3)]);
     let (file, advertiser) = with_advertiser(5, 100, "");
@@ -342,33 +345,33 @@
     }
     assert!(count(&program, "address-list-errors") > 0);
     assert_eq!(count(&program, "checksum-errors"), 0);
-    // It resigns, and is gone within the skew.
+    // The peer resigns: the program takes over after the Skew_Time.
     advertiser.send(&advertiser.packet(VRID, 0, 10, &addresses[..1]));
-    is_served(&mut connect(file.serves));
+    assert_served(&mut connect(file.listen));
 }
 
 #[test]
-fn strangers_and_packets_that_are_none_are_counted_and_change_nothing() {
+fn packets_of_unknown_senders_and_invalid_packets_are_counted_and_change_no_state() {
     let node = Node::echo();
     let discovery = Discovery::start(&[("s-1", node.address, 3)]);
     let (file, advertiser) = with_advertiser(6, 100, "");
     let program = file.start(&discovery);
-    let mut client = connect(file.serves);
-    let sound = advertiser.packet(VRID, 200, 10, &[[192, 0, 2, 1]]);
-    let stranger = Advertiser::new(UdpSocket::bind((ip(6, 3), 0)).unwrap(), file.own);
-    stranger.send(&stranger.packet(VRID, 200, 10, &[[192, 0, 2, 1]]));
+    let mut client = connect(file.listen);
+    let valid = advertiser.packet(VRID, 200, 10, &[[192, 0, 2, 1]]);
+    let unknown = Advertiser::new(UdpSocket::bind((loopback(6, 3), 0)).unwrap(), file.own);
+    unknown.send(&unknown.packet(VRID, 200, 10, &[[192, 0, 2, 1]]));
     advertiser.socket.set_ttl(64).unwrap();
-    advertiser.send(&sound);
+    advertiser.send(&valid);
     advertiser.socket.set_ttl(255).unwrap();
-    advertiser.send(&sound[..sound.len() / 2 + 3]);
+    advertiser.send(&valid[..valid.len() / 2 + 3]);
     advertiser.send(&advertiser.packet(VRID + 1, 200, 10, &[[192, 0, 2, 1]]));
     advertiser.send(&advertiser.packet(VRID, 200, 0, &[[192, 0, 2, 1]]));
-    let mut spoilt = sound.clone();
-    spoilt[9] ^= 1;
-    advertiser.send(&spoilt);
-    let mut older = sound.clone();
-    older[0] = 0x21;
-    advertiser.send(&older);
+    let mut corrupted = valid.clone();
+    corrupted[9] ^= 1;
+    advertiser.send(&corrupted);
+    let mut older_version = valid.clone();
+    older_version[0] = 0x21;
+    advertiser.send(&older_version);
     advertiser.send(&[]);
     let counted = [
         ("strangers", 1),
@@ -383,9 +386,9 @@
         eventually(name, || (count(&program, name) == expected).then_some(()));
     }
     assert_eq!(router(&program)["state"], "active");
-    is_served(&mut client);
-    // The sound one makes it step down, so that all the others were left for what they are.
-    advertiser.send(&sound);
+    assert_served(&mut client);
+    // The valid packet makes it step down, which shows that all the others were ignored.
+    advertiser.send(&valid);
     wait_for(&program, "state", "backup");
 }
 
@@ -395,14 +398,14 @@
     let discovery = Discovery::start(&[("s-1", node.address, 3)]);
     let (file, advertiser) = with_advertiser(7, 200, "");
     let program = file.start(&discovery);
-    let mut client = connect(file.serves);
+    let mut client = connect(file.listen);
     let done = Arc::new(AtomicBool::new(false));
     let stop = done.clone();
     let flood = thread::spawn(move || {
         let packet = advertiser.packet(VRID, 100, 10, &[[192, 0, 2, 1]]);
         let (start, mut sent) = (Instant::now(), 0_u32);
         while !stop.load(Ordering::Relaxed) {
-            // 10,000 a second, whatever the sleep makes of it.
+            // 10,000 per second, however long the sleep takes.
             let due = (start.elapsed().as_secs_f64() * 10_000.0) as u32;
             (sent..due).for_each(|_| advertiser.send(&packet));
             sent = due;
@@ -413,74 +416,74 @@
     let start = Instant::now();
     let mut served = 0;
     while start.elapsed() < Duration::from_secs(2) {
-        is_served(&mut client);
+        assert_served(&mut client);
         served += 1;
     }
     done.store(true, Ordering::Relaxed);
     let rate = flood.join().unwrap();
     assert!(served > 100 && rate > 5000.0, "{served} served at {rate} a second");
     assert_eq!(router(&program)["state"], "active");
-    let (heard, sent) = (count(&program, "advertisement-rcvd"), count(&program, "advertisement-sent"));
-    assert!(heard > 5000, "{heard}");
-    assert!(sent < 400, "a flood is not answered packet by packet: {sent}");
+    let (received, sent) = (count(&program, "advertisement-rcvd"), count(&program, "advertisement-sent"));
+    assert!(received > 5000, "{received}");
+    assert!(sent < 400, "a flood is not answered packet by packet: {sent} sent");
 }
 
 #[test]
-fn an_address_that_cannot_be_bound_is_tried_until_it_can() {
+fn binding_an_address_in_use_is_retried_until_it_is_free() {
     let node = Node::echo();
     let discovery = Discovery::start(&[("s-1", node.address, 3)]);
-    let more = "[[tracking.rule]]\ncondition = \"address\"\nlowers = 120\n";
-    let (file, _advertiser) = with_advertiser(8, 200, more);
-    let other = TcpListener::bind(file.serves).unwrap();
+    let extra = "[[tracking.rule]]\ncondition = \"address\"\nlowers = 120\n";
+    let (file, _advertiser) = with_advertiser(8, 200, extra);
+    let other = TcpListener::bind(file.listen).unwrap();
     let program = file.start(&discovery);
     wait_for(&program, "duty", "opening");
-    eventually("its priority falls", || (router(&program)["priority"] == 80).then_some(()));
+    eventually("the priority is lowered", || (router(&program)["priority"] == 80).then_some(()));
     assert_eq!(Client::connect(program.resp).report("vrrp")["holds"][0], "address");
     thread::sleep(Duration::from_secs(2));
     assert_eq!(router(&program)["duty"], "opening");
     drop(other);
     wait_for(&program, "duty", "serving");
-    eventually("its priority rises", || (router(&program)["priority"] == 200).then_some(()));
-    is_served(&mut connect(file.serves));
+    eventually("the priority is restored", || (router(&program)["priority"] == 200).then_some(()));
+    assert_served(&mut connect(file.listen));
 }
 
 #[test]
-fn a_command_moves_the_address_and_one_that_cannot_let_go_is_no_lasting_fault() {
+fn a_failed_release_command_does_not_keep_the_address_from_being_taken_again() {
     let node = Node::echo();
     let discovery = Discovery::start(&[("s-1", node.address, 3)]);
-    let mark = folder().join("maintenance");
-    let more = format!(
-        "file = {mark:?}\n[[tracking.rule]]\ncondition = \"address\"\nlowers = 50\nfall = 1\nrise = 1\n\
+    let maintenance_file = folder().join("maintenance");
+    let extra = format!(
+        "file = {maintenance_file:?}\n[[tracking.rule]]\ncondition = \"address\"\nlowers = 50\nfall = 1\nrise = 1\n\
          [[tracking.rule]]\ncondition = \"file\"\nlowers = 0\nfall = 1\nrise = 1\n\
          [address]\ntake = [\"/bin/true\"]\nrelease = [\"/bin/false\"]\n"
     );
-    let (file, _advertiser) = with_advertiser(17, 200, more.leak());
+    let (file, _advertiser) = with_advertiser(17, 200, extra.leak());
     let program = file.start(&discovery);
-    is_served(&mut connect(file.serves));
-    std::fs::write(&mark, "").unwrap();
+    assert_served(&mut connect(file.listen));
+    std::fs::write(&maintenance_file, "").unwrap();
     wait_for(&program, "duty", "standby");
-    std::fs::remove_file(&mark).unwrap();
-    eventually("nothing lowers its priority", || (router(&program)["priority"] == 200).then_some(()));
-    is_served(&mut connect(file.serves));
+    std::fs::remove_file(&maintenance_file).unwrap();
+    eventually("no condition lowers the priority", || (router(&program)["priority"] == 200).then_some(()));
+    assert_served(&mut connect(file.listen));
 }
 
 #[test]
-fn conditions_lower_the_priority_and_a_file_means_maintenance() {
+fn conditions_lower_the_priority_and_the_file_puts_the_router_into_maintenance() {
     let node = Node::echo();
     let discovery = Discovery::start(&[("s-1", node.address, 3)]);
-    let mark = folder().join("maintenance");
-    let more = format!(
-        "file = {mark:?}\n[[tracking.rule]]\ncondition = \"no-ready-node\"\nlowers = 150\n\
+    let maintenance_file = folder().join("maintenance");
+    let extra = format!(
+        "file = {maintenance_file:?}\n[[tracking.rule]]\ncondition = \"no-ready-node\"\nlowers = 150\n\
          [[tracking.rule]]\ncondition = \"file\"\nlowers = 0\n"
     );
-    let (file, advertiser) = with_advertiser(9, 200, more.leak());
+    let (file, advertiser) = with_advertiser(9, 200, extra.leak());
     let program = file.start(&discovery);
-    let mut client = connect(file.serves);
+    let mut client = connect(file.listen);
     discovery.tell(true, &[]);
-    eventually("its priority falls", || (router(&program)["priority"] == 50).then_some(()));
+    eventually("the priority is lowered", || (router(&program)["priority"] == 50).then_some(()));
     discovery.tell(true, &[line("s-1", node.address, 3, "active")]);
-    eventually("its priority rises", || (router(&program)["priority"] == 200).then_some(()));
-    std::fs::write(&mark, "").unwrap();
+    eventually("the priority is restored", || (router(&program)["priority"] == 200).then_some(()));
+    std::fs::write(&maintenance_file, "").unwrap();
     wait_for(&program, "duty", "standby");
     advertiser.socket.set_read_timeout(Some(PATIENCE)).unwrap();
     let mut packet = [0; 64];
@@ -489,22 +492,22 @@
         (packet[2] == 0).then_some(())
     });
     client.ask(1, 3, "", None);
-    assert_eq!(client.receive(), elsewhere());
+    assert_eq!(client.receive(), busy());
     thread::sleep(Duration::from_millis(5 * INTERVAL));
-    assert_eq!(router(&program)["state"], "backup", "it never takes over in maintenance");
-    std::fs::remove_file(&mark).unwrap();
-    is_served(&mut connect(file.serves));
+    assert_eq!(router(&program)["state"], "backup", "it does not take over in maintenance");
+    std::fs::remove_file(&maintenance_file).unwrap();
+    assert_served(&mut connect(file.listen));
 }
 
-/// A program whose only rule is this condition, and a way to see whether it holds.
-fn tracks(test: u8, condition: &str, more: &str) -> (File, Advertiser) {
-    let more = format!(
-        "{more}\n[[tracking.rule]]\ncondition = \"{condition}\"\nlowers = 50\nfall = 1\nrise = 1000\n"
+/// Settings of one initiator with this condition as its only tracking rule, and an advertiser as its peer.
+fn with_condition(test: u8, condition: &str, extra: &str) -> (File, Advertiser) {
+    let extra = format!(
+        "{extra}\n[[tracking.rule]]\ncondition = \"{condition}\"\nlowers = 50\nfall = 1\nrise = 1000\n"
     );
-    with_advertiser(test, 200, more.leak())
+    with_advertiser(test, 200, extra.leak())
 }
 
-fn holds(program: &Program, condition: &str) -> bool {
+fn condition_holds(program: &Program, condition: &str) -> bool {
     let report = Client::connect(program.resp).report("vrrp");
     let listed = report["holds"].as_array().unwrap().iter().any(|name| name == condition);
     assert_eq!(listed, report["routers"][0]["priority"] == 150, "{report}");
@@ -512,51 +515,51 @@
 }
 
 #[test]
-fn each_condition_is_seen_when_it_is_caused() {
+fn each_condition_holds_after_its_cause() {
     let node = Node::echo();
     let discovery = Discovery::start(&[("s-1", node.address, 3)]);
-    let (file, _advertiser) = tracks(11, "loop-late", "loop_late_ms = 300");
+    let (file, _advertiser) = with_condition(11, "loop-late", "loop_late_ms = 300");
     let program = file.start(&discovery);
-    assert!(!holds(&program, "loop-late"));
+    assert!(!condition_holds(&program, "loop-late"));
     program.signal("STOP");
     thread::sleep(Duration::from_millis(600));
     program.signal("CONT");
-    eventually("the loop was late", || holds(&program, "loop-late").then_some(()));
+    eventually("the loop was late", || condition_holds(&program, "loop-late").then_some(()));
 
-    let (file, _advertiser) = tracks(12, "memory", "memory_percent = 90");
-    assert!(!holds(&file.start(&discovery), "memory"));
-    let (file, _advertiser) = tracks(12, "memory", "memory_percent = 1");
+    let (file, _advertiser) = with_condition(12, "memory", "memory_percent = 90");
+    assert!(!condition_holds(&file.start(&discovery), "memory"));
+    let (file, _advertiser) = with_condition(12, "memory", "memory_percent = 1");
     let program = file.start(&discovery);
-    eventually("memory is short", || holds(&program, "memory").then_some(()));
+    eventually("memory is short", || condition_holds(&program, "memory").then_some(()));
 
-    let (file, _advertiser) = tracks(13, "descriptors", "");
+    let (file, _advertiser) = with_condition(13, "descriptors", "");
     let program = file.start(&discovery);
-    assert!(!holds(&program, "descriptors"));
+    assert!(!condition_holds(&program, "descriptors"));
     let clients: Vec<Client> = (0..152).map(|_| Client::connect(program.resp)).collect();
-    eventually("descriptors are short", || holds(&program, "descriptors").then_some(()));
+    eventually("descriptors are short", || condition_holds(&program, "descriptors").then_some(()));
     drop(clients);
 
-    // A watch that waits for news is answered after 0.5 s.
-    let (file, _advertiser) = tracks(14, "discovery-silent", "discovery_silent_ms = 2000");
+    // A watch without changes is answered after 0.5 s.
+    let (file, _advertiser) = with_condition(14, "discovery-silent", "discovery_silent_ms = 2000");
     let program = file.start(&discovery);
-    assert!(!holds(&program, "discovery-silent"));
+    assert!(!condition_holds(&program, "discovery-silent"));
     discovery.fall_silent();
-    eventually("discovery is silent", || holds(&program, "discovery-silent").then_some(()));
+    eventually("discovery is silent", || condition_holds(&program, "discovery-silent").then_some(()));
 }
 
 #[test]
-fn a_router_that_accepts_nothing_is_active_and_does_not_listen() {
+fn a_router_without_accept_mode_is_active_and_does_not_listen() {
     let node = Node::echo();
     let discovery = Discovery::start(&[("s-1", node.address, 3)]);
     let (file, _advertiser) = with_advertiser(15, 200, "");
     let text = file.text().replace("vrid =", "accept = false\nvrid =");
     let program = Program::start(&discovery, Setup { vrrp: text, ..Setup::default() });
     wait_for(&program, "duty", "serving");
-    assert!(std::net::TcpStream::connect(file.serves).is_err());
+    assert!(std::net::TcpStream::connect(file.listen).is_err());
 }
 
 #[test]
-fn an_unusable_file_ends_the_program_with_one_line() {
+fn an_invalid_file_ends_the_program_with_one_line() {
     let node = Node::echo();
     let discovery = Discovery::start(&[("s-1", node.address, 3)]);
     let (file, _advertiser) = with_advertiser(10, 200, "");
@@ -567,7 +570,7 @@
         ("vrid = 51", "vrid = 256", "router \"dashboards\": vrid: 256 is not allowed, 1 to 255 are"),
         ("burst_share = 0.5", "burst_share = 0.1", "leaves no room for the largest request of plan \"base\""),
         ("listen = ", "listen_iscsi = ", "listen_iscsi: the second front is off"),
-        // A sound file, beside planners.
+        // A valid file, but planners are enabled too.
         ("", "", "planners.toml: enabled: not beside VRRP"),
     ] {
         let (mut command, files) = command(&config, "");
@@ -576,10 +579,10 @@
             let planners = "enabled = true\nplanners = [\"127.0.0.1:1\"]\n";
             std::fs::write(files.join("planners.toml"), planners).unwrap();
         }
-        let ended = command.output().unwrap();
-        let said = String::from_utf8(ended.stderr).unwrap();
-        let lines: Vec<&str> = said.lines().filter(|line| line.starts_with("topazpath:")).collect();
-        assert!(!ended.status.success() && lines.len() == 1 && lines[0].contains(expected), "{said}");
+        let output = command.output().unwrap();
+        let stderr = String::from_utf8(output.stderr).unwrap();
+        let lines: Vec<&str> = stderr.lines().filter(|line| line.starts_with("topazpath:")).collect();
+        assert!(!output.status.success() && lines.len() == 1 && lines[0].contains(expected), "{stderr}");
         std::fs::remove_dir_all(files).unwrap();
     }
 }
