--- a/src/fleet/view.rs
+++ b/src/fleet/view.rs
@@ -12,8 +12,8 @@
 /// Maximum number of members that join and leave from one view to the next: what fits into one datagram.
 pub const MAX_CHANGES: usize = 12;
 
-/// Identifies a view. Views are ordered by bootstrap, then by number: a view of a later bootstrap supersedes all of an
-/// earlier one.
+/// Identifies a view; whatever depends on a view refers to it by this. Views are ordered by bootstrap, then by number: a
+/// view of a later bootstrap supersedes all of an earlier one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
 pub struct ViewId {
     /// When and by which member the fleet was bootstrapped; 0 before that. See [`BOOTSTRAPPER_BITS`].
