--- a/src/fleet/frame.rs
+++ b/src/fleet/frame.rs
@@ -139,39 +139,39 @@
     }
 
     fn is_valid(&self) -> bool {
-        let named = |name: &String| !name.is_empty() && name.len() <= MAX_NAME_BYTES;
-        let listed = |listed: &ViewMember| named(&listed.name) && listed.address.port() != 0;
-        let entry = |entry: &ViewEntry| match entry {
-            ViewEntry::Member(it) => listed(it),
-            ViewEntry::Ended(name, _) => named(name),
+        let valid_name = |name: &String| !name.is_empty() && name.len() <= MAX_NAME_BYTES;
+        let valid_member = |member: &ViewMember| valid_name(&member.name) && member.address.port() != 0;
+        let valid_entry = |entry: &ViewEntry| match entry {
+            ViewEntry::Member(it) => valid_member(it),
+            ViewEntry::Ended(name, _) => valid_name(name),
         };
-        let changes = |change: &Change| {
+        let valid_change = |change: &Change| {
             change.joins.len() + change.leaves.len() <= MAX_CHANGES
-                && change.joins.iter().all(listed)
-                && change.leaves.iter().all(named)
+                && change.joins.iter().all(valid_member)
+                && change.leaves.iter().all(valid_name)
         };
         let message = match &self.message {
-            Message::IndirectProbe { name, address, .. } => named(name) && address.port() != 0,
+            Message::IndirectProbe { name, address, .. } => valid_name(name) && address.port() != 0,
             Message::Page { page, pages, entries } => {
-                page < pages && entries.len() <= ENTRIES_PER_PAGE && entries.iter().all(entry)
+                page < pages && entries.len() <= ENTRIES_PER_PAGE && entries.iter().all(valid_entry)
             }
             Message::Prepare { leaves, ballot } => {
-                leaves.len() <= MAX_CHANGES && leaves.iter().all(named) && named(&ballot.by)
+                leaves.len() <= MAX_CHANGES && leaves.iter().all(valid_name) && valid_name(&ballot.by)
             }
             Message::Promise { accepted, objections, ballot } => {
                 let accepted = accepted.as_ref();
                 objections.len() <= MAX_CHANGES
-                    && objections.iter().all(named)
-                    && named(&ballot.by)
-                    && accepted.is_none_or(|(at, change)| named(&at.by) && changes(change))
+                    && objections.iter().all(valid_name)
+                    && valid_name(&ballot.by)
+                    && accepted.is_none_or(|(at, change)| valid_name(&at.by) && valid_change(change))
             }
-            Message::Propose { ballot, change } => named(&ballot.by) && changes(change),
-            Message::Decided { change, .. } => changes(change),
-            Message::Accepted(ballot) => named(&ballot.by),
+            Message::Propose { ballot, change } => valid_name(&ballot.by) && valid_change(change),
+            Message::Decided { change, .. } => valid_change(change),
+            Message::Accepted(ballot) => valid_name(&ballot.by),
             Message::Ping(_) | Message::Ack(_) | Message::IndirectResult { .. } => true,
             Message::Join | Message::NameTaken(_) | Message::Fetch(_) => true,
         };
-        named(&self.from)
+        valid_name(&self.from)
             && message
             && self.updates.len() <= MAX_UPDATES
             && self.updates.iter().all(Update::is_valid)
--- a/src/fleet/member/agreement.rs
+++ b/src/fleet/member/agreement.rs
@@ -126,11 +126,11 @@
             return;
         }
         let bootstrapping = self.view.id == ViewId::default();
-        let may = match bootstrapping {
+        let may_propose = match bootstrapping {
             true => self.phase == Phase::Joining && self.view.members.contains_key(&self.own.name),
             false => self.is_quorate(now),
         };
-        if !may {
+        if !may_propose {
             return;
         }
         let rank = self.rank();
@@ -154,9 +154,9 @@
         let change = self.desired(now);
         let bootstrapping = self.view.id == ViewId::default();
         let seed_member = |listed: &&ViewMember| self.view.members.contains_key(&listed.name);
-        let enough =
+        let has_majority =
             !bootstrapping || change.joins.iter().filter(seed_member).count() >= self.view.majority();
-        if change.is_empty() || !enough {
+        if change.is_empty() || !has_majority {
             return;
         }
         self.counters.proposals += 1;
--- a/src/fleet/member/bootstrap.rs
+++ b/src/fleet/member/bootstrap.rs
@@ -33,12 +33,16 @@
         if self.view.id == ViewId::default() {
             return;
         }
-        let later = |name: &String, generation: Generation| match *name == self.own.name {
+        let has_later_generation = |name: &String, generation: Generation| match *name == self.own.name {
             true => self.generation > generation,
             false => self.peers.get(name).is_some_and(|peer| peer.update.generation > generation),
         };
-        let ended =
-            self.view.members.values().filter(|listed| later(&listed.name, listed.generation)).count();
+        let ended = self
+            .view
+            .members
+            .values()
+            .filter(|listed| has_later_generation(&listed.name, listed.generation))
+            .count();
         if self.view.members.len() - ended >= self.view.majority() {
             return;
         }
--- a/src/fleet/member/install.rs
+++ b/src/fleet/member/install.rs
@@ -29,10 +29,10 @@
         if before.id == ViewId::default() {
             return;
         }
-        let stays = |listed: &ViewMember| {
+        let is_retained = |listed: &ViewMember| {
             self.view.members.get(&listed.name).is_some_and(|now| now.generation == listed.generation)
         };
-        for (name, listed) in before.members.iter().filter(|(_, listed)| !stays(listed)) {
+        for (name, listed) in before.members.iter().filter(|(_, listed)| !is_retained(listed)) {
             let left = self.peers.get(name).is_some_and(|it| it.update.state == MemberState::Leaving);
             let what = if left { "left" } else { "gone" };
             let evidence =
--- a/src/fleet/member/join.rs
+++ b/src/fleet/member/join.rs
@@ -71,19 +71,19 @@
     /// Asks the seeds and some members of the view for admission, or announces to some members that this one leaves.
     pub(super) fn announce(&mut self, now: Duration, actions: &mut Vec<Action>) {
         self.next_join = now + self.own.period.mul_f64(0.75 + self.random.draw() / 2.0);
-        let leaves = self.phase == Phase::Leaving;
-        if leaves && now.saturating_sub(self.phase_since) > self.own.period * LEAVE_ANNOUNCEMENT_PERIODS {
+        let leaving = self.phase == Phase::Leaving;
+        if leaving && now.saturating_sub(self.phase_since) > self.own.period * LEAVE_ANNOUNCEMENT_PERIODS {
             return self.change_phase(now, Phase::Left, "announced for long enough", actions);
         }
         let others = self.random_members(self.own.helpers.max(2));
-        let seeds = self.own.seeds.iter().filter(|(name, _)| !leaves && **name != self.own.name);
+        let seeds = self.own.seeds.iter().filter(|(name, _)| !leaving && **name != self.own.name);
         let to: BTreeSet<SocketAddr> = others.into_iter().chain(seeds.map(|(_, at)| *at)).collect();
         for to in to {
-            if leaves {
+            if leaving {
                 let update = self.own_update();
                 self.enqueue(update);
             }
-            self.send(to, if leaves { Message::Ping(0) } else { Message::Join }, actions);
+            self.send(to, if leaving { Message::Ping(0) } else { Message::Join }, actions);
         }
     }
 
--- a/src/fleet/member/tests.rs
+++ b/src/fleet/member/tests.rs
@@ -62,9 +62,9 @@
     assert!(member.peers().contains_key("b"), "silence alone removes no member");
 }
 
-/// Operators' programs read them.
+/// Operators' programs parse this output.
 #[test]
-fn lines_and_json_for_operators_are_written_as_they_were() {
+fn info_rows_and_json_match_the_recorded_ones() {
     use crate::fleet::{report, traffic::Traffic};
     let (mut member, now) = alone();
     for (name, port, state) in [("b", 2, MemberState::Alive), ("c", 3, MemberState::Leaving)] {
--- a/src/fleet/member/updates.rs
+++ b/src/fleet/member/updates.rs
@@ -57,11 +57,11 @@
     /// Applies an update that overrides the known one.
     fn replace(&mut self, now: Duration, update: Update, actions: &mut Vec<Action>) {
         let Some(peer) = self.peers.get_mut(&update.name) else { return };
-        let another = update.generation != peer.update.generation;
+        let new_generation = update.generation != peer.update.generation;
         // Within a generation the address stays, so that a forged update cannot redirect a member's datagrams.
-        let address = if another { update.address } else { peer.update.address };
+        let address = if new_generation { update.address } else { peer.update.address };
         let update = Update { address, ..update };
-        if another {
+        if new_generation {
             (peer.last_received, peer.last_ack, peer.last_indirect_ack) = (None, None, None);
         }
         peer.update = update.clone();
@@ -69,11 +69,11 @@
             return self.suspect(now, &update, actions);
         }
         peer.faulty = false;
-        if peer.suspicion.take().is_some() && !another {
+        if peer.suspicion.take().is_some() && !new_generation {
             let evidence = format!("incarnation {}", update.incarnation);
             actions.push(Action::Note { name: update.name.clone(), what: "refuted", evidence });
         }
-        (self.view_may_change, self.generations_changed) = (true, self.generations_changed || another);
+        (self.view_may_change, self.generations_changed) = (true, self.generations_changed || new_generation);
         self.enqueue(update);
     }
 
--- a/src/fleet/settings.rs
+++ b/src/fleet/settings.rs
@@ -87,12 +87,12 @@
     /// Parses and checks the text of a fleet settings file; `None` if it has `enabled = false`.
     pub fn parse(text: &str) -> Result<Option<Settings>, String> {
         let file: File = toml::from_str(text).map_err(|error| error.message().replace('\n', " "))?;
-        let named = |key: &str, name: &str| match name.len() {
+        let check_name = |key: &str, name: &str| match name.len() {
             1..=MAX_NAME_BYTES => Ok(()),
             _ => Err(format!("{key}: 1 to {MAX_NAME_BYTES} bytes are allowed")),
         };
-        named("fleet", &file.fleet)?;
-        named("name", &file.name)?;
+        check_name("fleet", &file.fleet)?;
+        check_name("name", &file.name)?;
         if !PERIOD_RANGE_MS.contains(&file.period_ms) {
             return Err(format!(
                 "period_ms: {} to {} are allowed",
@@ -115,7 +115,7 @@
         }
         let mut seeds = BTreeMap::new();
         for Seed { name, address } in file.seed {
-            named("seed.name", &name)?;
+            check_name("seed.name", &name)?;
             if seeds.insert(name.clone(), address).is_some() {
                 return Err(format!("seed.name: {name:?} is listed twice"));
             }
--- a/src/fleet/update.rs
+++ b/src/fleet/update.rs
@@ -55,11 +55,11 @@
             MemberState::Suspect { .. } => 2,
             MemberState::Leaving => 3,
         };
-        let leaves = |update: &Update| update.state == MemberState::Leaving;
+        let is_leaving = |update: &Update| update.state == MemberState::Leaving;
         if self.generation != known.generation {
             return self.generation > known.generation;
         }
-        match (leaves(self), leaves(known)) {
+        match (is_leaving(self), is_leaving(known)) {
             (new, old) if new != old => new,
             _ => (self.incarnation, rank(&self.state)) > (known.incarnation, rank(&known.state)),
         }
@@ -67,12 +67,12 @@
 
     /// Whether a received update is within bounds: names of 1 to [`MAX_NAME_BYTES`] bytes and a port.
     pub fn is_valid(&self) -> bool {
-        let named = |name: &str| !name.is_empty() && name.len() <= MAX_NAME_BYTES;
+        let valid_name = |name: &str| !name.is_empty() && name.len() <= MAX_NAME_BYTES;
         let witness = match &self.state {
-            MemberState::Suspect { by } => named(by),
+            MemberState::Suspect { by } => valid_name(by),
             _ => true,
         };
-        named(&self.name) && witness && self.address.port() != 0
+        valid_name(&self.name) && witness && self.address.port() != 0
     }
 }
 
--- a/src/vrrp/machine.rs
+++ b/src/vrrp/machine.rs
@@ -32,7 +32,7 @@
 pub enum State {
     /// Not started.
     Initialize,
-    /// Monitors the Active router, or waits whether there is one.
+    /// Monitors the Active router, or waits to see whether there is one.
     Backup {
         /// Active_Down_Timer. None while the priority is 0, so that this router never takes over.
         down_at: Option<Duration>,
@@ -131,7 +131,7 @@
 pub struct Step {
     /// Send an advertisement with this priority.
     pub advertise: Option<u8>,
-    /// The state changed.
+    /// The transition, if the state changed.
     pub transition: Option<Transition>,
 }
 
--- a/src/vrrp/mod.rs
+++ b/src/vrrp/mod.rs
@@ -3,7 +3,7 @@
 //!
 //! Modules:
 //!
-//! - [`packet`]: advertisements,
+//! - [`packet`]: encoding and decoding of advertisements,
 //! - [`machine`]: the state machine of one virtual router,
 //! - [`timers`]: the timers of many virtual routers,
 //! - [`track`]: conditions of the host that lower the priorities,
--- a/src/vrrp/packet.rs
+++ b/src/vrrp/packet.rs
@@ -119,7 +119,7 @@
                 IpAddr::V6(address) => packet.extend(address.octets()),
             }
         }
-        let sum = checksum(&packet, covered(path, coverage));
+        let sum = checksum(&packet, pseudo_header(path, coverage));
         packet[6..HEADER_BYTES].copy_from_slice(&sum.to_be_bytes());
         packet
     }
@@ -136,7 +136,7 @@
         if packet.len() != HEADER_BYTES + usize::from(head[3]) * family.address_bytes() {
             return Err(Invalid::Length);
         }
-        let holds = |coverage: &Coverage| checksum(packet, covered(path, *coverage)) == 0;
+        let holds = |coverage: &Coverage| checksum(packet, pseudo_header(path, *coverage)) == 0;
         let coverage = [Coverage::PseudoHeader, Coverage::Message].into_iter().find(holds);
         let coverage = coverage.ok_or(Invalid::Checksum)?;
         let centiseconds = u16::from_be_bytes([head[4], head[5]]) & MAX_CENTISECONDS;
@@ -165,7 +165,7 @@
 }
 
 /// The pseudo-header addresses, if the checksum covers them.
-fn covered(path: Path, coverage: Coverage) -> Option<Path> {
+fn pseudo_header(path: Path, coverage: Coverage) -> Option<Path> {
     (coverage == Coverage::PseudoHeader || Family::of(path.source) == Family::V6).then_some(path)
 }
 
--- a/src/vrrp/speaker/tests.rs
+++ b/src/vrrp/speaker/tests.rs
@@ -123,9 +123,9 @@
     });
 }
 
-/// Operators' programs read them.
+/// Operators' programs parse this output.
 #[test]
-fn lines_and_json_for_operators_are_written_as_they_were() {
+fn info_rows_and_json_match_the_recorded_ones() {
     use crate::vrrp::report::{RouterReport, Snapshot};
     let report = RouterReport {
         name: "front".into(),
