--- a/src/vrrp/report.rs
+++ b/src/vrrp/report.rs
@@ -15,7 +15,8 @@
     /// The virtual routers.
     pub routers: Vec<RouterReport>,
     /// Names of the conditions that lower the priorities at present.
-    pub holds: Vec<&'static str>,
+    #[serde(rename = "holds")]
+    pub active_conditions: Vec<&'static str>,
     /// Counts of packets that belong to no virtual router, and of sent bytes; named as in RFC 8347 where it has them.
     pub errors: Counts,
     /// Share of each limit's rate that this host may use.
@@ -104,12 +105,12 @@
                 statistics: routers.statistics(at).counts(),
             }
         };
-        let holds = Condition::ALL.into_iter().filter(|it| routers.tracker().holds(*it));
+        let active_conditions = Condition::ALL.into_iter().filter(|it| routers.tracker().holds(*it));
         let mut errors = routers.errors.counts();
         errors.extend([("bytes-sent", driver.bytes_sent), ("send-errors", driver.send_errors)]);
         Snapshot {
-            routers: routers.all().map(report).collect(),
-            holds: holds.map(Condition::name).collect(),
+            routers: routers.indices().map(report).collect(),
+            active_conditions: active_conditions.map(Condition::name).collect(),
             errors,
             rate_share: share.rate,
             burst_share: share.burst,
--- a/src/vrrp/routers.rs
+++ b/src/vrrp/routers.rs
@@ -117,7 +117,7 @@
     }
 
     /// Positions of all routers.
-    pub fn all(&self) -> std::ops::Range<usize> {
+    pub fn indices(&self) -> std::ops::Range<usize> {
         0..self.running.len()
     }
 
@@ -148,12 +148,12 @@
 
     /// Starts all routers.
     pub fn start(&mut self, now: Duration, outputs: &mut Vec<Output>) {
-        self.all().for_each(|router| self.step(router, now, Event::Startup, outputs));
+        self.indices().for_each(|router| self.step(router, now, Event::Startup, outputs));
     }
 
     /// Shuts all routers down; the Active ones resign.
     pub fn shut_down(&mut self, now: Duration, outputs: &mut Vec<Output>) {
-        self.all().for_each(|router| self.step(router, now, Event::Shutdown, outputs));
+        self.indices().for_each(|router| self.step(router, now, Event::Shutdown, outputs));
     }
 
     /// Fires due timers. Received packets must be passed to [`Routers::receive`] before.
@@ -252,7 +252,7 @@
     }
 
     fn set_priorities(&mut self, now: Duration, outputs: &mut Vec<Output>) {
-        for router in self.all() {
+        for router in self.indices() {
             let priority = self.tracker.priority(self.running[router].router.priority);
             if priority != self.running[router].machine.priority() {
                 self.step(router, now, Event::Priority(priority), outputs);
--- a/src/vrrp/routers/tests.rs
+++ b/src/vrrp/routers/tests.rs
@@ -137,5 +137,5 @@
     routers.shut_down(MS(440), &mut outputs);
     let ended = |output: &&Output| matches!(output, Output::Changed { transition, .. } if transition.reason == Reason::Shutdown);
     assert_eq!(outputs.iter().filter(ended).count(), 2);
-    assert_eq!((routers.next_timer(), routers.all()), (None, 0..2));
+    assert_eq!((routers.next_timer(), routers.indices()), (None, 0..2));
 }
--- a/src/vrrp/settings.rs
+++ b/src/vrrp/settings.rs
@@ -122,11 +122,11 @@
     priority: i64,
     interval_ms: i64,
     addresses: Vec<IpAddr>,
-    #[serde(default = "yes")]
+    #[serde(default = "default_true")]
     preempt: bool,
     #[serde(default)]
     preempt_delay_ms: i64,
-    #[serde(default = "yes")]
+    #[serde(default = "default_true")]
     accept: bool,
     #[serde(default)]
     ipv4_checksum: FileCoverage,
@@ -192,7 +192,7 @@
     burst_share: f64,
 }
 
-fn yes() -> bool {
+fn default_true() -> bool {
     true
 }
 
@@ -416,7 +416,7 @@
     /// Advertisement_Interval of the leading planner, in milliseconds; a multiple of ten.
     interval_ms: i64,
     /// Preempt_Mode: whether it takes over from a planner of lower priority.
-    #[serde(default = "yes")]
+    #[serde(default = "default_true")]
     preempt: bool,
     /// Local UDP address for advertisements.
     address: SocketAddrV4,
--- a/src/vrrp/speaker/tests.rs
+++ b/src/vrrp/speaker/tests.rs
@@ -143,8 +143,9 @@
         skew_us: 14,
         statistics: crate::vrrp::routers::Statistics::default().counts(),
     };
-    let (holds, errors) = (vec!["discovery"], crate::vrrp::routers::Errors::default().counts());
-    let snapshot = Snapshot { routers: vec![report], holds, errors, rate_share: 0.25, burst_share: 0.5 };
+    let (active_conditions, errors) = (vec!["discovery"], crate::vrrp::routers::Errors::default().counts());
+    let snapshot =
+        Snapshot { routers: vec![report], active_conditions, errors, rate_share: 0.25, burst_share: 0.5 };
     assert_eq!(snapshot.json() + "\n", include_str!("../../../tests/fixtures/reports/vrrp.json"));
     assert_eq!(snapshot.lines().replace('\r', ""), include_str!("../../../tests/fixtures/reports/vrrp.txt"));
 }
--- a/src/vrrp/track.rs
+++ b/src/vrrp/track.rs
@@ -61,14 +61,14 @@
     #[serde(rename = "lowers")]
     pub priority_decrement: u8,
     /// Successive checks that must find the condition before it holds.
-    #[serde(default = "three")]
+    #[serde(default = "default_check_count")]
     pub fall: u32,
     /// Successive checks that must not find the condition before it no longer holds.
-    #[serde(default = "three")]
+    #[serde(default = "default_check_count")]
     pub rise: u32,
 }
 
-fn three() -> u32 {
+fn default_check_count() -> u32 {
     3
 }
 
