--- a/src/fleet/member/fetch.rs
+++ b/src/fleet/member/fetch.rs
@@ -1,17 +1,17 @@
-//! Fetching a view that another member has and this one missed, a page a datagram, and serving the pages of one's own.
+//! Fetching a later view from another member, one page per datagram, and serving pages of the installed view.
 
 use super::receive::Sender;
 use super::{Action, Member, MAX_MEMBERS};
-use crate::fleet::frame::{Message, PAGE};
+use crate::fleet::frame::{Message, ENTRIES_PER_PAGE};
 use crate::fleet::view::{View, ViewEntry, ViewId};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Pages of the largest view that is fetched: its members, and as many names that have ended.
-const MAX_PAGES: usize = 2 * MAX_MEMBERS / PAGE;
-/// A page may take as long as so many answers.
-const ANSWERS_A_PAGE: u32 = 2;
+/// Maximum number of pages that are fetched: a view's members, and as many ended generations.
+const MAX_PAGES: usize = 2 * MAX_MEMBERS / ENTRIES_PER_PAGE;
+/// Timeout of a page, in ack timeouts.
+const PAGE_TIMEOUT_ANSWERS: u32 = 2;
 
 /// A view that is being fetched.
 pub(super) struct Fetch {
@@ -19,36 +19,41 @@
     from: String,
     pages: BTreeMap<u16, Vec<ViewEntry>>,
     count: u16,
-    /// Without another page by then it is given up.
+    /// When the fetch is given up unless another page arrives.
     pub(super) until: Duration,
 }
 
 impl Member {
-    /// Somebody has a later view: its first page is asked for, unless that one or a later one is being fetched already.
+    /// Requests the first page of a sender's later view, unless that view or a later one is being fetched already.
     pub(super) fn request_view(&mut self, now: Duration, sender: Sender, actions: &mut Vec<Action>) {
         let id = sender.view;
         if self.fetch.as_ref().is_some_and(|fetch| fetch.id >= id && now < fetch.until) {
             return;
         }
-        let until = now + self.own.answer * ANSWERS_A_PAGE;
+        let until = now + self.own.ack_timeout * PAGE_TIMEOUT_ANSWERS;
         let from = sender.name.to_string();
         self.fetch = Some(Fetch { id, from, pages: BTreeMap::new(), count: 0, until });
         self.send(sender.address, Message::Fetch(0), actions);
     }
 
-    /// Sends a page of the view that this member has.
+    /// Sends a page of the installed view.
     pub(super) fn serve_page(&mut self, page: u16, to: SocketAddr, actions: &mut Vec<Action>) {
         if self.view.id == ViewId::default() {
             return;
         }
-        let pages = self.view.entries().count().div_ceil(PAGE).max(1) as u16;
+        let pages = self.view.entries().count().div_ceil(ENTRIES_PER_PAGE).max(1) as u16;
         if page < pages {
-            let entries = self.view.entries().skip(usize::from(page) * PAGE).take(PAGE).collect();
+            let entries = self
+                .view
+                .entries()
+                .skip(usize::from(page) * ENTRIES_PER_PAGE)
+                .take(ENTRIES_PER_PAGE)
+                .collect();
             self.send(to, Message::Page { page, pages, entries }, actions);
         }
     }
 
-    /// A page came: the next one is asked for, or the view is whole.
+    /// Stores a received page, and requests the next one or installs the complete view.
     pub(super) fn receive_page(
         &mut self,
         now: Duration,
@@ -65,15 +70,15 @@
         fetch.pages.insert(page, entries);
         if fetch.pages.len() < usize::from(fetch.count) {
             let next = (0..pages).find(|page| !fetch.pages.contains_key(page)).unwrap_or(0);
-            fetch.until = now + self.own.answer * ANSWERS_A_PAGE;
+            fetch.until = now + self.own.ack_timeout * PAGE_TIMEOUT_ANSWERS;
             return self.send(sender.address, Message::Fetch(next), actions);
         }
         let Some(fetch) = self.fetch.take() else { return };
-        let view = View::of(id, fetch.pages.into_values().flatten());
-        self.install(now, view, &format!("fetched of {}", fetch.from), actions);
+        let view = View::from_entries(id, fetch.pages.into_values().flatten());
+        self.install(now, view, &format!("fetched from {}", fetch.from), actions);
     }
 
-    /// Gives up a fetch whose next page did not come.
+    /// Gives up a fetch whose next page did not arrive in time.
     pub(super) fn expire_fetch(&mut self, now: Duration) {
         self.fetch = self.fetch.take().filter(|fetch| now < fetch.until);
     }
--- a/src/fleet/member/identity.rs
+++ b/src/fleet/member/identity.rs
@@ -1,4 +1,5 @@
-//! One member over two processes: what the older one gives, and how the newer one goes on from it.
+//! Handing a member over from one process to the next, as in an upgrade: the state that the older process passes on,
+//! and how the newer one resumes from it.
 
 use super::{Member, Parameters, Phase};
 use crate::fleet::update::Generation;
@@ -6,8 +7,8 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// What one process of a member gives to the one that takes its place: the same generation, with all its promises.
-/// Serialized names stay as they were introduced: `upgrade::frame::SCHEMA` is checked by them.
+/// The state that one process of a member passes to its successor, which continues the same generation and keeps the
+/// Paxos promises. The serialized names must not change: `upgrade::frame::SCHEMA` is checked against them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Identity {
     name: String,
@@ -15,40 +16,42 @@
     generation: Generation,
     #[serde(rename = "claim")]
     incarnation: u32,
-    dead: ViewId,
+    #[serde(rename = "dead")]
+    abandoned_view: ViewId,
     view: ViewId,
     entries: Vec<ViewEntry>,
     acceptor: Acceptor,
 }
 
 impl Member {
-    /// What the next process of this member goes on from. This one is to send nothing after that.
+    /// The state from which the next process of this member resumes. This process must send nothing from then on.
     pub fn identity(&self) -> Identity {
-        let (generation, incarnation, dead, view) =
-            (self.generation, self.incarnation, self.dead, self.view.id);
+        let (generation, incarnation, abandoned_view, view) =
+            (self.generation, self.incarnation, self.abandoned_view, self.view.id);
         let entries = self.view.entries().collect();
         Identity {
             name: self.own.name.clone(),
             generation,
             incarnation,
-            dead,
+            abandoned_view,
             view,
             entries,
             acceptor: self.acceptor.clone(),
         }
     }
 
-    /// Goes on in the place of the process before; as one that begins to join, where that had another name.
+    /// Resumes the member of the preceding process. If that process had another name, begins to join as a new member.
     pub fn resume(own: Parameters, identity: Identity, now: Duration) -> Self {
         let mut member = Member::new(own, now);
         if identity.name != member.own.name {
             return member;
         }
-        (member.generation, member.incarnation, member.dead) =
-            (identity.generation, identity.incarnation, identity.dead);
+        (member.generation, member.incarnation, member.abandoned_view) =
+            (identity.generation, identity.incarnation, identity.abandoned_view);
         member.acceptor = identity.acceptor;
         if identity.view != ViewId::default() {
-            let before = std::mem::replace(&mut member.view, View::of(identity.view, identity.entries));
+            let before =
+                std::mem::replace(&mut member.view, View::from_entries(identity.view, identity.entries));
             member.update_peers(now, &before);
             if member
                 .view
--- a/src/fleet/member/send.rs
+++ b/src/fleet/member/send.rs
@@ -2,14 +2,14 @@
 
 use super::{Action, Member, Phase};
 use crate::fleet::frame::{Frame, Message};
-use crate::fleet::update::{Standing, Update};
+use crate::fleet::update::{MemberState, Update};
 use std::net::SocketAddr;
 
 impl Member {
-    /// Sends a message, with updates where they fit.
+    /// Sends a message; probe messages carry queued updates.
     pub(super) fn send(&mut self, to: SocketAddr, message: Message, actions: &mut Vec<Action>) {
         let updates = match message {
-            // A receiver that does not know this view yet learns who sends.
+            // The own update identifies the sender to a receiver that does not have this view yet.
             Message::Ping(_) => [vec![self.own_update()], self.gossip.next_batch()].concat(),
             Message::Ack(_) | Message::IndirectProbe { .. } | Message::IndirectResult { .. } => {
                 self.gossip.next_batch()
@@ -23,12 +23,12 @@
 
     /// The update about this member.
     pub(super) fn own_update(&self) -> Update {
-        let standing = match self.phase {
-            Phase::Member => Standing::Alive,
-            Phase::Leaving => Standing::Leaving,
-            _ => Standing::Joining,
+        let state = match self.phase {
+            Phase::Member => MemberState::Alive,
+            Phase::Leaving => MemberState::Leaving,
+            _ => MemberState::Joining,
         };
         let (name, address) = (self.own.name.clone(), self.own.address);
-        Update { name, address, generation: self.generation, incarnation: self.incarnation, standing }
+        Update { name, address, generation: self.generation, incarnation: self.incarnation, state }
     }
 }
--- a/src/fleet/settings.rs
+++ b/src/fleet/settings.rs
@@ -1,5 +1,5 @@
-//! `deploy/fleet.toml`: an initiator's part in a fleet. Checked whole; each error is one line that names the key and
-//! what is allowed.
+//! The settings file `deploy/fleet.toml`: whether this initiator is a member of a fleet, and its parameters there. All
+//! values are checked when the file is read; an error is one line that names the key and the allowed values.
 
 use super::member::Parameters;
 use super::update::{Generation, MAX_NAME_BYTES};
@@ -8,34 +8,34 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Most seeds that may be given.
+/// Maximum number of seeds.
 const MAX_SEEDS: usize = 16;
-/// Periods may be so long, in milliseconds.
-const PERIODS: std::ops::RangeInclusive<u64> = 20..=60_000;
-/// An answer may take such a part of a period: helpers answer within the rest.
-const ANSWER_PART: u64 = 3;
+/// Allowed protocol periods, in milliseconds.
+const PERIOD_RANGE_MS: std::ops::RangeInclusive<u64> = 20..=60_000;
+/// The protocol period is at least this many times the ack timeout: the rest of it is left for indirect probes.
+const MIN_PERIOD_PER_ANSWER: u64 = 3;
 
-/// Everything that the file says, under its names.
+/// The values of the file, checked.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The fleet's name.
+    /// Name of the fleet.
     pub fleet: String,
-    /// This member's.
+    /// Name of this member.
     pub name: String,
-    /// Where it listens.
+    /// Local UDP address that it binds.
     pub address: SocketAddr,
-    /// Where the others reach it.
+    /// Address under which the other members reach it.
     pub advertise: SocketAddr,
-    /// Members by which a fleet may be bootstrapped.
+    /// Members, by name, that may bootstrap the fleet; the same on all members.
     pub seeds: BTreeMap<String, SocketAddr>,
-    /// One member is probed a period.
+    /// Protocol period: each member probes one other per period.
     pub period: Duration,
-    /// How long an answer may take before helpers are asked for an indirect probe.
-    pub answer: Duration,
-    /// How many helpers.
-    pub lookers: usize,
-    /// How long a suspicion lasts at least, in periods, in a fleet of ten.
-    pub doubt_periods: f64,
+    /// How long to wait for an ack before helpers are asked for indirect probes.
+    pub ack_timeout: Duration,
+    /// Number of helpers asked for an indirect probe.
+    pub helpers: usize,
+    /// Minimum suspicion timeout, in protocol periods, for a fleet of up to ten members.
+    pub suspicion_periods: f64,
 }
 
 #[derive(Deserialize)]
@@ -52,10 +52,12 @@
     period_ms: u64,
     #[serde(default = "answer_ms")]
     answer_ms: u64,
-    #[serde(default = "lookers")]
-    lookers: usize,
-    #[serde(default = "doubt_periods")]
-    doubt_periods: f64,
+    #[serde(rename = "lookers")]
+    #[serde(default = "helpers")]
+    helpers: usize,
+    #[serde(rename = "doubt_periods")]
+    #[serde(default = "suspicion_periods")]
+    suspicion_periods: f64,
 }
 
 #[derive(Deserialize)]
@@ -73,35 +75,39 @@
     150
 }
 
-fn lookers() -> usize {
+fn helpers() -> usize {
     3
 }
 
-fn doubt_periods() -> f64 {
+fn suspicion_periods() -> f64 {
     6.0
 }
 
 impl Settings {
-    /// Reads the text of `deploy/fleet.toml` or its like: nothing where it is switched off.
+    /// Parses and checks the text of a fleet settings file; `None` if it has `enabled = false`.
     pub fn parse(text: &str) -> Result<Option<Settings>, String> {
         let file: File = toml::from_str(text).map_err(|error| error.message().replace('\n', " "))?;
-        let named = |key: &str, name: &str| match name.len() {
+        let check_name = |key: &str, name: &str| match name.len() {
             1..=MAX_NAME_BYTES => Ok(()),
             _ => Err(format!("{key}: 1 to {MAX_NAME_BYTES} bytes are allowed")),
         };
-        named("fleet", &file.fleet)?;
-        named("name", &file.name)?;
-        if !PERIODS.contains(&file.period_ms) {
-            return Err(format!("period_ms: {} to {} are allowed", PERIODS.start(), PERIODS.end()));
+        check_name("fleet", &file.fleet)?;
+        check_name("name", &file.name)?;
+        if !PERIOD_RANGE_MS.contains(&file.period_ms) {
+            return Err(format!(
+                "period_ms: {} to {} are allowed",
+                PERIOD_RANGE_MS.start(),
+                PERIOD_RANGE_MS.end()
+            ));
         }
-        let most = file.period_ms / ANSWER_PART;
-        if !(1..=most).contains(&file.answer_ms) {
-            return Err(format!("answer_ms: 1 to {most} are allowed, a third of period_ms"));
+        let max = file.period_ms / MIN_PERIOD_PER_ANSWER;
+        if !(1..=max).contains(&file.answer_ms) {
+            return Err(format!("answer_ms: 1 to {max} are allowed, a third of period_ms"));
         }
-        if !(1..=8).contains(&file.lookers) {
+        if !(1..=8).contains(&file.helpers) {
             return Err("lookers: 1 to 8 are allowed".into());
         }
-        if !(2.0..=100.0).contains(&file.doubt_periods) {
+        if !(2.0..=100.0).contains(&file.suspicion_periods) {
             return Err("doubt_periods: 2 to 100 are allowed".into());
         }
         if file.seed.is_empty() || file.seed.len() > MAX_SEEDS {
@@ -109,17 +115,20 @@
         }
         let mut seeds = BTreeMap::new();
         for Seed { name, address } in file.seed {
-            named("seed.name", &name)?;
+            check_name("seed.name", &name)?;
             if seeds.insert(name.clone(), address).is_some() {
-                return Err(format!("seed.name: {name:?} is there twice"));
+                return Err(format!("seed.name: {name:?} is listed twice"));
             }
         }
         let advertise = file.advertise.unwrap_or(file.address);
         if advertise.ip().is_unspecified() || advertise.port() == 0 {
-            return Err("advertise: an address is needed that the others reach".into());
+            return Err("advertise: an address that the other members can reach is required".into());
         }
         if seeds.get(&file.name).is_some_and(|address| *address != advertise) {
-            return Err(format!("seed: {:?} is this member, and has another address", file.name));
+            return Err(format!(
+                "seed: {:?} is this member, but its address differs from this member's",
+                file.name
+            ));
         }
         Ok(file.enabled.then_some(Settings {
             fleet: file.fleet,
@@ -128,13 +137,13 @@
             advertise,
             seeds,
             period: Duration::from_millis(file.period_ms),
-            answer: Duration::from_millis(file.answer_ms),
-            lookers: file.lookers,
-            doubt_periods: file.doubt_periods,
+            ack_timeout: Duration::from_millis(file.answer_ms),
+            helpers: file.helpers,
+            suspicion_periods: file.suspicion_periods,
         }))
     }
 
-    /// For a member whose generation begins at this Unix time.
+    /// Parameters of a member whose generation begins at this Unix time; `seed` initializes its random numbers.
     pub fn parameters(&self, unix: Duration, seed: u64) -> Parameters {
         Parameters {
             name: self.name.clone(),
@@ -142,9 +151,9 @@
             generation: Generation(unix.as_millis() as u64),
             seeds: self.seeds.clone(),
             period: self.period,
-            answer: self.answer,
-            helpers: self.lookers,
-            suspicion_periods: self.doubt_periods,
+            ack_timeout: self.ack_timeout,
+            helpers: self.helpers,
+            suspicion_periods: self.suspicion_periods,
             seed,
         }
     }
--- a/src/forwarder/mod.rs
+++ b/src/forwarder/mod.rs
@@ -80,7 +80,7 @@
     /// Virtual router addresses, if VRRP is on.
     addresses: Option<Addresses>,
     /// Fleet membership, if it is on.
-    fleet: Option<fleet::speaker::Speaker>,
+    fleet: Option<fleet::speaker::Driver>,
     /// When to join the fleet again: the address may still be in use by a process that has just died.
     rejoin_fleet_at: Option<Instant>,
     /// Admin endpoint for operators.
@@ -216,7 +216,7 @@
         let Some(settings) = &self.config.fleet else { return Ok(()) };
         let (unix, registry) = (self.clock.unix(now), self.poll.registry());
         let seeds = (unix, self.config.seed);
-        self.fleet = Some(fleet::speaker::Speaker::start(settings, seeds, identity, FLEET, registry, now)?);
+        self.fleet = Some(fleet::speaker::Driver::start(settings, seeds, identity, FLEET, registry, now)?);
         Ok(())
     }
 
@@ -229,8 +229,8 @@
             }
         }
         let Some(fleet) = &mut self.fleet else { return };
-        fleet.turn(now, late);
-        if let Some((lines, json)) = fleet.info(now) {
+        fleet.poll(now, late);
+        if let Some((lines, json)) = fleet.due_report(now) {
             self.core.set_report(fleet::speaker::REPORT, lines, json);
         }
     }
--- a/src/forwarder/succession.rs
+++ b/src/forwarder/succession.rs
@@ -2,7 +2,7 @@
 
 use super::budget::{connection_budget, resource_usage, LONG_VALUE_MEMORY_DIVISOR};
 use super::{Forwarder, ADMIN_LISTENER, ISCSI_LISTENER, LISTENER};
-use crate::fleet::speaker::{Speaker, REPORT};
+use crate::fleet::speaker::{Driver, REPORT};
 use crate::front::Front;
 use crate::service::addresses::Addresses;
 use crate::tokens::Kind;
@@ -114,7 +114,7 @@
             let usage = resource_usage(clients, targets.len());
             let scheduler = Some(planner.hand_over(now));
             *rejoin_at = None;
-            let fleet = fleet.take().map(Speaker::hand_over);
+            let fleet = fleet.take().map(Driver::hand_over);
             HandoverState { drained, nodes: nodes.carry(now), list, scheduler, usage, fleet }
         });
         if handed_over {
--- a/src/service/addresses.rs
+++ b/src/service/addresses.rs
@@ -9,11 +9,11 @@
 use crate::handover::{Duty, Event, Handover, Order};
 use crate::process::resident_memory;
 use crate::tokens::{Kind, Tokens};
-use crate::vrrp::address::{address, Address, Progress, PAUSE};
+use crate::vrrp::address::{address_takeover, AddressTakeover, Progress, POLL_INTERVAL};
 use crate::vrrp::machine::{Role, Transition};
-use crate::vrrp::report::{Served, Snapshot};
+use crate::vrrp::report::{ServiceStatus, Snapshot};
 use crate::vrrp::settings::Settings;
-use crate::vrrp::speaker::Speaker;
+use crate::vrrp::speaker::Driver;
 use crate::vrrp::track::Condition;
 use mio::{Registry, Token};
 use std::time::{Duration, Instant};
@@ -50,7 +50,7 @@
 
 /// One virtual router address on this machine.
 struct ServedAddress {
-    address: Box<dyn Address>,
+    address: Box<dyn AddressTakeover>,
     /// Endpoints of the fronts, in the order of the address's listeners.
     endpoints: Vec<(Wire, usize)>,
     /// A take or release of the address is not complete.
@@ -61,7 +61,7 @@
 /// All virtual router addresses that this machine shares with others.
 pub struct Addresses {
     settings: Settings,
-    speaker: Speaker,
+    speaker: Driver,
     handover: Handover,
     addresses: Vec<ServedAddress>,
     started: Instant,
@@ -97,12 +97,11 @@
                 listen.push(at);
                 endpoints.push((Wire::Iscsi, front.add_endpoint()));
             }
-            let address = address(&settings.means, &service.router, listen);
+            let address = address_takeover(&settings.takeover, &service.router, listen);
             addresses.push(ServedAddress { address, endpoints, pending: false, failing: false });
         }
         let (routers, rules) = (settings.routers(), &settings.tracking.rules);
-        let speaker =
-            Speaker::start(&settings.interfaces, routers, rules, interfaces, context.registry, now)?;
+        let speaker = Driver::start(&settings.interfaces, routers, rules, interfaces, context.registry, now)?;
         let handover = Handover::new(addresses.len(), finish);
         let (next_check, longest_iteration) = (now, Duration::ZERO);
         Ok(Addresses {
@@ -119,7 +118,7 @@
 
     /// Advertisements arrived on an interface, given by its position.
     pub fn ready(&mut self, interface: usize) {
-        self.speaker.ready(interface);
+        self.speaker.set_readable(interface);
     }
 
     /// When [`Addresses::run`] or [`Addresses::check_conditions`] is due next.
@@ -131,7 +130,7 @@
     /// Runs the routers, first in each iteration of the loop: a process that was suspended learns here, before it
     /// receives or sends anything else, that another machine may serve its addresses.
     pub fn run(&mut self, now: Instant, context: &mut LoopContext) {
-        let changes = self.speaker.turn(now);
+        let changes = self.speaker.poll(now);
         self.apply_transitions(now, changes, context);
         if self.next_progress.is_some_and(|at| at <= now) {
             self.progress_addresses(now, context);
@@ -153,7 +152,7 @@
         if self.next_check > now {
             return;
         }
-        self.next_check = now + self.settings.tracking.every;
+        self.next_check = now + self.settings.tracking.check_interval;
         let (conditions, longest_iteration) = (conditions(), std::mem::take(&mut self.longest_iteration));
         let tracking = self.settings.tracking.clone();
         for rule in &tracking.rules {
@@ -170,7 +169,7 @@
                 Condition::File => tracking.file.as_ref().is_some_and(|file| file.exists()),
                 Condition::Address => self.addresses.iter().any(|served| served.failing),
             };
-            let changes = self.speaker.look(now, rule.condition, holds);
+            let changes = self.speaker.record_check(now, rule.condition, holds);
             self.apply_transitions(now, changes, context);
         }
         self.report(now, context);
@@ -178,10 +177,10 @@
 
     /// Applies a changed file, as far as that needs no restart.
     pub fn reconfigure(&mut self, now: Instant, new: Settings, context: &mut LoopContext) {
-        for what in self.settings.fixed_changes(&new) {
+        for what in self.settings.changes_needing_restart(&new) {
             tracing::warn!("a change of {what} in the VRRP file needs a restart");
         }
-        let changes = self.speaker.change(now, &new.routers(), &new.tracking.rules);
+        let changes = self.speaker.reconfigure(now, &new.routers(), &new.tracking.rules);
         for (old, new) in self.settings.services.iter_mut().zip(&new.services) {
             if old.router.vrid == new.router.vrid {
                 old.router.priority = new.router.priority;
@@ -224,12 +223,12 @@
     }
 
     fn step(&mut self, now: Instant, router: usize, event: Event, context: &mut LoopContext) {
-        let order = self.handover.step(self.speaker.scale(now), router, event);
+        let order = self.handover.step(self.speaker.since_start(now), router, event);
         let served = &mut self.addresses[router];
         match order {
             None => {}
             Some(Order::Take) => {
-                served.address.take(now);
+                served.address.acquire(now);
                 served.pending = true;
             }
             Some(Order::Release) => {
@@ -261,16 +260,16 @@
         for router in 0..self.addresses.len() {
             let served = &mut self.addresses[router];
             if served.pending {
-                match served.address.turn(now) {
+                match served.address.poll(now) {
                     Progress::Pending => {}
                     // Guards the priority: an address that has been released does not count as failing.
-                    Progress::Gone => (served.pending, served.failing) = (false, false),
-                    Progress::Failing(why) => {
+                    Progress::Released => (served.pending, served.failing) = (false, false),
+                    Progress::Failed(why) => {
                         if !std::mem::replace(&mut served.failing, true) {
                             tracing::warn!("failed to take an address, retrying: {why}");
                         }
                     }
-                    Progress::Here(listeners) => {
+                    Progress::Acquired(listeners) => {
                         (served.pending, served.failing) = (false, false);
                         let endpoints = served.endpoints.clone();
                         for ((wire, endpoint), listener) in endpoints.into_iter().zip(listeners) {
@@ -304,11 +303,11 @@
         }
         let retiring = |router| matches!(self.handover.duty(router), Duty::Retired { .. });
         let busy = (0..self.addresses.len()).any(|router| self.addresses[router].pending || retiring(router));
-        self.next_progress = busy.then_some(now + PAUSE);
+        self.next_progress = busy.then_some(now + POLL_INTERVAL);
     }
 
     fn report(&mut self, now: Instant, context: &mut LoopContext) {
-        let served_by = |router: usize| Served {
+        let served_by = |router: usize| ServiceStatus {
             duty: self.handover.duty(router).name(),
             open_requests: open_requests_at(&self.addresses[router].endpoints, context).len(),
         };
--- a/src/vrrp/report.rs
+++ b/src/vrrp/report.rs
@@ -1,92 +1,93 @@
-//! What an operator is told of the virtual routers: lines behind the counters of `INFO`, and a snapshot as JSON.
+//! The virtual routers as operators see them: rows of `INFO`, and a snapshot as JSON.
 
 use super::machine::State;
 use super::routers::{Errors, Statistics};
-use super::speaker::Speaker;
+use super::speaker::Driver;
 use super::track::Condition;
 use crate::handover::Share;
 use serde::Serialize;
 use std::net::IpAddr;
 use std::time::{Duration, Instant};
 
-/// All there is to tell at one moment.
+/// The state of all virtual routers at one moment. Field names are those of the JSON.
 #[derive(Debug, Serialize)]
 pub struct Snapshot {
-    /// Its routers.
+    /// The virtual routers.
     pub routers: Vec<RouterReport>,
-    /// Conditions that lower the priorities now.
-    pub holds: Vec<&'static str>,
-    /// Counts of packets that belong to no router, by their names in RFC 8347.
+    /// Names of the conditions that lower the priorities at present.
+    #[serde(rename = "holds")]
+    pub active_conditions: Vec<&'static str>,
+    /// Counts of packets that belong to no virtual router, and of sent bytes; named as in RFC 8347 where it has them.
     pub errors: Counts,
-    /// Parts of each limit, in rate and at once, that this machine may use.
+    /// Share of each limit's rate that this host may use.
     pub rate_share: f64,
-    /// Likewise.
+    /// Share of each limit's burst that this host may use.
     pub burst_share: f64,
 }
 
-/// Counts by name.
+/// Names and values of counters.
 pub type Counts = Vec<(&'static str, u64)>;
 
-/// One router.
+/// The state of one virtual router.
 #[derive(Debug, Serialize)]
 pub struct RouterReport {
     /// Its name.
     pub name: String,
-    /// Its number.
+    /// Its VRID.
     pub vrid: u8,
     /// `initialize`, `backup` or `active`.
     pub state: &'static str,
-    /// Its priority now, and as configured.
+    /// Its present priority.
     pub priority: u8,
-    /// As configured.
+    /// Its priority as configured.
     pub configured_priority: u8,
-    /// The addresses it stands for.
+    /// Its addresses.
     pub addresses: Vec<IpAddr>,
-    /// What this machine does for the address: `standby`, `opening`, `serving` or `retired`.
+    /// What this host does for the addresses: `standby`, `opening`, `serving` or `retired`.
     pub duty: &'static str,
-    /// Requests taken at the address that have no final answer yet.
+    /// Requests received at the addresses that have no final answer yet.
     pub open_requests: usize,
-    /// Milliseconds until it would take over, while it waits.
+    /// Milliseconds until the Active_Down_Timer is due, in state Backup.
     pub active_down_ms: Option<u64>,
-    /// Milliseconds until it advertises, while it is Active.
+    /// Milliseconds until the Adver_Timer is due, in state Active.
     pub adver_ms: Option<u64>,
-    /// The Active router's interval, and its own.
+    /// Active_Adver_Interval: the interval of the Active router.
     pub active_interval_ms: u64,
-    /// As configured.
+    /// Its own Advertisement_Interval.
     pub interval_ms: u64,
     /// Skew_Time, in microseconds.
     pub skew_us: u64,
-    /// Counts by their names in RFC 8347.
+    /// Its counters.
     pub statistics: Counts,
 }
 
-/// What only the owner of the addresses knows of a router.
+/// State of a virtual router that only the service of its addresses knows.
 #[derive(Clone, Copy, Debug)]
-pub struct Served {
-    /// The duty's name.
+pub struct ServiceStatus {
+    /// Name of the duty.
     pub duty: &'static str,
-    /// Requests open at the address.
+    /// Open requests received at the addresses.
     pub open_requests: usize,
 }
 
 impl Snapshot {
-    /// Takes one; `served` tells of each router by position.
+    /// Takes a snapshot; `served` returns the service status of a router by its position.
     pub fn take(
-        speaker: &Speaker,
+        driver: &Driver,
         now: Instant,
         share: Share,
-        mut served: impl FnMut(usize) -> Served,
+        mut served: impl FnMut(usize) -> ServiceStatus,
     ) -> Snapshot {
-        let (routers, scale) = (speaker.routers(), speaker.scale(now));
+        let (routers, since_start) = (driver.routers(), driver.since_start(now));
         let report = |at: usize| {
             let (own, machine) = (routers.router(at), routers.machine(at));
-            let Served { duty, open_requests } = served(at);
+            let ServiceStatus { duty, open_requests } = served(at);
             let (down, adver) = match machine.state() {
                 State::Initialize => (None, None),
                 State::Backup { down_at } => (down_at, None),
                 State::Active { advertise_at, .. } => (None, Some(advertise_at)),
             };
-            let left = |at: Duration| millis(at.saturating_sub(scale));
+            let left = |at: Duration| millis(at.saturating_sub(since_start));
             RouterReport {
                 name: own.name.clone(),
                 vrid: own.vrid,
@@ -100,23 +101,23 @@
                 adver_ms: adver.map(left),
                 active_interval_ms: millis(machine.active_interval()),
                 interval_ms: millis(own.parameters.interval),
-                skew_us: machine.skew().as_micros() as u64,
+                skew_us: machine.skew_time().as_micros() as u64,
                 statistics: routers.statistics(at).counts(),
             }
         };
-        let holds = Condition::ALL.into_iter().filter(|it| routers.tracker().holds(*it));
+        let active_conditions = Condition::ALL.into_iter().filter(|it| routers.tracker().holds(*it));
         let mut errors = routers.errors.counts();
-        errors.extend([("bytes-sent", speaker.bytes_sent), ("send-errors", speaker.send_errors)]);
+        errors.extend([("bytes-sent", driver.bytes_sent), ("send-errors", driver.send_errors)]);
         Snapshot {
-            routers: routers.all().map(report).collect(),
-            holds: holds.map(Condition::name).collect(),
+            routers: routers.indices().map(report).collect(),
+            active_conditions: active_conditions.map(Condition::name).collect(),
             errors,
             rate_share: share.rate,
             burst_share: share.burst,
         }
     }
 
-    /// Lines for `INFO`: how many routers are in which state, and the sums of all counts.
+    /// Rows of `INFO`: the number of routers in each state, and the sums of all counters.
     pub fn lines(&self) -> String {
         let mut lines: Counts = Vec::new();
         for (name, state) in
@@ -139,13 +140,13 @@
 
     /// The snapshot as one line of JSON.
     pub fn json(&self) -> String {
-        // Nothing in it can fail to be written.
+        // Serializing these types cannot fail.
         serde_json::to_string(self).unwrap_or_default()
     }
 }
 
 impl Statistics {
-    /// By their names in RFC 8347, the last one our own.
+    /// The counters by their names in RFC 8347; the last one is not in the RFC.
     pub fn counts(&self) -> Counts {
         vec![
             ("master-transitions", self.active_transitions),
@@ -157,20 +158,20 @@
             ("invalid-type-pkts-rcvd", self.invalid_type_received),
             ("address-list-errors", self.address_list_errors),
             ("packet-length-errors", self.packet_length_errors),
-            ("heard-as-owner", self.heard_as_owner),
+            ("heard-as-owner", self.ignored_as_owner),
         ]
     }
 }
 
 impl Errors {
-    /// By their names in RFC 8347, the last one our own.
+    /// The counters by their names in RFC 8347; the last one is not in the RFC.
     pub fn counts(&self) -> Counts {
         vec![
             ("checksum-errors", self.checksum),
             ("version-errors", self.version),
             ("vrid-errors", self.vrid),
             ("ip-ttl-errors", self.ttl),
-            ("strangers", self.strangers),
+            ("strangers", self.unknown_senders),
         ]
     }
 }
--- a/src/vrrp/routers.rs
+++ b/src/vrrp/routers.rs
@@ -1,32 +1,34 @@
-//! All virtual routers of one process: whose an advertisement is, what it counts as, whose timer is due, what their
-//! priorities are. No I/O and no clock.
+//! All virtual routers of one process: assigns received packets to them and counts errors, fires their timers, and
+//! applies tracked conditions to their priorities. It does no I/O and reads no clock.
 
-use super::machine::{Event, Machine, Parameters, Role, Step, Transition};
-use super::packet::{Advertisement, Coverage, Family, Invalid, Path, HOPS, PRIORITY_OWNER, PRIORITY_RESIGN};
+use super::machine::{Event, Parameters, Role, StateMachine, Step, Transition};
+use super::packet::{
+    Advertisement, Coverage, Family, Invalid, Path, PRIORITY_OWNER, PRIORITY_RESIGN, REQUIRED_HOP_LIMIT,
+};
 use super::timers::Timers;
 use super::track::{Condition, Tracker};
 use std::collections::HashMap;
 use std::net::IpAddr;
 use std::time::Duration;
 
-/// How one virtual router is set up on this machine.
+/// Configuration of one virtual router on this host.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Router {
-    /// Its name, for people.
+    /// Its name in logs and reports.
     pub name: String,
-    /// Its number.
+    /// Its virtual router identifier (VRID).
     pub vrid: u8,
-    /// Its configured priority: 1 to 254, 255 for the owner, 0 in maintenance.
+    /// Its configured priority: 1 to 254, 255 for the address owner, 0 in maintenance.
     pub priority: u8,
-    /// The addresses it stands for.
+    /// Its addresses.
     pub addresses: Vec<IpAddr>,
-    /// Its part in the protocol.
+    /// Parameters of its state machine.
     pub parameters: Parameters,
     /// What the checksum of IPv4 packets covers.
     pub coverage: Coverage,
 }
 
-/// Counts of one virtual router, named as in RFC 8347.
+/// Counters of one virtual router; the comments give the names in RFC 8347.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Statistics {
     /// master-transitions
@@ -47,11 +49,11 @@
     pub address_list_errors: u64,
     /// packet-length-errors
     pub packet_length_errors: u64,
-    /// Not in RFC 8347: advertisements that an owner of the addresses got, and left alone.
-    pub heard_as_owner: u64,
+    /// Not in RFC 8347: advertisements that an Active address owner received and ignored.
+    pub ignored_as_owner: u64,
 }
 
-/// Counts of what belongs to no virtual router, named as in RFC 8347 but for the last.
+/// Counters of packets that belong to no virtual router; the comments give the names in RFC 8347.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Errors {
     /// checksum-errors
@@ -62,32 +64,32 @@
     pub vrid: u64,
     /// ip-ttl-errors
     pub ttl: u64,
-    /// Packets from addresses that are no peers.
-    pub strangers: u64,
+    /// Not in RFC 8347: packets from addresses that are not configured as peers.
+    pub unknown_senders: u64,
 }
 
-/// What is to be done for a router, by its position.
+/// An action to carry out for a router.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
     /// Send an advertisement.
     Advertise {
-        /// The router.
+        /// Position of the router.
         router: usize,
-        /// With this priority.
+        /// The priority to advertise.
         priority: u8,
     },
-    /// Its state changed.
+    /// The router's state changed.
     Changed {
-        /// The router.
+        /// Position of the router.
         router: usize,
-        /// How.
+        /// The transition.
         transition: Transition,
     },
 }
 
 struct Running {
     router: Router,
-    machine: Machine,
+    machine: StateMachine,
     statistics: Statistics,
 }
 
@@ -97,71 +99,71 @@
     by_number: HashMap<(Family, u8), usize>,
     timers: Timers,
     tracker: Tracker,
-    /// Packets that belong to none of them.
+    /// Counters of packets that belong to none of the routers.
     pub errors: Errors,
 }
 
 impl Routers {
-    /// Routers that have not started. Their numbers are told apart by family.
+    /// Routers that have not started. VRIDs of different address families are independent.
     pub fn new(routers: Vec<Router>, tracker: Tracker) -> Self {
         let number = |(at, router): (usize, &Router)| ((router.family(), router.vrid), at);
         let by_number = routers.iter().enumerate().map(number).collect();
         let timers = Timers::new(routers.len());
         let running = routers.into_iter().map(|router| {
-            let machine = Machine::new(&router.parameters, tracker.priority(router.priority));
+            let machine = StateMachine::new(&router.parameters, tracker.priority(router.priority));
             Running { router, machine, statistics: Statistics::default() }
         });
         Routers { running: running.collect(), by_number, timers, tracker, errors: Errors::default() }
     }
 
     /// Positions of all routers.
-    pub fn all(&self) -> std::ops::Range<usize> {
+    pub fn indices(&self) -> std::ops::Range<usize> {
         0..self.running.len()
     }
 
-    /// A router's set-up.
+    /// Configuration of a router.
     pub fn router(&self, router: usize) -> &Router {
         &self.running[router].router
     }
 
-    /// A router's state.
-    pub fn machine(&self, router: usize) -> &Machine {
+    /// State machine of a router.
+    pub fn machine(&self, router: usize) -> &StateMachine {
         &self.running[router].machine
     }
 
-    /// A router's counts.
+    /// Counters of a router.
     pub fn statistics(&self, router: usize) -> &Statistics {
         &self.running[router].statistics
     }
 
-    /// What lowers the priorities.
+    /// The conditions that lower the priorities.
     pub fn tracker(&self) -> &Tracker {
         &self.tracker
     }
 
-    /// When [`Routers::tick`] has something to do.
+    /// When [`Routers::tick`] is to be called next.
     pub fn next_timer(&self) -> Option<Duration> {
         self.timers.next()
     }
 
-    /// All start.
+    /// Starts all routers.
     pub fn start(&mut self, now: Duration, outputs: &mut Vec<Output>) {
-        self.all().for_each(|router| self.step(router, now, Event::Startup, outputs));
+        self.indices().for_each(|router| self.step(router, now, Event::Startup, outputs));
     }
 
-    /// All end; the Active ones resign.
+    /// Shuts all routers down; the Active ones resign.
     pub fn shut_down(&mut self, now: Duration, outputs: &mut Vec<Output>) {
-        self.all().for_each(|router| self.step(router, now, Event::Shutdown, outputs));
+        self.indices().for_each(|router| self.step(router, now, Event::Shutdown, outputs));
     }
 
-    /// Fires what is due. What has come is to be handed in first.
+    /// Fires due timers. Received packets must be passed to [`Routers::receive`] before.
     pub fn tick(&mut self, now: Duration, outputs: &mut Vec<Output>) {
         while let Some(router) = self.timers.pop_due(now) {
             self.step(router, now, Event::Timer, outputs);
         }
     }
 
-    /// Takes a packet that came with so many hops left, where the system told.
+    /// Handles a received packet; `hops` is its TTL or hop limit, if the kernel reported it.
     pub fn receive(
         &mut self,
         now: Duration,
@@ -170,8 +172,8 @@
         hops: Option<u8>,
         outputs: &mut Vec<Output>,
     ) {
-        // Guards against packets from beyond a router: nobody there can make it 255.
-        if hops.is_some_and(|hops| hops != HOPS) {
+        // RFC 9568, 7.1: a packet from beyond a router cannot arrive with 255.
+        if hops.is_some_and(|hops| hops != REQUIRED_HOP_LIMIT) {
             self.errors.ttl += 1;
             return;
         }
@@ -180,7 +182,7 @@
             self.by_number.get(&(Family::of(path.source), vrid)).copied()
         };
         let router = ours(packet);
-        let (told, _) = match (Advertisement::read(packet, path), router) {
+        let (received, _) = match (Advertisement::read(packet, path), router) {
             (Ok(read), _) => read,
             (Err(Invalid::Version), _) => return self.errors.version += 1,
             (Err(Invalid::Checksum), _) => return self.errors.checksum += 1,
@@ -199,41 +201,41 @@
         let running = &mut self.running[router];
         let (own, statistics) = (&running.router, &mut running.statistics);
         statistics.advertisements_received += 1;
-        statistics.priority_zero_received += u64::from(told.priority == PRIORITY_RESIGN);
-        // These two tell of a wrong set-up, and the packet still counts (RFC 9568, 7.1): a router that left it out
-        // would become Active beside the other.
-        if !same(&told.addresses, &own.addresses) {
+        statistics.priority_zero_received += u64::from(received.priority == PRIORITY_RESIGN);
+        // The following two errors indicate a wrong configuration, but the packet is processed (RFC 9568, 7.1): a
+        // router that ignored it would become Active beside the sender.
+        if !same_addresses(&received.addresses, &own.addresses) {
             statistics.address_list_errors += 1;
-            tracing::debug!(router = own.name, from = %path.source, "other addresses are advertised");
+            tracing::debug!(router = own.name, from = %path.source, "addresses differ from the configured ones");
         }
-        statistics.interval_errors += u64::from(told.interval != own.parameters.interval);
+        statistics.interval_errors += u64::from(received.interval != own.parameters.interval);
         if running.machine.priority() == PRIORITY_OWNER && running.machine.role() == Role::Active {
-            // RFC 9568, 7.1: an owner does not listen; what it sends makes others yield.
-            statistics.heard_as_owner += 1;
+            // RFC 9568, 7.1: an address owner discards advertisements; its own ones make the other routers yield.
+            statistics.ignored_as_owner += 1;
             return;
         }
-        let Advertisement { priority, interval, .. } = told;
+        let Advertisement { priority, interval, .. } = received;
         let event = Event::Advertisement { priority, interval, sender: path.source };
         self.step(router, now, event, outputs);
     }
 
-    /// Takes a look at a condition of this machine; the priorities follow. True if it turned.
-    pub fn look(
+    /// Records the result of a check of a condition and adapts the priorities. True if the condition has changed.
+    pub fn record_check(
         &mut self,
         now: Duration,
         condition: Condition,
         found: bool,
         outputs: &mut Vec<Output>,
     ) -> bool {
-        let turned = self.tracker.look(condition, found);
-        if turned {
+        let changed = self.tracker.record_check(condition, found);
+        if changed {
             self.set_priorities(now, outputs);
         }
-        turned
+        changed
     }
 
-    /// Takes other priorities, by number, and other rules of tracking.
-    pub fn change(
+    /// Applies changed priorities, by VRID, and changed tracking rules.
+    pub fn reconfigure(
         &mut self,
         now: Duration,
         routers: &[Router],
@@ -245,12 +247,12 @@
                 self.running[*at].router.priority = new.priority;
             }
         }
-        self.tracker.change(tracker);
+        self.tracker.set_rules(tracker);
         self.set_priorities(now, outputs);
     }
 
     fn set_priorities(&mut self, now: Duration, outputs: &mut Vec<Output>) {
-        for router in self.all() {
+        for router in self.indices() {
             let priority = self.tracker.priority(self.running[router].router.priority);
             if priority != self.running[router].machine.priority() {
                 self.step(router, now, Event::Priority(priority), outputs);
@@ -258,7 +260,7 @@
         }
     }
 
-    /// The packet of a router's advertisement for one path.
+    /// Encodes a router's advertisement with this priority for one source and destination.
     pub fn packet(&self, router: usize, priority: u8, path: Path) -> Vec<u8> {
         let Router { vrid, addresses, parameters, coverage, .. } = &self.running[router].router;
         let (addresses, interval) = (addresses.clone(), parameters.interval);
@@ -288,8 +290,8 @@
     }
 }
 
-/// Whether both lists hold the same addresses, in whatever order.
-fn same(one: &[IpAddr], other: &[IpAddr]) -> bool {
+/// Whether both lists have the same addresses in any order.
+fn same_addresses(one: &[IpAddr], other: &[IpAddr]) -> bool {
     let sorted = |list: &[IpAddr]| {
         let mut list = list.to_vec();
         list.sort();
