--- a/lab/src/hollow/initiator.rs
+++ b/lab/src/hollow/initiator.rs
@@ -125,7 +125,7 @@
     pub fn turn(&mut self, now: Instant, ready: &[Token], registry: &Registry) -> Vec<Told> {
         let late = now.saturating_duration_since(self.due);
         let mut told = Vec::new();
-        self.core.is_late_by(late);
+        self.core.set_lateness(late);
         for token in ready {
             if *token == self.fleet_token {
                 self.fleet.ready();
@@ -134,7 +134,7 @@
             } else if let Some(news) = self.discovery.ready(now, now, *token) {
                 let (index, kind) = (news.message.index, news.message.kind());
                 let (event, _) = self.nodes.take(news, kind);
-                self.core.tell(event);
+                self.core.push_event(event);
                 told.push(Told::List(index));
             }
         }
@@ -142,7 +142,7 @@
         if let Some((lines, _)) = self.fleet.info(now) {
             self.fleet_lines = lines;
         }
-        self.core.fire(now);
+        self.core.fire_timers(now);
         self.discovery.tick(now, registry);
         if self.planners.tick(now, registry) {
             let (lines, json) = self.planners.info(now);
@@ -162,7 +162,7 @@
             return self.planners.configuration_not_taken_over(&prepared, why.to_string());
         }
         let out = self.nodes.configure_out(now, self.clock.unix(now), &prepared.nodes_out);
-        out.into_iter().for_each(|event| self.core.tell(event));
+        out.into_iter().for_each(|event| self.core.push_event(event));
         self.planners.configuration_taken_over(now, &prepared);
     }
 
--- a/lab/src/settings/check/tests.rs
+++ b/lab/src/settings/check/tests.rs
@@ -34,7 +34,7 @@
         volume_hosts: 1.0,
         ..NewRequest::default()
     };
-    let origin = Origin { conn: 0, place: id };
+    let origin = Origin { conn: 0, sequence: id };
     history.asked(Asked { life: 0, at: Duration::ZERO, new, origin });
     if let Some(ending) = told {
         history.answered(0, origin, MS(100 * id), ending);
@@ -58,7 +58,7 @@
             Effect::Safe,
             |it| {
                 ask(it, 1, Some(Served));
-                it.answered(0, Origin { conn: 0, place: 1 }, MS(200), Failed);
+                it.answered(0, Origin { conn: 0, sequence: 1 }, MS(200), Failed);
             },
             |it| it.answered_twice,
         ),
--- a/lab/src/settings/world.rs
+++ b/lab/src/settings/world.rs
@@ -9,7 +9,7 @@
 use std::collections::BinaryHeap;
 use std::time::{Duration, Instant};
 use topazpath::clock::Clock;
-use topazpath::core::{Answer, AttemptId, Content, Core, Effect as Done, Ended, Operation, Origin};
+use topazpath::core::{Answer, AttemptId, AttemptResult, Content, Core, Effect as Done, Operation, Origin};
 use topazpath::interface::*;
 use topazpath::Scheduler;
 
@@ -243,7 +243,7 @@
         for entry in &entries {
             self.history.told(Told { life, at: self.now, node: entry.node, state: entry.state });
         }
-        self.hosts[at].core.tell(Event::List { kind, entries });
+        self.hosts[at].core.push_event(Event::List { kind, entries });
         self.step(at);
     }
 
@@ -301,7 +301,11 @@
                 Happens::Ended(at, life, attempt, outcome) => {
                     if self.hosts[at].life == life {
                         let now = self.base + self.now;
-                        self.hosts[at].core.attempt_ended(now, attempt, Ended::bare(outcome));
+                        self.hosts[at].core.attempt_ended(
+                            now,
+                            attempt,
+                            AttemptResult::without_reply(outcome),
+                        );
                         self.history.over(life, attempt.request, attempt.number, self.now, outcome);
                         self.step(at);
                     }
@@ -367,8 +371,8 @@
             extent: None,
         };
         let host = &mut self.hosts[at];
-        let origin = Origin { conn: at, place: self.next };
-        if let Some(id) = host.core.take(origin, new.clone(), content) {
+        let origin = Origin { conn: at, sequence: self.next };
+        if let Some(id) = host.core.accept(origin, new.clone(), content) {
             let asked = Asked { life: host.life, at: self.now, new: NewRequest { id, ..new }, origin };
             self.history.asked(asked);
         }
@@ -378,7 +382,7 @@
     /// What the loop does in one turn.
     fn step(&mut self, at: usize) {
         let now = self.base + self.now;
-        self.hosts[at].core.fire(now);
+        self.hosts[at].core.fire_timers(now);
         loop {
             let effects = self.hosts[at].core.drain_effects();
             let host = &mut self.hosts[at];
@@ -417,7 +421,7 @@
             }
             Done::Start { attempt, node, .. } => self.start(at, life, attempt, node),
             // Here an attempt reaches its node in the moment that it starts.
-            Done::Withdraw { .. } | Done::Moved { .. } | Done::Finish { .. } => {}
+            Done::CancelUnsent { .. } | Done::BodyAvailable { .. } | Done::EndStream { .. } => {}
         }
     }
 
--- a/src/core.rs
+++ b/src/core.rs
@@ -13,16 +13,16 @@
 
 /// How long after a request's deadline the core answers in the planner's place. Guards against a planner that
 /// says nothing; the planner's own answer at the deadline comes first.
-const OVERDUE: Duration = Duration::from_millis(4);
+const ANSWER_GRACE: Duration = Duration::from_millis(4);
 
 /// No answer counts as quicker where this process is late, and cannot tell.
-const QUICKEST: Duration = Duration::from_millis(1);
+const MIN_LATENCY: Duration = Duration::from_millis(1);
 
 /// Where an answer belongs: a connection of a front, and the place of the command on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Origin {
     pub conn: usize,
-    pub place: u64,
+    pub sequence: u64,
 }
 
 /// Whether a request reads or writes.
@@ -67,7 +67,7 @@
 
 /// How an attempt ended, with what its answer told.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ended {
+pub struct AttemptResult {
     pub outcome: Outcome,
     pub used: Option<f64>,
     pub elsewhere: f64,
@@ -78,10 +78,10 @@
     pub transfer: Duration,
 }
 
-impl Ended {
+impl AttemptResult {
     /// An end that no answer came with.
-    pub fn bare(outcome: Outcome) -> Self {
-        Ended { outcome, used: None, elsewhere: 0.0, value: Vec::new(), transfer: Duration::ZERO }
+    pub fn without_reply(outcome: Outcome) -> Self {
+        AttemptResult { outcome, used: None, elsewhere: 0.0, value: Vec::new(), transfer: Duration::ZERO }
     }
 }
 
@@ -105,7 +105,7 @@
         begin_by: Instant,
     },
     /// The client has gone: an attempt whose last byte is not out is not to begin any more.
-    Withdraw {
+    CancelUnsent {
         attempt: AttemptId,
     },
     /// Stop waiting for an attempt. The target reports its end: `outcome`, or that it never ran.
@@ -118,20 +118,20 @@
         answer: Answer,
     },
     /// There is more of the body of an attempt.
-    Moved {
+    BodyAvailable {
         attempt: AttemptId,
     },
     /// A long answer that was begun has come to its end, whole or not.
-    Finish {
+    EndStream {
         origin: Origin,
-        whole: bool,
+        complete: bool,
     },
 }
 
 /// Counts since the start, and what is open now.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Counters {
-    pub taken: u64,
+    pub requests_accepted: u64,
     pub served: u64,
     pub refused: u64,
     pub failed: u64,
@@ -146,26 +146,26 @@
     pub attempts_cancelled: u64,
     pub attempts_other: u64,
     pub answered_overdue: u64,
-    pub ids_in_use: u64,
-    pub read_late: u64,
-    pub commands_unusable: u64,
+    pub duplicate_ids: u64,
+    pub requests_read_late: u64,
+    pub commands_rejected: u64,
     pub clients_silent: u64,
-    pub clients_shut: u64,
-    pub answers_spoilt: u64,
+    pub clients_shut_unread: u64,
+    pub replies_unparsable: u64,
     pub reloads: u64,
     pub reloads_failed: u64,
-    pub operator_calls: u64,
+    pub admin_commands: u64,
     pub clients_taken_over: u64,
-    pub bodies_long: u64,
-    pub answers_long: u64,
-    pub answers_cut: u64,
+    pub bodies_streamed: u64,
+    pub answers_streamed: u64,
+    pub answers_truncated: u64,
 }
 
 impl Counters {
     /// A line for each count.
     fn text(&self) -> String {
         let rows = [
-            ("requests_taken", self.taken),
+            ("requests_taken", self.requests_accepted),
             ("answers_served", self.served),
             ("answers_refused", self.refused),
             ("answers_failed", self.failed),
@@ -180,19 +180,19 @@
             ("attempts_cancelled", self.attempts_cancelled),
             ("attempts_other", self.attempts_other),
             ("answered_overdue", self.answered_overdue),
-            ("ids_in_use", self.ids_in_use),
-            ("requests_read_late", self.read_late),
-            ("commands_unusable", self.commands_unusable),
+            ("ids_in_use", self.duplicate_ids),
+            ("requests_read_late", self.requests_read_late),
+            ("commands_unusable", self.commands_rejected),
             ("clients_silent", self.clients_silent),
-            ("clients_shut_unread", self.clients_shut),
-            ("answers_spoilt", self.answers_spoilt),
+            ("clients_shut_unread", self.clients_shut_unread),
+            ("answers_spoilt", self.replies_unparsable),
             ("reloads", self.reloads),
             ("reloads_failed", self.reloads_failed),
-            ("operator_calls", self.operator_calls),
+            ("operator_calls", self.admin_commands),
             ("clients_taken_over", self.clients_taken_over),
-            ("bodies_long", self.bodies_long),
-            ("answers_long", self.answers_long),
-            ("answers_cut", self.answers_cut),
+            ("bodies_long", self.bodies_streamed),
+            ("answers_long", self.answers_streamed),
+            ("answers_cut", self.answers_truncated),
         ];
         rows.iter().map(|(name, count)| format!("{name}:{count}\r\n")).collect()
     }
@@ -223,41 +223,41 @@
     running: bool,
 }
 
-struct Open {
+struct OpenRequest {
     origin: Origin,
     content: Rc<Content>,
     /// The piece of data; 0: none.
     key: u64,
     deadline: Instant,
     /// Whether it may run more than once.
-    repeats: interface::Effect,
+    effect: interface::Effect,
     attempts: Vec<Attempt>,
     answered: bool,
     /// An ended attempt may have run.
-    ran: bool,
+    may_have_run: bool,
     /// The attempt whose long answer has begun.
-    streams: Option<u32>,
+    streaming: Option<u32>,
 }
 
 /// The open requests of one initiator.
 pub struct Core {
     clock: Clock,
-    requests: FxHashMap<RequestId, Open>,
+    requests: FxHashMap<RequestId, OpenRequest>,
     /// Open requests by the ids that clients gave them.
-    by_name: HashMap<String, RequestId>,
+    by_client_id: HashMap<String, RequestId>,
     /// When attempts are given up, and requests answered in the planner's place: of what is open alone, one that is over
     /// takes its timers along.
-    give_ups: BTreeSet<(Instant, AttemptId)>,
-    overdue: BTreeSet<(Instant, RequestId)>,
+    attempt_timeouts: BTreeSet<(Instant, AttemptId)>,
+    overdue_answers: BTreeSet<(Instant, RequestId)>,
     /// When the planner is to be called next.
     wake_at: Option<Instant>,
     /// How late this process is, by its own clock: for so long at most, what came in has waited for it.
-    late: Duration,
+    lateness: Duration,
     /// News for the planner, in the order they came.
     events: Vec<Event>,
     effects: Vec<Effect>,
     /// Bytes of the bodies held.
-    held_bytes: usize,
+    body_bytes: usize,
     last_id: u64,
     /// When a client is to come again that the core refuses by itself.
     retry_after: Duration,
@@ -267,7 +267,7 @@
     /// What other parts tell of themselves, by name: lines for [`Core::info`], and all of it as JSON.
     reports: Vec<(&'static str, String, String)>,
     /// How many there are now of what is kept elsewhere, by name.
-    pub sizes: Vec<(&'static str, usize)>,
+    pub gauges: Vec<(&'static str, usize)>,
 }
 
 impl Core {
@@ -275,20 +275,20 @@
         Core {
             clock,
             requests: FxHashMap::default(),
-            by_name: HashMap::new(),
-            give_ups: BTreeSet::new(),
-            overdue: BTreeSet::new(),
+            by_client_id: HashMap::new(),
+            attempt_timeouts: BTreeSet::new(),
+            overdue_answers: BTreeSet::new(),
             wake_at: None,
-            late: Duration::ZERO,
+            lateness: Duration::ZERO,
             events: Vec::new(),
             effects: Vec::new(),
-            held_bytes: 0,
+            body_bytes: 0,
             last_id: 0,
             retry_after,
             classes: Vec::new(),
             counters: Counters::default(),
             reports: Vec::new(),
-            sizes: Vec::new(),
+            gauges: Vec::new(),
         }
     }
 
@@ -306,10 +306,10 @@
     pub fn info(&self) -> String {
         let own = [
             ("requests_open", self.requests.len()),
-            ("request_bytes", self.held_bytes),
-            ("timers", self.give_ups.len() + self.overdue.len()),
+            ("request_bytes", self.body_bytes),
+            ("timers", self.attempt_timeouts.len() + self.overdue_answers.len()),
         ];
-        let sizes = own.iter().chain(&self.sizes);
+        let sizes = own.iter().chain(&self.gauges);
         let sizes: String = sizes.map(|(name, count)| format!("{name}:{count}\r\n")).collect();
         let reports = self.reports.iter().map(|(_, lines, _)| lines.as_str());
         [self.counters.text(), sizes].iter().map(String::as_str).chain(reports).collect()
@@ -328,73 +328,73 @@
 
     /// Takes a request; its id is given here. Nothing if the id that its client gave is that of an open request.
     /// Guards that request: a node would see two commands of one id, and a copy where none is allowed.
-    pub fn take(&mut self, origin: Origin, mut new: NewRequest, content: Content) -> Option<RequestId> {
-        if self.by_name.contains_key(&content.id) {
-            self.counters.ids_in_use += 1;
+    pub fn accept(&mut self, origin: Origin, mut new: NewRequest, content: Content) -> Option<RequestId> {
+        if self.by_client_id.contains_key(&content.id) {
+            self.counters.duplicate_ids += 1;
             return None;
         }
         self.last_id += 1;
         let id = RequestId(self.last_id);
-        self.by_name.insert(content.id.clone(), id);
+        self.by_client_id.insert(content.id.clone(), id);
         new.id = id;
         let deadline = self.clock.instant(new.deadline);
-        self.overdue.insert((deadline + OVERDUE, id));
-        self.held_bytes += content.body.len();
+        self.overdue_answers.insert((deadline + ANSWER_GRACE, id));
+        self.body_bytes += content.body.len();
         let content = Rc::new(content);
         let key = new.key;
-        let open = Open {
+        let open = OpenRequest {
             origin,
             content,
             key,
             deadline,
-            repeats: self.classes.get(new.class).copied().unwrap_or(interface::Effect::Unsafe),
+            effect: self.classes.get(new.class).copied().unwrap_or(interface::Effect::Unsafe),
             attempts: Vec::new(),
             answered: false,
-            ran: false,
-            streams: None,
+            may_have_run: false,
+            streaming: None,
         };
         self.requests.insert(id, open);
-        self.counters.taken += 1;
+        self.counters.requests_accepted += 1;
         tracing::trace!(id = id.0, ?new, "taken");
         self.events.push(Event::Request(new));
         Some(id)
     }
 
     /// Ends a request at once that nobody waits for in earnest: its connection is about to be closed.
-    pub fn end(&mut self, id: RequestId) {
+    pub fn terminate(&mut self, id: RequestId) {
         if self.requests.get(&id).is_some_and(|open| !open.answered) {
-            self.end_without_planner(id);
+            self.terminate_without_planner(id);
             self.events.push(Event::ClientGone { id });
         }
     }
 
     /// A long answer begins: it is the client's from here on. Where it goes, unless nobody waits for it.
-    pub fn stream_begins(&mut self, attempt: AttemptId) -> Option<Origin> {
+    pub fn begin_stream(&mut self, attempt: AttemptId) -> Option<Origin> {
         let open = self.requests.get_mut(&attempt.request).filter(|open| !open.answered)?;
         open.attempts.get(attempt.number as usize).filter(|it| it.running)?;
-        (open.answered, open.streams) = (true, Some(attempt.number));
+        (open.answered, open.streaming) = (true, Some(attempt.number));
         self.counters.served += 1;
-        self.counters.answers_long += 1;
+        self.counters.answers_streamed += 1;
         self.events.push(Event::StreamStarted { id: attempt.request });
         Some(open.origin)
     }
 
     /// What an attempt says, or is told, is on its way and takes its time: the node waits for it, or has done its work.
     /// Guards all others for the same node, which would wait behind it.
-    pub fn takes_time(&mut self, attempt: AttemptId) {
+    pub fn transfer_started(&mut self, attempt: AttemptId) {
         if self.is_running(attempt) {
             self.events.push(Event::StreamStarted { id: attempt.request });
         }
     }
 
     /// Where the answer of an attempt goes that has begun.
-    pub fn stream(&self, attempt: AttemptId) -> Option<Origin> {
+    pub fn stream_origin(&self, attempt: AttemptId) -> Option<Origin> {
         let open = self.requests.get(&attempt.request)?;
-        (open.streams == Some(attempt.number)).then_some(open.origin)
+        (open.streaming == Some(attempt.number)).then_some(open.origin)
     }
 
     /// What an attempt asks for, and at which node.
-    pub fn piece(&self, attempt: AttemptId) -> Option<(u64, NodeId)> {
+    pub fn key_and_node(&self, attempt: AttemptId) -> Option<(u64, NodeId)> {
         let open = self.requests.get(&attempt.request)?;
         open.attempts.get(attempt.number as usize).map(|it| (open.key, it.node))
     }
@@ -405,24 +405,25 @@
     }
 
     /// More of a long body has come.
-    pub fn body_moved(&mut self, id: RequestId) {
+    pub fn body_available(&mut self, id: RequestId) {
         let Some(open) = self.requests.get(&id) else { return };
         for (number, _) in open.attempts.iter().enumerate().filter(|(_, it)| it.running) {
-            self.effects.push(Effect::Moved { attempt: AttemptId { request: id, number: number as u32 } });
+            self.effects
+                .push(Effect::BodyAvailable { attempt: AttemptId { request: id, number: number as u32 } });
         }
     }
 
     /// The last byte of a long body has come: its client's time counts from now on, and ends then.
-    pub fn body_came(&mut self, id: RequestId, deadline: Duration) {
+    pub fn body_complete(&mut self, id: RequestId, deadline: Duration) {
         let Some(open) = self.requests.get_mut(&id).filter(|open| !open.answered) else { return };
-        self.overdue.remove(&(open.deadline + OVERDUE, id));
+        self.overdue_answers.remove(&(open.deadline + ANSWER_GRACE, id));
         open.deadline = open.deadline.min(self.clock.instant(deadline));
-        self.overdue.insert((open.deadline + OVERDUE, id));
+        self.overdue_answers.insert((open.deadline + ANSWER_GRACE, id));
         for (number, it) in open.attempts.iter_mut().enumerate().filter(|(_, it)| it.running) {
             let attempt = AttemptId { request: id, number: number as u32 };
-            self.give_ups.remove(&(it.give_up_at, attempt));
+            self.attempt_timeouts.remove(&(it.give_up_at, attempt));
             it.give_up_at = it.give_up_at.min(open.deadline);
-            self.give_ups.insert((it.give_up_at, attempt));
+            self.attempt_timeouts.insert((it.give_up_at, attempt));
         }
     }
 
@@ -432,14 +433,14 @@
         // The planner withdraws nothing that has begun: neither an answer that nobody reads any more, nor a command
         // whose rest will not come.
         let half = open.content.flow.as_ref().is_some_and(|flow| !flow.is_complete());
-        let streams = open.streams.take();
+        let streams = open.streaming.take();
         for number in 0..open.attempts.len() as u32 {
             let attempt = AttemptId { request: id, number };
             if half || streams == Some(number) {
                 self.effects.push(Effect::Stop { attempt, outcome: Outcome::Cancelled });
             } else if open.attempts[number as usize].running {
                 // The planner may withdraw nothing, or not what it takes to be under way already.
-                self.effects.push(Effect::Withdraw { attempt });
+                self.effects.push(Effect::CancelUnsent { attempt });
             }
         }
         if open.answered {
@@ -448,46 +449,46 @@
         open.answered = true;
         self.counters.clients_gone += 1;
         self.events.push(Event::ClientGone { id });
-        self.close_if_over(id);
+        self.remove_if_finished(id);
     }
 
     /// How late this process is now.
-    pub fn is_late_by(&mut self, late: Duration) {
-        if !(late.is_zero() && self.late.is_zero()) {
+    pub fn set_lateness(&mut self, late: Duration) {
+        if !(late.is_zero() && self.lateness.is_zero()) {
             self.events.push(Event::Late { by: late });
         }
-        self.late = late;
+        self.lateness = late;
     }
 
     /// News of another kind for the planner.
-    pub fn tell(&mut self, event: Event) {
+    pub fn push_event(&mut self, event: Event) {
         self.events.push(event);
     }
 
     /// An attempt ended. The first value served is the final answer of its request.
-    pub fn attempt_ended(&mut self, now: Instant, attempt: AttemptId, ended: Ended) {
+    pub fn attempt_ended(&mut self, now: Instant, attempt: AttemptId, ended: AttemptResult) {
         let id = attempt.request;
         let Some(open) = self.requests.get_mut(&id) else { return };
         let Some(it) = open.attempts.get_mut(attempt.number as usize).filter(|it| it.running) else { return };
         it.running = false;
-        self.give_ups.remove(&(it.give_up_at, attempt));
+        self.attempt_timeouts.remove(&(it.give_up_at, attempt));
         // A process that was kept from its work doubts itself first: what waited here says nothing of the node.
         let took = now - it.sent;
         let (node, latency) =
-            (it.node, took.saturating_sub(ended.transfer + self.late).max(took.min(QUICKEST)));
-        let streams = open.streams.take_if(|number| *number == attempt.number).is_some();
+            (it.node, took.saturating_sub(ended.transfer + self.lateness).max(took.min(MIN_LATENCY)));
+        let streams = open.streaming.take_if(|number| *number == attempt.number).is_some();
         let gone = open.content.flow.as_ref().is_some_and(|flow| !flow.is_repeatable());
-        open.ran |= may_have_run(ended.outcome);
+        open.may_have_run |= may_have_run(ended.outcome);
         tracing::trace!(id = id.0, node = node.0, outcome = ?ended.outcome, ?latency, "attempt ended");
         self.counters.attempt_ended(ended.outcome);
         if streams {
-            let whole = ended.outcome == Outcome::Served;
-            self.effects.push(Effect::Finish { origin: open.origin, whole });
+            let complete = ended.outcome == Outcome::Served;
+            self.effects.push(Effect::EndStream { origin: open.origin, complete });
         } else if ended.outcome == Outcome::Served {
             self.answer(id, Answer::Served(ended.value));
         } else if gone {
             // Guards against half a body: what was let go of cannot be sent again.
-            self.end_without_planner(id);
+            self.terminate_without_planner(id);
         }
         self.events.push(Event::AttemptEnded(AttemptEnd {
             id,
@@ -499,7 +500,7 @@
             used: ended.used,
             elsewhere: ended.elsewhere,
         }));
-        self.close_if_over(id);
+        self.remove_if_finished(id);
     }
 
     /// Carries out what the planner decided.
@@ -511,11 +512,11 @@
                 }
                 Action::Refuse { id, retry_after } => {
                     self.answer(id, Answer::Refused { retry_after });
-                    self.close_if_over(id);
+                    self.remove_if_finished(id);
                 }
                 Action::Fail { id } => {
                     self.answer(id, Answer::Failed);
-                    self.close_if_over(id);
+                    self.remove_if_finished(id);
                 }
                 Action::Cancel { id, attempt } => {
                     let attempt = AttemptId { request: id, number: attempt };
@@ -553,7 +554,7 @@
         open.attempts.push(Attempt { node, sent: now, give_up_at, running: true });
         self.counters.attempts += 1;
         tracing::trace!(id = id.0, node = node.0, number = attempt.number, "attempt begins");
-        self.give_ups.insert((give_up_at, attempt));
+        self.attempt_timeouts.insert((give_up_at, attempt));
         let content = open.content.clone();
         self.effects.push(Effect::Start { attempt, node, content, give_up_at, begin_by });
     }
@@ -564,14 +565,14 @@
     }
 
     fn is_overdue(&self, id: RequestId, now: Instant) -> bool {
-        self.requests.get(&id).is_some_and(|open| !open.answered && open.deadline + OVERDUE <= now)
+        self.requests.get(&id).is_some_and(|open| !open.answered && open.deadline + ANSWER_GRACE <= now)
     }
 
     /// Gives the final answer, unless there was one.
     fn answer(&mut self, id: RequestId, answer: Answer) {
         let Some(open) = self.requests.get_mut(&id).filter(|open| !open.answered) else { return };
         open.answered = true;
-        self.overdue.remove(&(open.deadline + OVERDUE, id));
+        self.overdue_answers.remove(&(open.deadline + ANSWER_GRACE, id));
         let outcome = match answer {
             Answer::Served(_) => "served",
             Answer::Refused { .. } => "refused",
@@ -586,22 +587,22 @@
         self.effects.push(Effect::Answer { origin: open.origin, answer });
     }
 
-    fn close_if_over(&mut self, id: RequestId) {
-        let over = |open: &Open| open.answered && open.attempts.iter().all(|attempt| !attempt.running);
+    fn remove_if_finished(&mut self, id: RequestId) {
+        let over = |open: &OpenRequest| open.answered && open.attempts.iter().all(|attempt| !attempt.running);
         if self.requests.get(&id).is_some_and(over) {
             if let Some(open) = self.requests.remove(&id) {
                 // One that ends without an answer still has it.
-                self.overdue.remove(&(open.deadline + OVERDUE, id));
-                self.held_bytes -= open.content.body.len();
-                self.by_name.remove(&open.content.id);
+                self.overdue_answers.remove(&(open.deadline + ANSWER_GRACE, id));
+                self.body_bytes -= open.content.body.len();
+                self.by_client_id.remove(&open.content.id);
             }
         }
     }
 
     /// When the next timer is due.
     pub fn next_timer(&self) -> Option<Instant> {
-        let give_up = self.give_ups.first().map(|(at, _)| *at);
-        let overdue = self.overdue.first().map(|(at, _)| *at);
+        let give_up = self.attempt_timeouts.first().map(|(at, _)| *at);
+        let overdue = self.overdue_answers.first().map(|(at, _)| *at);
         [give_up, overdue, self.wake_at].into_iter().flatten().min()
     }
 
@@ -611,20 +612,20 @@
     }
 
     /// Whether there is news that the planner was not told yet, or something for fronts and targets to do.
-    pub fn has_news(&self) -> bool {
+    pub fn has_pending(&self) -> bool {
         !self.events.is_empty() || !self.effects.is_empty()
     }
 
     /// Fires the timers that are due.
-    pub fn fire(&mut self, now: Instant) {
+    pub fn fire_timers(&mut self, now: Instant) {
         let woken = self.wake_at.take_if(|at| *at <= now).is_some();
-        while let Some((at, attempt)) = self.give_ups.pop_first() {
+        while let Some((at, attempt)) = self.attempt_timeouts.pop_first() {
             if at > now {
-                self.give_ups.insert((at, attempt));
+                self.attempt_timeouts.insert((at, attempt));
                 break;
             }
             // What a node still sends of a long answer is not cut off.
-            if self.is_running(attempt) && self.stream(attempt).is_none() {
+            if self.is_running(attempt) && self.stream_origin(attempt).is_none() {
                 self.effects.push(Effect::Stop { attempt, outcome: Outcome::TimedOut });
             }
         }
@@ -636,30 +637,30 @@
 
     /// Answers the requests whose time was over some milliseconds before `now`, whatever else is to be done.
     pub fn answer_overdue(&mut self, now: Instant) {
-        while let Some((at, id)) = self.overdue.pop_first() {
+        while let Some((at, id)) = self.overdue_answers.pop_first() {
             if at > now {
-                self.overdue.insert((at, id));
+                self.overdue_answers.insert((at, id));
                 break;
             }
             if self.is_overdue(id, now) {
                 tracing::warn!(request = id.0, late = ?(now - at), "no decision by the deadline");
                 self.counters.answered_overdue += 1;
-                self.end_overdue(id);
+                self.terminate_overdue(id);
             }
         }
     }
 
     /// Ends a request whose time is over as the planner would: refused where that is true to its effect, else failed.
-    fn end_overdue(&mut self, id: RequestId) {
+    fn terminate_overdue(&mut self, id: RequestId) {
         let Some(open) = self.requests.get(&id) else { return };
-        let repeats = open.repeats;
+        let effect = open.effect;
         let ran = self.stop_attempts(id);
-        self.answer_without_planner(id, repeats.allows_refusal(ran));
+        self.answer_without_planner(id, effect.allows_refusal(ran));
         self.events.push(Event::ClientGone { id });
     }
 
     /// Ends a request that the planner does not decide: failed where it may have run, else refused.
-    fn end_without_planner(&mut self, id: RequestId) {
+    fn terminate_without_planner(&mut self, id: RequestId) {
         let ran = self.stop_attempts(id);
         self.answer_without_planner(id, !ran);
     }
@@ -667,13 +668,13 @@
     fn answer_without_planner(&mut self, id: RequestId, refuses: bool) {
         let refused = Answer::Refused { retry_after: self.retry_after };
         self.answer(id, if refuses { refused } else { Answer::Failed });
-        self.close_if_over(id);
+        self.remove_if_finished(id);
     }
 
     /// Stops all attempts of a request that are out; whether it may have run.
     fn stop_attempts(&mut self, id: RequestId) -> bool {
         let Some(open) = self.requests.get(&id) else { return false };
-        let mut ran = open.ran;
+        let mut ran = open.may_have_run;
         for (number, _) in open.attempts.iter().enumerate().filter(|(_, it)| it.running) {
             // An attempt that is out is taken to have run.
             ran = true;
@@ -684,10 +685,10 @@
     }
 
     /// At the end of the process: ends every open request once and replays nothing.
-    pub fn end_all(&mut self) {
+    pub fn terminate_all(&mut self) {
         let mut ids: Vec<RequestId> = self.requests.keys().copied().collect();
         ids.sort();
-        ids.into_iter().for_each(|id| self.end_without_planner(id));
+        ids.into_iter().for_each(|id| self.terminate_without_planner(id));
         self.events.clear();
     }
 
@@ -695,8 +696,8 @@
         self.requests.len()
     }
 
-    pub fn held_bytes(&self) -> usize {
-        self.held_bytes
+    pub fn body_bytes(&self) -> usize {
+        self.body_bytes
     }
 
     pub fn drain_events(&mut self) -> Vec<Event> {
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -15,11 +15,11 @@
     }
 
     /// Takes a request with a second to its deadline.
-    fn take(&mut self, place: u64) -> RequestId {
-        self.take_named(place, &place.to_string()).unwrap()
+    fn take(&mut self, sequence: u64) -> RequestId {
+        self.take_named(sequence, &sequence.to_string()).unwrap()
     }
 
-    fn take_named(&mut self, place: u64, name: &str) -> Option<RequestId> {
+    fn take_named(&mut self, sequence: u64, name: &str) -> Option<RequestId> {
         let deadline = self.clock.unix(self.now) + Duration::from_secs(1);
         let content = Content {
             operation: Operation::Write,
@@ -30,7 +30,11 @@
             flow: None,
             extent: None,
         };
-        self.core.take(Origin { conn: 1, place }, NewRequest { deadline, ..NewRequest::default() }, content)
+        self.core.accept(
+            Origin { conn: 1, sequence },
+            NewRequest { deadline, ..NewRequest::default() },
+            content,
+        )
     }
 
     fn order(&mut self, action: Action) -> Vec<Effect> {
@@ -44,14 +48,14 @@
     }
 
     fn end(&mut self, request: RequestId, number: u32, outcome: Outcome) -> Vec<Effect> {
-        let ended = Ended { value: b"v".to_vec(), ..Ended::bare(outcome) };
+        let ended = AttemptResult { value: b"v".to_vec(), ..AttemptResult::without_reply(outcome) };
         self.core.attempt_ended(self.now, AttemptId { request, number }, ended);
         self.core.drain_effects()
     }
 
     fn pass(&mut self, millis: u64) -> Vec<Effect> {
         self.now += Duration::from_millis(millis);
-        self.core.fire(self.now);
+        self.core.fire_timers(self.now);
         self.core.drain_effects()
     }
 
@@ -74,7 +78,7 @@
     assert_eq!(bench.end(id, 0, Outcome::Served), []);
     assert_eq!(bench.core.open_requests(), 1, "an attempt is out");
     assert_eq!(bench.end(id, 1, Outcome::Served), []);
-    assert_eq!((bench.core.open_requests(), bench.core.held_bytes()), (0, 0));
+    assert_eq!((bench.core.open_requests(), bench.core.body_bytes()), (0, 0));
     assert_eq!(bench.order(Action::Fail { id }), []);
     let finished = |event: &Event| matches!(event, Event::AttemptEnded(end) if end.finished);
     assert_eq!(bench.core.drain_events().iter().filter(|event| finished(event)).count(), 2);
@@ -117,7 +121,7 @@
         let id = bench.take(0);
         bench.send(id);
         bench.pass(80);
-        bench.core.is_late_by(Duration::from_millis(late));
+        bench.core.set_lateness(Duration::from_millis(late));
         bench.end(id, 0, Outcome::Served);
         let end = bench.core.drain_events().into_iter().find_map(|event| match event {
             Event::AttemptEnded(end) => Some(end.latency),
@@ -131,8 +135,8 @@
 #[test]
 fn timers_go_with_what_they_belong_to() {
     let mut bench = Bench::new();
-    for place in 0..100 {
-        let id = bench.take(place);
+    for sequence in 0..100 {
+        let id = bench.take(sequence);
         bench.send(id);
         bench.end(id, 0, Outcome::Served);
     }
@@ -151,7 +155,7 @@
     let attempt = AttemptId { request: id, number: 0 };
     let stop = Effect::Stop { attempt, outcome: Outcome::Cancelled };
     // Where nothing may be withdrawn, what has not begun still does not begin.
-    assert_eq!(bench.core.drain_effects(), [Effect::Withdraw { attempt }]);
+    assert_eq!(bench.core.drain_effects(), [Effect::CancelUnsent { attempt }]);
     assert_eq!(bench.order(Action::Cancel { id, attempt: 0 }), [stop]);
     assert_eq!(bench.end(id, 0, Outcome::Cancelled), []);
     assert_eq!((bench.core.open_requests(), bench.pass(2000).len()), (0, 0));
@@ -214,11 +218,11 @@
     let mut bench = Bench::new();
     let (held, out) = (bench.take(0), bench.take(1));
     bench.send(out);
-    bench.core.end_all();
+    bench.core.terminate_all();
     let effects = bench.core.drain_effects();
     let refused = Answer::Refused { retry_after: AGAIN };
     assert_eq!(Bench::answers(&effects), [refused, Answer::Failed]);
-    bench.core.end_all();
+    bench.core.terminate_all();
     assert_eq!(Bench::answers(&bench.core.drain_effects()), []);
     assert_eq!(bench.end(out, 0, Outcome::Cancelled), []);
     assert!(bench.core.drain_events().iter().all(|event| !matches!(event, Event::Request(_))));
--- a/src/forwarder/configuration.rs
+++ b/src/forwarder/configuration.rs
@@ -57,7 +57,7 @@
         let event = self.nodes.configure_out(now, self.clock.unix(now), names);
         if let Some(event) = event {
             self.close_draining(&event);
-            self.core.tell(event);
+            self.core.push_event(event);
         }
     }
 }
--- a/src/forwarder/configuration/tests.rs
+++ b/src/forwarder/configuration/tests.rs
@@ -152,8 +152,8 @@
     assert_eq!((offered.exports[0].units[&0].most_bytes, retry_after), (7 * 4096, again));
     let deadline = forwarder.clock.unix(Instant::now()) + Duration::from_secs(1);
     let new = NewRequest { deadline, ..NewRequest::default() };
-    forwarder.core.take(Origin { conn: 1, place: 0 }, new, content()).unwrap();
-    forwarder.core.end_all();
+    forwarder.core.accept(Origin { conn: 1, sequence: 0 }, new, content()).unwrap();
+    forwarder.core.terminate_all();
     let refused = |effect: &Effect| matches!(effect, Effect::Answer { answer: Answer::Refused { retry_after }, .. } if *retry_after == again);
     assert!(forwarder.core.drain_effects().iter().any(refused));
     // A revision that says nothing of a figure gives it back to the settings.
--- a/src/forwarder/effects.rs
+++ b/src/forwarder/effects.rs
@@ -1,7 +1,7 @@
 //! Rounds of the planner, and what comes of its decisions.
 
 use super::{turns, Forwarder};
-use crate::core::{AttemptId, Effect, Ended};
+use crate::core::{AttemptId, AttemptResult, Effect};
 use crate::flow::WINDOW;
 use crate::interface::{Event, Outcome};
 use crate::target::{Flowing, Start};
@@ -48,7 +48,7 @@
 
     /// Nodes show where pieces lie by serving them, and by turning them away.
     pub(super) fn learn_place(&mut self, attempt: AttemptId, outcome: Outcome) {
-        let Some((key, node)) = self.core.piece(attempt) else { return };
+        let Some((key, node)) = self.core.key_and_node(attempt) else { return };
         let Some(shard) = self.nodes.shard(node) else { return };
         match outcome {
             Outcome::Served => self.placement.served(key, shard),
@@ -60,7 +60,7 @@
     /// Passes long values on, as far as there is room on their other side.
     pub(super) fn pass_on(&mut self, now: Instant) {
         for attempt in self.targets.held_up() {
-            let Some(origin) = self.core.stream(attempt) else { continue };
+            let Some(origin) = self.core.stream_origin(attempt) else { continue };
             let room = self.resp.room(origin);
             // Not byte by byte.
             if room >= WINDOW / 2 {
@@ -70,7 +70,7 @@
         // What comes of room that was just made belongs before the ends of attempts.
         while let Some((attempt, step)) = self.targets.flowing.pop_front() {
             match step {
-                Flowing::Begun(length) => match self.core.stream_begins(attempt) {
+                Flowing::Begun(length) => match self.core.begin_stream(attempt) {
                     Some(origin) => {
                         let grant = self.budget.grant(length);
                         if grant.is_some() {
@@ -81,11 +81,11 @@
                     None => self.targets.stop(attempt, Outcome::Cancelled),
                 },
                 Flowing::Piece(piece) => {
-                    if let Some(origin) = self.core.stream(attempt) {
+                    if let Some(origin) = self.core.stream_origin(attempt) {
                         self.resp.piece(now, origin, &piece, &mut self.core);
                     }
                 }
-                Flowing::Slow => self.core.takes_time(attempt),
+                Flowing::Slow => self.core.transfer_started(attempt),
                 Flowing::Moved => {
                     if let Some(origin) = self.core.origin(attempt.request) {
                         self.resp.go_on(now, origin.conn, &mut self.core);
@@ -97,18 +97,22 @@
 
     pub(super) fn carry_out(&mut self, now: Instant, effect: Effect) {
         match effect {
-            Effect::Moved { attempt } => self.targets.go_on(now, attempt),
-            Effect::Finish { origin, whole } => self.resp.finish(now, origin, whole, &mut self.core),
+            Effect::BodyAvailable { attempt } => self.targets.go_on(now, attempt),
+            Effect::EndStream { origin, complete } => self.resp.finish(now, origin, complete, &mut self.core),
             Effect::Answer { origin, answer } => match (Kind::of(origin.conn), &mut self.iscsi) {
                 (Some(Kind::IscsiClient), Some(front)) => front.answer(now, origin, answer, &mut self.core),
                 _ => self.resp.answer(now, origin, answer, &mut self.core),
             },
             Effect::Stop { attempt, outcome } => self.targets.stop(attempt, outcome),
-            Effect::Withdraw { attempt } => self.targets.withdraw(attempt),
+            Effect::CancelUnsent { attempt } => self.targets.withdraw(attempt),
             Effect::Start { attempt, node, content, give_up_at, begin_by } => {
                 let grace = self.config.settings.rules.drain_grace;
                 let Some((endpoint, closes)) = self.nodes.open(now, node, grace) else {
-                    return self.core.attempt_ended(now, attempt, Ended::bare(Outcome::NotConnected));
+                    return self.core.attempt_ended(
+                        now,
+                        attempt,
+                        AttemptResult::without_reply(Outcome::NotConnected),
+                    );
                 };
                 let begin_by = closes.map_or(begin_by, |closes| closes.min(begin_by));
                 let start = Start { attempt, node, content, give_up_at, begin_by };
--- a/src/forwarder/mod.rs
+++ b/src/forwarder/mod.rs
@@ -135,7 +135,7 @@
                 // Guards what has come by now against timers that are due by now: it may have come after the wait.
                 ready.look_again(&mut self.poll)?;
             }
-            self.core.is_late_by(late);
+            self.core.set_lateness(late);
             self.report_turns(now);
             self.came = now.checked_sub(pace.waited()).unwrap_or(now);
             self.resp.begin_turn(self.came, stopped);
@@ -156,7 +156,7 @@
             self.turn(now);
             self.turns.spent_on(Work::Hearing);
             self.hand_over(now);
-            self.core.fire(now);
+            self.core.fire_timers(now);
             self.targets.tick(now);
             self.discovery.tick(now, self.poll.registry());
             if let Some(planners) = &mut self.planners {
@@ -262,7 +262,7 @@
         next = self.fleet.as_ref().and_then(|it| it.next_timer(now)).map_or(next, |at| next.min(at));
         next = self.fleet_again.map_or(next, |at| next.min(at));
         next = self.planners.as_ref().map_or(next, |planners| next.min(planners.next_timer()));
-        if self.core.has_news() || self.targets.has_news() {
+        if self.core.has_pending() || self.targets.has_news() {
             // The last turn was long, and left it to this one.
             return now;
         }
@@ -318,7 +318,7 @@
         tracing::trace!(?event, "node list");
         gone.into_iter().for_each(|node| self.targets.leave(node));
         self.close_draining(&event);
-        self.core.tell(event);
+        self.core.push_event(event);
         self.turns.spent_on(Work::Lists);
     }
 
--- a/src/forwarder/operators.rs
+++ b/src/forwarder/operators.rs
@@ -27,7 +27,7 @@
                 Ok(text) => tracing::info!(?call, "{text}"),
                 Err(why) => tracing::warn!(?call, "not done: {why}"),
             }
-            self.core.counters.operator_calls += 1;
+            self.core.counters.admin_commands += 1;
             self.admin.iter_mut().for_each(|admin| admin.reply(now, caller, &outcome));
         }
     }
@@ -60,7 +60,7 @@
         let event = if out { self.nodes.ban(now, unix, name) } else { self.nodes.call_back(unix, name) };
         if let Some(event) = event? {
             self.close_draining(&event);
-            self.core.tell(event);
+            self.core.push_event(event);
         }
         Ok(())
     }
--- a/src/forwarder/reports.rs
+++ b/src/forwarder/reports.rs
@@ -27,16 +27,16 @@
     /// How many there are of what `INFO` shows: a count that only grows would end a long day.
     pub(super) fn count(&mut self) {
         let iscsi = self.iscsi.as_ref().map_or((0, 0), |front| (front.len(), front.kept()));
-        self.core.counters.answers_spoilt = self.targets.spoilt;
-        self.core.sizes.clear();
-        self.core.sizes.extend([
+        self.core.counters.replies_unparsable = self.targets.spoilt;
+        self.core.gauges.clear();
+        self.core.gauges.extend([
             ("clients", self.resp.len() + iscsi.0),
             ("client_bytes", self.resp.kept() + iscsi.1),
             ("long_value_bytes", self.budget.granted()),
             ("pieces_placed", self.placement.len()),
         ]);
-        self.core.sizes.extend(self.nodes.sizes());
-        self.core.sizes.extend(self.targets.sizes());
+        self.core.gauges.extend(self.nodes.sizes());
+        self.core.gauges.extend(self.targets.sizes());
     }
 
     /// What turns took and why requests were answered with no, for `INFO`.
--- a/src/forwarder/start.rs
+++ b/src/forwarder/start.rs
@@ -118,7 +118,7 @@
                     (version, loaded) = (list, true);
                     let learned = scheduler.is_some_and(|scheduler| planner.take_over(scheduler));
                     tracing::info!(learned, "taken over from the process before");
-                    core.tell(list_event);
+                    core.push_event(list_event);
                 }
             }
         }
@@ -160,7 +160,7 @@
         };
         if !forwarder.nodes.own().is_empty() {
             let entries = forwarder.nodes.own().to_vec();
-            forwarder.core.tell(Event::List { kind: ListKind::Delta, entries });
+            forwarder.core.push_event(Event::List { kind: ListKind::Delta, entries });
         }
         if let Some(known) = known.filter(|_| !loaded) {
             forwarder.take_list(News { message: known, fresh: false, came: now }, ListKind::Cached);
--- a/src/forwarder/succession.rs
+++ b/src/forwarder/succession.rs
@@ -150,7 +150,7 @@
         }
         if asked >= longest + ANSWERED_AFTER {
             // Guards against being killed with requests that have no answer.
-            self.core.end_all();
+            self.core.terminate_all();
         }
         self.plan(now);
         let iscsi = self.iscsi.as_mut().is_none_or(|front| front.shut_down(now, &mut self.core));
--- a/src/front/answers.rs
+++ b/src/front/answers.rs
@@ -12,7 +12,7 @@
     pub fn answer(&mut self, now: Instant, origin: Origin, answer: Answer, core: &mut Core) {
         let Some(client) = self.clients.get_mut(&origin.conn) else { return };
         let mut output = Vec::new();
-        self.protocol.answer(&mut client.session, origin.place, answer, &mut output);
+        self.protocol.answer(&mut client.session, origin.sequence, answer, &mut output);
         client.conn.push(&output);
         client.used = now;
         self.go_on(now, origin.conn, core);
@@ -32,14 +32,14 @@
         client.streams += 1;
         client.grants.extend(grant);
         self.pass(now, origin, core, |protocol, session, output| {
-            protocol.begin(session, origin.place, length, output);
+            protocol.begin(session, origin.sequence, length, output);
         });
     }
 
     /// A long answer goes on.
     pub fn piece(&mut self, now: Instant, origin: Origin, piece: &[u8], core: &mut Core) {
         self.pass(now, origin, core, |protocol, session, output| {
-            protocol.piece(session, origin.place, piece, output);
+            protocol.piece(session, origin.sequence, piece, output);
         });
     }
 
@@ -48,11 +48,11 @@
         let Some(client) = self.clients.get_mut(&origin.conn) else { return };
         client.streams -= 1;
         if !whole {
-            core.counters.answers_cut += 1;
+            core.counters.answers_truncated += 1;
             return self.drop_client(origin.conn, core);
         }
         self.pass(now, origin, core, |protocol, session, output| {
-            protocol.finish(session, origin.place, output)
+            protocol.finish(session, origin.sequence, output)
         });
         self.go_on(now, origin.conn, core);
     }
--- a/src/front/endpoints.rs
+++ b/src/front/endpoints.rs
@@ -178,7 +178,7 @@
             Admission::Served => false,
             Admission::Declined => true,
             Admission::Shut => {
-                core.counters.clients_shut += 1;
+                core.counters.clients_shut_unread += 1;
                 return;
             }
         };
--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -230,7 +230,7 @@
         client.closing.get_or_insert(now);
         client.partial = None;
         client.conn.consume(client.conn.input.len());
-        self.protocol.open(&client.session).into_iter().for_each(|request| core.end(request));
+        self.protocol.open(&client.session).into_iter().for_each(|request| core.terminate(request));
     }
 
     /// A client's connection takes more output, and has nothing to read. Guards newcomers against silent clients: one that is
@@ -292,7 +292,7 @@
 
     fn take_input(&mut self, now: Instant, id: usize, core: &mut Core) {
         self.serve_if_there_is_a_place(id);
-        let full = core.held_bytes() + self.kept > self.room.bytes;
+        let full = core.body_bytes() + self.kept > self.room.bytes;
         let Some(client) = self.clients.get_mut(&id) else { return };
         let retired = self.endpoints[client.endpoint].retired;
         let declines = match (retired, full || client.crowded) {
--- a/src/front/protocol.rs
+++ b/src/front/protocol.rs
@@ -124,7 +124,7 @@
     /// Why it was declined; nothing of it is kept then.
     pub fn take(
         &mut self,
-        (place, length): (u64, usize),
+        (sequence, length): (u64, usize),
         mut new: NewRequest,
         patience: Duration,
         content: Content,
@@ -134,17 +134,17 @@
         }
         let came = self.came(length);
         if self.now - came > patience / 2 {
-            self.core.counters.read_late += 1;
+            self.core.counters.requests_read_late += 1;
             tracing::debug!(id = content.id, waited = ?(self.now - came), "declined: read too late");
             return Err(Declined::Late);
         }
         new.deadline = came + patience.saturating_sub(MARGIN).max(Duration::from_millis(1));
-        let origin = Origin { conn: self.conn, place };
-        self.core.take(origin, new, content).ok_or(Declined::IdInUse)
+        let origin = Origin { conn: self.conn, sequence };
+        self.core.accept(origin, new, content).ok_or(Declined::IdInUse)
     }
 
     /// The last byte of a request's body has come, the last of `length`, and its client waits for `patience` from then on.
     pub fn body_came(&mut self, request: RequestId, length: usize, patience: Duration) {
-        self.core.body_came(request, self.came(length) + patience.saturating_sub(MARGIN));
+        self.core.body_complete(request, self.came(length) + patience.saturating_sub(MARGIN));
     }
 }
--- a/src/front/resp.rs
+++ b/src/front/resp.rs
@@ -108,7 +108,7 @@
                 }
                 Err(why) => {
                     tracing::debug!("unusable command: {why}");
-                    intake.core.counters.commands_unusable += 1;
+                    intake.core.counters.commands_rejected += 1;
                     (Some(length), None, Some(error(&why)))
                 }
             },
@@ -220,11 +220,11 @@
                 session.requested = true;
                 content.flow = Some(flow.clone());
                 (patience, command) = (waits, Some(Box::new((new, *content))));
-                intake.core.counters.bodies_long += u64::from(head.length > LONG);
+                intake.core.counters.bodies_streamed += u64::from(head.length > LONG);
             }
             Ok(_) => pending.answer = Some(error("unknown command")),
             Err(why) => {
-                intake.core.counters.commands_unusable += 1;
+                intake.core.counters.commands_rejected += 1;
                 pending.answer = Some(error(&why));
             }
         }
@@ -298,7 +298,7 @@
         }
         let pending = session.pending.iter().find(|it| it.place == receiving.place);
         if let Some(request) = pending.and_then(|pending| pending.request) {
-            intake.core.body_moved(request);
+            intake.core.body_available(request);
         }
         if !done {
             session.receiving = Some(receiving);
--- a/src/front/tests.rs
+++ b/src/front/tests.rs
@@ -188,7 +188,12 @@
     front.begin_turn(came, false);
     front.connections_pending();
     accept_until(&mut front, &poll, &mut core, |_| came.elapsed() > Duration::from_millis(300));
-    assert_eq!((core.counters.read_late, core.counters.taken), (1, 0), "{:?}", core.counters);
+    assert_eq!(
+        (core.counters.requests_read_late, core.counters.requests_accepted),
+        (1, 0),
+        "{:?}",
+        core.counters
+    );
 }
 
 /// A process that is stopped just as its wait ends takes the whole stop for waiting, and what came in it for new. Beside load a
@@ -206,7 +211,12 @@
     let now = Instant::now();
     front.begin_turn(now, true);
     front.readable(now, id, &mut core);
-    assert_eq!((core.counters.read_late, core.counters.taken), (1, 0), "{:?}", core.counters);
+    assert_eq!(
+        (core.counters.requests_read_late, core.counters.requests_accepted),
+        (1, 0),
+        "{:?}",
+        core.counters
+    );
 }
 
 /// Silent clients gave their places to newcomers by being closed, while the places of those that are told to come again stayed
--- a/src/service/addresses.rs
+++ b/src/service/addresses.rs
@@ -237,7 +237,7 @@
             }
             Some(Order::End) => {
                 for request in open_at(&place.endpoints, lent) {
-                    lent.core.end(request);
+                    lent.core.terminate(request);
                 }
             }
         }
--- a/src/target/iscsi.rs
+++ b/src/target/iscsi.rs
@@ -1,7 +1,7 @@
 //! Storage that speaks iSCSI (RFC 7143): here the program is the initiator, with one command out at a time.
 
 use super::Step;
-use crate::core::{Content, Ended, Operation};
+use crate::core::{AttemptResult, Content, Operation};
 use crate::interface::Outcome;
 use crate::iscsi::pdu::{FINAL, NO_TAG};
 use crate::iscsi::scsi::{self, Cdb};
@@ -141,10 +141,12 @@
         let Some(task) = self.task.take() else { return Step::Waiting };
         let short = task.value.len() < task.expected && flags & 0x02 == 0;
         Step::Ended(match status {
-            scsi::GOOD if !short => Ended { value: task.value, ..Ended::bare(Outcome::Served) },
+            scsi::GOOD if !short => {
+                AttemptResult { value: task.value, ..AttemptResult::without_reply(Outcome::Served) }
+            }
             // Both say that the command was not begun (SAM-5, 5.3.1).
-            scsi::BUSY | scsi::TASK_SET_FULL => Ended::bare(Outcome::Full),
-            _ => Ended::bare(Outcome::Error),
+            scsi::BUSY | scsi::TASK_SET_FULL => AttemptResult::without_reply(Outcome::Full),
+            _ => AttemptResult::without_reply(Outcome::Error),
         })
     }
 }
--- a/src/target/mod.rs
+++ b/src/target/mod.rs
@@ -8,7 +8,7 @@
 pub mod resp;
 
 use crate::conn::{Conn, Connecting, ReadEnd};
-use crate::core::{AttemptId, Content, Ended};
+use crate::core::{AttemptId, AttemptResult, Content};
 use crate::flow::{Flow, WINDOW};
 use crate::interface::{NodeId, Outcome};
 use mio::{Registry, Token};
@@ -60,7 +60,7 @@
     /// Some of it.
     Piece(Vec<u8>),
     /// The attempt ended.
-    Ended(Ended),
+    Ended(AttemptResult),
     /// The far side wants the connection to end.
     Leaving,
 }
@@ -225,7 +225,7 @@
     /// Answers that could not be read.
     pub spoilt: u64,
     /// Attempts that ended since last asked.
-    pub ended: Vec<(AttemptId, Ended)>,
+    pub ended: Vec<(AttemptId, AttemptResult)>,
 }
 
 impl Targets {
@@ -294,7 +294,7 @@
         }
         let opened = (self.conns.len() < self.most).then(|| Conn::connect(endpoint.address, token, registry));
         let Some(Ok(conn)) = opened else {
-            return self.ended.push((attempt, Ended::bare(Outcome::NotConnected)));
+            return self.ended.push((attempt, AttemptResult::without_reply(Outcome::NotConnected)));
         };
         let target = Target {
             conn,
@@ -576,12 +576,13 @@
     }
 
     /// An attempt has its answer; the connection is idle unless something is left over on it.
-    fn answered(&mut self, now: Instant, id: usize, ended: Ended) {
+    fn answered(&mut self, now: Instant, id: usize, ended: AttemptResult) {
         let Some(target) = self.conns.get_mut(&id) else { return };
         let clean = target.all_written() && target.conn.input.is_empty();
         (target.idle_since, target.partial, target.credit, target.body) = (now, None, None, None);
         let answering = target.answering.take().map_or(Duration::ZERO, |since| now - since);
-        let ended = Ended { transfer: target.sending.take().unwrap_or_default() + answering, ..ended };
+        let ended =
+            AttemptResult { transfer: target.sending.take().unwrap_or_default() + answering, ..ended };
         // An answer that nothing was asked for leaves no attempt to end and no connection to trust.
         let Some(attempt) = target.attempt.take() else { return self.forget(id) };
         self.by_attempt.remove(&attempt);
@@ -601,7 +602,7 @@
         let outcome = if never_ran { Outcome::NotConnected } else { outcome };
         if let Some(attempt) = target.attempt {
             self.by_attempt.remove(&attempt);
-            self.ended.push((attempt, Ended::bare(outcome)));
+            self.ended.push((attempt, AttemptResult::without_reply(outcome)));
         }
         self.forget(id);
     }
--- a/src/target/resp.rs
+++ b/src/target/resp.rs
@@ -1,7 +1,7 @@
 //! Storage nodes that speak RESP2.
 
 use super::Step;
-use crate::core::{Content, Ended, Operation};
+use crate::core::{AttemptResult, Content, Operation};
 use crate::flow::{LONG, LONGEST};
 use crate::interface::Outcome;
 use crate::resp::{self, Value};
@@ -110,12 +110,12 @@
 
 /// What an answer means. An error says that it is none: whatever it belongs to, nothing more of this connection can
 /// be trusted.
-fn outcome(value: Value) -> Result<Ended, String> {
+fn outcome(value: Value) -> Result<AttemptResult, String> {
     match value {
         Value::Array(Some(values)) if values.len() == ELEMENTS => {
             let mut values = values.into_iter();
             let Some(Value::Bulk(Some(value))) = values.next() else { return Err("no value".into()) };
-            let mut ended = Ended { value, ..Ended::bare(Outcome::Served) };
+            let mut ended = AttemptResult { value, ..AttemptResult::without_reply(Outcome::Served) };
             // Whatever else stands in their place is left out alone.
             if let Some(Value::Bulk(Some(figures))) = values.next() {
                 read_figures(&figures, &mut ended);
@@ -128,7 +128,7 @@
             if !known {
                 return Err("an unknown error line".into());
             }
-            let mut ended = Ended::bare(if busy { Outcome::Full } else { Outcome::Error });
+            let mut ended = AttemptResult::without_reply(if busy { Outcome::Full } else { Outcome::Error });
             line.split(|byte| *byte == b' ').for_each(|word| read_figures(word, &mut ended));
             Ok(ended)
         }
@@ -137,7 +137,7 @@
 }
 
 /// Figures on use, such as `used=37,cost=4`; what is not known is passed over.
-fn read_figures(text: &[u8], ended: &mut Ended) {
+fn read_figures(text: &[u8], ended: &mut AttemptResult) {
     for pair in String::from_utf8_lossy(text).split(',') {
         let Some((name, figure)) = pair.split_once('=') else { continue };
         // Guards the estimates of use: one figure without sense would count for all that follow.
--- a/src/target/resp/tests.rs
+++ b/src/target/resp/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn read(answer: &[u8]) -> Ended {
+fn read(answer: &[u8]) -> AttemptResult {
     outcome(resp::parse(answer).unwrap().unwrap().0).unwrap()
 }
 
@@ -9,15 +9,15 @@
     let served = read(b"*3\r\n$2\r\n\r\n\r\n$14\r\nused=37,cost=4\r\n$-1\r\n");
     assert_eq!((served.outcome, served.used, served.elsewhere), (Outcome::Served, Some(0.37), 4.0));
     assert_eq!(served.value, b"\r\n");
-    assert_eq!(read(b"*3\r\n$0\r\n\r\n$-1\r\n$-1\r\n"), Ended::bare(Outcome::Served));
+    assert_eq!(read(b"*3\r\n$0\r\n\r\n$-1\r\n$-1\r\n"), AttemptResult::without_reply(Outcome::Served));
     let failed = read(b"-ERR failed cost=2 inflight=7,util=0.6\r\n");
     assert_eq!((failed.outcome, failed.elsewhere), (Outcome::Error, 2.0));
-    assert_eq!(read(b"-BUSY\r\n"), Ended::bare(Outcome::Full));
+    assert_eq!(read(b"-BUSY\r\n"), AttemptResult::without_reply(Outcome::Full));
     // A figure or a report that cannot be read is left out alone.
     for odd in
         [&b"*3\r\n$0\r\n\r\n$14\r\nused=-3,cost=x\r\n$3\r\n!!!\r\n"[..], b"*3\r\n$0\r\n\r\n:7\r\n+x\r\n"]
     {
-        assert_eq!(read(odd), Ended::bare(Outcome::Served));
+        assert_eq!(read(odd), AttemptResult::without_reply(Outcome::Served));
     }
     for other in [
         &b"-BUSYGROUP\r\n"[..],
