--- a/lab/src/hollow/initiator.rs
+++ b/lab/src/hollow/initiator.rs
@@ -9,7 +9,7 @@
 use topazpath::clock::Clock;
 use topazpath::config::Config;
 use topazpath::core::Core;
-use topazpath::discovery::{Discovery, Manner};
+use topazpath::discovery::{Discovery, PollingPolicy};
 use topazpath::fleet::speaker::Speaker;
 use topazpath::interface::{Event, NewRequest, RequestId, VolumeId};
 use topazpath::nodes::Nodes;
@@ -86,7 +86,7 @@
             tokens,
         );
         let scheduler = Planner::new(settings, config.seed, clock);
-        let manner = Manner::new(&config.settings, config.seed);
+        let manner = PollingPolicy::new(&config.settings, config.seed);
         let discovery = Discovery::new(config.discovery, tokens.next(Kind::Discovery), now, None, manner);
         let fleet_token = tokens.next(Kind::Upgrade);
         let part = config.fleet.as_ref().ok_or("no fleet is set up")?;
@@ -133,7 +133,7 @@
                 self.planners.ready(now, *token);
             } else if let Some(news) = self.discovery.ready(now, now, *token) {
                 let (index, kind) = (news.message.index, news.message.kind());
-                let (event, _) = self.nodes.take(news, kind);
+                let (event, _) = self.nodes.apply(news, kind);
                 self.core.push_event(event);
                 told.push(Told::List(index));
             }
@@ -161,7 +161,7 @@
         if let Err(why) = self.scheduler.reconfigure(now, prepared.settings.clone()) {
             return self.planners.configuration_not_taken_over(&prepared, why.to_string());
         }
-        let out = self.nodes.configure_out(now, self.clock.unix(now), &prepared.nodes_out);
+        let out = self.nodes.set_configured_out(now, self.clock.unix(now), &prepared.nodes_out);
         out.into_iter().for_each(|event| self.core.push_event(event));
         self.planners.configuration_taken_over(now, &prepared);
     }
--- a/lab/src/settings/world.rs
+++ b/lab/src/settings/world.rs
@@ -367,7 +367,7 @@
             id: self.next.to_string(),
             attributes: String::new(),
             body: Vec::new(),
-            flow: None,
+            body_stream: None,
             extent: None,
         };
         let host = &mut self.hosts[at];
--- a/lab/src/vrrp/model.rs
+++ b/lab/src/vrrp/model.rs
@@ -7,7 +7,7 @@
 use stateright::{Checker, Model, Property};
 use std::net::IpAddr;
 use std::time::Duration;
-use topazpath::handover::{self, Duty, Order};
+use topazpath::handover::{self, AddressAction, Duty};
 use topazpath::vrrp::machine::{Event, Machine, Parameters, Role};
 
 /// A quarter of an interval, and the interval.
@@ -176,13 +176,17 @@
         world.nodes[at].duty = duty;
         for item in &mut world.items {
             match (*item, order) {
-                (Item::Taken(by), Some(Order::End)) if by as usize == at => *item = Item::Answered(1),
-                (Item::Taken(by), Some(Order::Release))
+                (Item::Taken(by), Some(AddressAction::Abort)) if by as usize == at => {
+                    *item = Item::Answered(1)
+                }
+                (Item::Taken(by), Some(AddressAction::Release))
                     if by as usize == at && self.planted == Planted::ItemsForgotten =>
                 {
                     *item = Item::Orphaned;
                 }
-                (Item::Answered(count), Some(Order::Take)) if self.planted == Planted::AnsweredAgain => {
+                (Item::Answered(count), Some(AddressAction::Acquire))
+                    if self.planted == Planted::AnsweredAgain =>
+                {
                     *item = Item::Answered(count + 1);
                 }
                 _ => {}
@@ -222,7 +226,7 @@
             self.step(world, at, Event::Timer);
         }
         let open = world.items.iter().filter(|item| **item == Item::Taken(at as u8)).count();
-        self.duty(world, at, handover::Event::Looked { open });
+        self.duty(world, at, handover::Event::Polled { open });
     }
 
     fn wake(&self, world: &mut World, at: usize) {
@@ -298,7 +302,7 @@
             |(_, node): &(usize, &Node)| node.power == Power::On && node.machine.role() == Role::Active;
         let mut active = self.nodes.iter().enumerate().filter(active);
         match (active.next(), active.next()) {
-            (Some((at, node)), None) => node.duty.takes() && self.route == Some(at as u8),
+            (Some((at, node)), None) => node.duty.accepts() && self.route == Some(at as u8),
             _ => false,
         }
     }
@@ -418,7 +422,7 @@
                 let to = world.route? as usize;
                 let node = &world.nodes[to];
                 // A machine that does not serve refuses, or nobody is there: the client comes again.
-                (node.power == Power::On && node.duty.takes()).then_some(())?;
+                (node.power == Power::On && node.duty.accepts()).then_some(())?;
                 world.items[item] = Item::Taken(to as u8);
             }
             Action::Answer(item) => world.items[item] = Item::Answered(1),
@@ -436,14 +440,14 @@
                 !world.nodes.iter().any(stuck)
             }),
             Property::always("it takes items only as Active", |_, world: &World| {
-                world.nodes.iter().all(|node| !node.duty.takes() || node.machine.role() == Role::Active)
+                world.nodes.iter().all(|node| !node.duty.accepts() || node.machine.role() == Role::Active)
             }),
             Property::always(
                 "good links leave exactly one Active in time",
                 |model: &Routers, world: &World| model.heals(world),
             ),
             Property::sometimes("two are Active", |_, world: &World| {
-                world.nodes.iter().filter(|node| node.duty.takes()).count() > 1
+                world.nodes.iter().filter(|node| node.duty.accepts()).count() > 1
             }),
             Property::sometimes("an item is answered by a retired machine", |_, world: &World| {
                 let retired = |at: u8| matches!(world.nodes[at as usize].duty, Duty::Retired { .. });
--- a/src/backoff.rs
+++ b/src/backoff.rs
@@ -5,18 +5,18 @@
 use std::time::Duration;
 
 /// Beyond so many failures the pause grows no longer, whatever its bounds are.
-const MOST_DOUBLINGS: u32 = 16;
+const MAX_DOUBLINGS: u32 = 16;
 
 pub(crate) struct Backoff {
     first: Duration,
-    longest: Duration,
+    max: Duration,
     failures: u32,
     random: Random,
 }
 
 impl Backoff {
-    pub fn new(first: Duration, longest: Duration, seed: u64) -> Self {
-        Backoff { first, longest, failures: 0, random: Random::new(seed) }
+    pub fn new(first: Duration, max: Duration, seed: u64) -> Self {
+        Backoff { first, max, failures: 0, random: Random::new(seed) }
     }
 
     /// It went well: the next pause is the first again.
@@ -26,13 +26,13 @@
 
     /// It failed: how long to pause.
     pub fn pause(&mut self) -> Duration {
-        let doubled = self.first.saturating_mul(1 << self.failures.min(MOST_DOUBLINGS));
+        let doubled = self.first.saturating_mul(1 << self.failures.min(MAX_DOUBLINGS));
         self.failures = self.failures.saturating_add(1);
-        doubled.min(self.longest).mul_f64(0.5 + self.draw())
+        doubled.min(self.max).mul_f64(0.5 + self.fraction())
     }
 
     /// A part of a span, for what is to be spread over it.
-    pub fn draw(&mut self) -> f64 {
+    pub fn fraction(&mut self) -> f64 {
         self.random.draw()
     }
 }
--- a/src/conn.rs
+++ b/src/conn.rs
@@ -18,7 +18,7 @@
 
 thread_local! {
     /// Where reads go first: a connection keeps only what has come, not the room for more.
-    static ARRIVING: RefCell<Vec<u8>> = RefCell::new(vec![0; READ_BYTES]);
+    static READ_BUFFER: RefCell<Vec<u8>> = RefCell::new(vec![0; READ_BYTES]);
 }
 
 /// What a read found at its end.
@@ -103,11 +103,11 @@
     /// Takes off what was consumed. Guards against connections that keep the room of their largest message.
     pub fn consume(&mut self, count: usize) {
         self.input.drain(..count);
-        self.shed();
+        self.free_empty_input();
     }
 
     /// Lets go of the room of an input that was consumed.
-    pub fn shed(&mut self) {
+    pub fn free_empty_input(&mut self) {
         if self.input.is_empty() {
             self.input = Vec::new();
         }
@@ -120,7 +120,7 @@
     }
 
     /// Tells the far side that nothing more follows what was written.
-    pub fn end_sending(&self) -> std::io::Result<()> {
+    pub fn shutdown_write(&self) -> std::io::Result<()> {
         self.stream.shutdown(std::net::Shutdown::Write)
     }
 
@@ -170,14 +170,14 @@
 
 /// Appends to `input` what a stream has, until `limit` bytes lie there.
 fn read_all(stream: &mut impl Read, input: &mut Vec<u8>, limit: usize) -> ReadEnd {
-    ARRIVING.with_borrow_mut(|arriving| loop {
+    READ_BUFFER.with_borrow_mut(|buffer| loop {
         let room = limit.saturating_sub(input.len()).min(READ_BYTES);
         if room == 0 {
             return ReadEnd::Paused;
         }
-        match stream.read(&mut arriving[..room]) {
+        match stream.read(&mut buffer[..room]) {
             Ok(0) => return ReadEnd::Closed,
-            Ok(count) => input.extend_from_slice(&arriving[..count]),
+            Ok(count) => input.extend_from_slice(&buffer[..count]),
             Err(error) if error.kind() == ErrorKind::WouldBlock => return ReadEnd::Blocked,
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
             Err(_) => return ReadEnd::Broken,
--- a/src/control/endpoint.rs
+++ b/src/control/endpoint.rs
@@ -148,7 +148,8 @@
         caller.answered = Some(now);
         caller.conn.push(&reply(outcome));
         caller.conn.consume(caller.conn.input.len());
-        if caller.conn.flush().is_err() || caller.conn.unwritten() == 0 && caller.conn.end_sending().is_err()
+        if caller.conn.flush().is_err()
+            || caller.conn.unwritten() == 0 && caller.conn.shutdown_write().is_err()
         {
             self.callers.remove(&id);
         }
--- a/src/core.rs
+++ b/src/core.rs
@@ -4,7 +4,7 @@
 //! planner's actions are carried out; what comes back is [`Effect`]s for fronts and targets.
 
 use crate::clock::Clock;
-use crate::flow::Flow;
+use crate::flow::BodyStream;
 use crate::interface::{self, Action, AttemptEnd, Event, NewRequest, NodeId, Outcome, RequestId};
 use rustc_hash::FxHashMap;
 use std::collections::{BTreeSet, HashMap};
@@ -44,7 +44,7 @@
     pub attributes: String,
     pub body: Vec<u8>,
     /// The body in its stead, where it is long.
-    pub flow: Option<Flow>,
+    pub body_stream: Option<BodyStream>,
     /// Where it lies on block storage; without it only nodes of objects can serve it.
     pub extent: Option<Extent>,
 }
@@ -432,7 +432,7 @@
         let Some(open) = self.requests.get_mut(&id) else { return };
         // The planner withdraws nothing that has begun: neither an answer that nobody reads any more, nor a command
         // whose rest will not come.
-        let half = open.content.flow.as_ref().is_some_and(|flow| !flow.is_complete());
+        let half = open.content.body_stream.as_ref().is_some_and(|body| !body.is_complete());
         let streams = open.streaming.take();
         for number in 0..open.attempts.len() as u32 {
             let attempt = AttemptId { request: id, number };
@@ -477,7 +477,7 @@
         let (node, latency) =
             (it.node, took.saturating_sub(ended.transfer + self.lateness).max(took.min(MIN_LATENCY)));
         let streams = open.streaming.take_if(|number| *number == attempt.number).is_some();
-        let gone = open.content.flow.as_ref().is_some_and(|flow| !flow.is_repeatable());
+        let gone = open.content.body_stream.as_ref().is_some_and(|body| !body.is_replayable());
         open.may_have_run |= may_have_run(ended.outcome);
         tracing::trace!(id = id.0, node = node.0, outcome = ?ended.outcome, ?latency, "attempt ended");
         self.counters.attempt_ended(ended.outcome);
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -27,7 +27,7 @@
             id: name.to_string(),
             attributes: String::new(),
             body: vec![0; 10],
-            flow: None,
+            body_stream: None,
             extent: None,
         };
         self.core.accept(
--- a/src/discovery.rs
+++ b/src/discovery.rs
@@ -12,33 +12,33 @@
 /// Asked, one service for the whole fleet: how long a watch may wait there, and how long beyond that an answer may take
 /// before the connection is given up. A change counts as told once discovery has had it for six seconds and could be
 /// reached: a silent call, the pause after it and the next answer, or a refusal and another call, take less together.
-const ASKED_WAIT: Duration = Duration::from_millis(1500);
-const ASKED_SILENCE: Duration = Duration::from_millis(750);
+const CENTRAL_WAIT: Duration = Duration::from_millis(1500);
+const CENTRAL_RESPONSE_TIMEOUT: Duration = Duration::from_millis(750);
 /// The mean pause after a failure, and those after discovery has said that it is overbooked, which double from the first
 /// to the last: those of a fleet that fail together come back spread over it, ten milliseconds for each. Pauses are half as
 /// long again at most, and the longest is one that a call can follow within the six seconds.
-const PAUSE_PER_HOST: Duration = Duration::from_millis(10);
-const ASKED_PAUSE: Duration = Duration::from_millis(300);
+const PAUSE_PER_INITIATOR: Duration = Duration::from_millis(10);
+const CENTRAL_PAUSE: Duration = Duration::from_millis(300);
 const OVERBOOKED_PAUSES: (Duration, Duration) = (Duration::from_millis(500), Duration::from_secs(2));
 /// Over what a fleet's first calls are spread, for each initiator and at most.
-const CALL_PER_HOST: Duration = Duration::from_millis(100);
-const LONGEST_SPREAD: Duration = Duration::from_secs(1);
+const SPREAD_PER_INITIATOR: Duration = Duration::from_millis(100);
+const MAX_SPREAD: Duration = Duration::from_secs(1);
 /// Pushed, an agent on this machine that costs nothing: what it has counts as told at once, watch or no watch. So all of
 /// a silence, the pause after it and the next answer take less than half of a drain's grace, in these parts of it.
-const PUSHED_PARTS: (u32, u32, u32) = (4, 8, 32);
+const AGENT_GRACE_DIVISORS: (u32, u32, u32) = (4, 8, 32);
 /// Bounds of these: below the first a busy machine would be taken for a silent agent, beyond the second nothing is won.
-const PUSHED_BOUNDS: (Duration, Duration) = (Duration::from_millis(40), Duration::from_secs(1));
+const AGENT_BOUNDS: (Duration, Duration) = (Duration::from_millis(40), Duration::from_secs(1));
 /// Pause before connecting again after an answer. A watch must go on within 200 ms of it.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(20);
 /// How long lists older than the one held are passed over before they are taken for a numbering begun anew.
-const OLDER_PATIENCE: Duration = Duration::from_secs(15);
+const MAX_OLDER_SPAN: Duration = Duration::from_secs(15);
 /// A longer answer is no node list.
-const LONGEST_ANSWER: usize = 2 * 1024 * 1024;
-const MOST_HEADERS: usize = 64;
+const MAX_RESPONSE_BYTES: usize = 2 * 1024 * 1024;
+const MAX_HEADERS: usize = 64;
 /// Interim answers that may come together.
-const MOST_INTERIM: usize = 8;
+const MAX_INTERIM: usize = 8;
 /// A start beyond this Unix time is no time, and sums with it must not overflow.
-const LATEST_START_MS: f64 = 1e15;
+const MAX_START_MS: f64 = 1e15;
 
 /// A message of the node list, as discovery words it.
 #[derive(Clone, Debug, Deserialize)]
@@ -93,7 +93,7 @@
     /// Reads a message. A single bad line makes the whole message unusable: the old list stands.
     pub fn parse(text: &[u8]) -> Result<ListMessage, String> {
         let message: ListMessage = serde_json::from_slice(text).map_err(|error| error.to_string())?;
-        match message.endpoints.iter().find(|line| !(0.0..LATEST_START_MS).contains(&line.since_ms)) {
+        match message.endpoints.iter().find(|line| !(0.0..MAX_START_MS).contains(&line.since_ms)) {
             Some(bad) => Err(format!("{} started at {}", bad.name, bad.since_ms)),
             None => Ok(message),
         }
@@ -115,68 +115,74 @@
     Pausing(Instant),
     Connecting(Instant),
     /// An answer is due by then.
-    Asked(Instant),
+    Awaiting(Instant),
 }
 
 /// A message that came.
-pub struct News {
+pub struct ListUpdate {
     /// What it says.
     pub message: ListMessage,
     /// It answers a watch that went on from the message before: what it tells was not told earlier.
-    pub fresh: bool,
+    pub contiguous: bool,
     /// When it had come.
-    pub came: Instant,
+    pub received: Instant,
 }
 
 /// The node list as discovery tells it: from one address, and after a reload from the next as soon as that speaks.
 pub struct Discovery {
-    manner: Manner,
+    policy: PollingPolicy,
     /// The last is the address in force; one before it is listened to until the last has spoken.
     watches: Vec<Watch>,
     /// Version of the list held; none before it has spoken.
-    held: Option<u64>,
+    version: Option<u64>,
     /// Version of the list known at the start: it asks for what came after that.
-    known: Option<u64>,
+    initial_version: Option<u64>,
     /// Since when only lists older than the one held have come.
     older_since: Option<Instant>,
     /// When something that can be read came last.
-    heard: Option<Instant>,
+    last_message_at: Option<Instant>,
 }
 
 impl Discovery {
     /// With the version of the list it knows.
-    pub fn new(address: SocketAddr, token: Token, now: Instant, known: Option<u64>, manner: Manner) -> Self {
+    pub fn new(
+        address: SocketAddr,
+        token: Token,
+        now: Instant,
+        initial_version: Option<u64>,
+        policy: PollingPolicy,
+    ) -> Self {
         Discovery {
-            watches: vec![Watch::new(address, token, now, manner, known.is_none())],
-            manner,
-            held: None,
-            known,
+            watches: vec![Watch::new(address, token, now, policy, initial_version.is_none())],
+            policy,
+            version: None,
+            initial_version,
             older_since: None,
-            heard: None,
+            last_message_at: None,
         }
     }
 
     /// Goes over to another address. Guards against a gap: what the one before still tells is taken until the new
     /// one speaks, and the node list stays.
-    pub fn move_to(&mut self, address: SocketAddr, token: Token, now: Instant) {
+    pub fn set_address(&mut self, address: SocketAddr, token: Token, now: Instant) {
         if self.watches.last().is_some_and(|watch| watch.address == address) {
             return;
         }
         // One that was named in between and has not spoken is nobody's any more.
         self.watches.truncate(1);
         if self.watches[0].address != address {
-            self.watches.push(Watch::new(address, token, now, self.manner, true));
+            self.watches.push(Watch::new(address, token, now, self.policy, true));
         }
     }
 
     /// Version of the list held, told or known at the start.
     pub fn version(&self) -> Option<u64> {
-        self.held.or(self.known)
+        self.version.or(self.initial_version)
     }
 
     /// When it said something last that can be read.
-    pub fn heard(&self) -> Option<Instant> {
-        self.heard
+    pub fn last_message_at(&self) -> Option<Instant> {
+        self.last_message_at
     }
 
     /// When [`Discovery::tick`] has something to do.
@@ -197,22 +203,22 @@
     }
 
     /// Something happened on a connection; a message may have come, as far as the loop knows since `since`.
-    pub fn ready(&mut self, now: Instant, since: Instant, token: Token) -> Option<News> {
+    pub fn ready(&mut self, now: Instant, since: Instant, token: Token) -> Option<ListUpdate> {
         let at = self.watches.iter().position(|watch| watch.token == token)?;
-        let came = self.watches[at].conn.as_ref().map_or(since, |conn| conn.arrived_by(now, since));
-        let (message, fresh) = self.watches[at].ready(now, self.held.or(self.known))?;
-        self.heard = Some(now);
+        let received = self.watches[at].conn.as_ref().map_or(since, |conn| conn.arrived_by(now, since));
+        let (message, contiguous) = self.watches[at].ready(now, self.version.or(self.initial_version))?;
+        self.last_message_at = Some(now);
         if self.is_older(now, &message) {
             tracing::warn!(index = message.index, "an older node list is passed over");
-            self.watches[at].ask_whole(now);
+            self.watches[at].request_full_list(now);
             return None;
         }
-        (self.held, self.older_since) = (Some(message.index), None);
+        (self.version, self.older_since) = (Some(message.index), None);
         if at + 1 == self.watches.len() {
             // The address in force has spoken; the one before is done with.
             self.watches.drain(..at);
         }
-        Some(News { message, fresh, came })
+        Some(ListUpdate { message, contiguous, received })
     }
 
     /// Whether a message is of a version before the one held. Guards against an agent that lags behind the one
@@ -220,42 +226,56 @@
     /// after a while.
     fn is_older(&mut self, now: Instant, message: &ListMessage) -> bool {
         // A list known at the start may be of another numbering; changes of an older version say so.
-        let held = self.held.or(self.known.filter(|_| !message.snapshot));
-        let older = held.is_some_and(|held| message.index < held);
-        older && now - *self.older_since.get_or_insert(now) < OLDER_PATIENCE
+        let version = self.version.or(self.initial_version.filter(|_| !message.snapshot));
+        let older = version.is_some_and(|version| message.index < version);
+        older && now - *self.older_since.get_or_insert(now) < MAX_OLDER_SPAN
     }
 }
 
 /// How one of a fleet asks, and how old its news can be.
 #[derive(Clone, Copy)]
-pub struct Manner {
+pub struct PollingPolicy {
     seed: u64,
     /// How long a watch may wait, how long beyond that an answer may take, the mean pauses after a failure and once
     /// discovery is overbooked, and over what the first call is spread.
     wait: Duration,
-    silence: Duration,
+    response_timeout: Duration,
     pause: Duration,
     overbooked: (Duration, Duration),
     spread: Duration,
 }
 
-impl Manner {
+impl PollingPolicy {
     /// As the settings say; the seed draws the pauses.
     pub fn new(settings: &Settings, seed: u64) -> Self {
         let hosts = settings.hosts.max(1);
         if settings.list_on_request {
             let each = |span: Duration, most| span.saturating_mul(hosts).clamp(RECONNECT_PAUSE, most);
-            let spread = CALL_PER_HOST.saturating_mul(hosts - 1).min(LONGEST_SPREAD);
-            let pause = each(PAUSE_PER_HOST, ASKED_PAUSE);
-            let first = each(PAUSE_PER_HOST, OVERBOOKED_PAUSES.0);
-            let overbooked = (first, each(CALL_PER_HOST, OVERBOOKED_PAUSES.1).max(first));
-            return Manner { seed, wait: ASKED_WAIT, silence: ASKED_SILENCE, pause, overbooked, spread };
+            let spread = SPREAD_PER_INITIATOR.saturating_mul(hosts - 1).min(MAX_SPREAD);
+            let pause = each(PAUSE_PER_INITIATOR, CENTRAL_PAUSE);
+            let first = each(PAUSE_PER_INITIATOR, OVERBOOKED_PAUSES.0);
+            let overbooked = (first, each(SPREAD_PER_INITIATOR, OVERBOOKED_PAUSES.1).max(first));
+            return PollingPolicy {
+                seed,
+                wait: CENTRAL_WAIT,
+                response_timeout: CENTRAL_RESPONSE_TIMEOUT,
+                pause,
+                overbooked,
+                spread,
+            };
         }
         let grace = settings.rules.drain_grace;
-        let part = |part: u32| (grace / part).clamp(PUSHED_BOUNDS.0, PUSHED_BOUNDS.1);
-        let (wait, silence) = (part(PUSHED_PARTS.0), part(PUSHED_PARTS.1));
-        let pause = (grace / PUSHED_PARTS.2).min(RECONNECT_PAUSE);
-        Manner { seed, wait, silence, pause, overbooked: (pause, pause), spread: Duration::ZERO }
+        let part = |part: u32| (grace / part).clamp(AGENT_BOUNDS.0, AGENT_BOUNDS.1);
+        let (wait, response_timeout) = (part(AGENT_GRACE_DIVISORS.0), part(AGENT_GRACE_DIVISORS.1));
+        let pause = (grace / AGENT_GRACE_DIVISORS.2).min(RECONNECT_PAUSE);
+        PollingPolicy {
+            seed,
+            wait,
+            response_timeout,
+            pause,
+            overbooked: (pause, pause),
+            spread: Duration::ZERO,
+        }
     }
 }
 
@@ -265,27 +285,27 @@
     token: Token,
     conn: Option<Conn>,
     state: State,
-    manner: Manner,
+    policy: PollingPolicy,
     pauses: Backoff,
     overbooked: Backoff,
     /// The whole list is to be asked for, not what is newer than the list held.
-    whole: bool,
+    full_list: bool,
     /// What was asked goes on from the answer before.
     continues: bool,
 }
 
 impl Watch {
-    fn new(address: SocketAddr, token: Token, now: Instant, manner: Manner, whole: bool) -> Self {
-        let Manner { seed, pause, overbooked, spread, .. } = manner;
+    fn new(address: SocketAddr, token: Token, now: Instant, policy: PollingPolicy, full_list: bool) -> Self {
+        let PollingPolicy { seed, pause, overbooked, spread, .. } = policy;
         let (mut pauses, overbooked) =
             (Backoff::new(pause, pause, seed), Backoff::new(overbooked.0, overbooked.1, seed));
-        let state = State::Pausing(now + spread.mul_f64(pauses.draw()));
-        Watch { address, token, conn: None, state, manner, pauses, overbooked, whole, continues: false }
+        let state = State::Pausing(now + spread.mul_f64(pauses.fraction()));
+        Watch { address, token, conn: None, state, policy, pauses, overbooked, full_list, continues: false }
     }
 
     fn next_timer(&self) -> Instant {
         match self.state {
-            State::Pausing(at) | State::Connecting(at) | State::Asked(at) => at,
+            State::Pausing(at) | State::Connecting(at) | State::Awaiting(at) => at,
         }
     }
 
@@ -303,14 +323,14 @@
         match Conn::connect(self.address, self.token, registry) {
             Ok(conn) => {
                 self.conn = Some(conn);
-                self.state = State::Connecting(now + self.manner.silence);
+                self.state = State::Connecting(now + self.policy.response_timeout);
             }
             Err(_) => self.fail(now),
         }
     }
 
     /// Something happened on its connection; a message may have come.
-    fn ready(&mut self, now: Instant, held: Option<u64>) -> Option<(ListMessage, bool)> {
+    fn ready(&mut self, now: Instant, version: Option<u64>) -> Option<(ListMessage, bool)> {
         let conn = self.conn.as_mut()?;
         if matches!(self.state, State::Connecting(_)) {
             match conn.connecting() {
@@ -319,13 +339,13 @@
                     self.fail(now);
                     return None;
                 }
-                Connecting::Up => self.ask(now, held, false),
+                Connecting::Up => self.request(now, version, false),
             }
         }
         let conn = self.conn.as_mut()?;
-        let (flushed, end) = (conn.flush(), conn.read(LONGEST_ANSWER));
-        let answer = take_answer(&mut conn.input, end == ReadEnd::Closed);
-        conn.shed();
+        let (flushed, end) = (conn.flush(), conn.read(MAX_RESPONSE_BYTES));
+        let answer = take_response(&mut conn.input, end == ReadEnd::Closed);
+        conn.free_empty_input();
         if flushed.is_err() || matches!(answer, Ok(None) if end != ReadEnd::Blocked) {
             self.fail(now);
             return None;
@@ -338,49 +358,49 @@
                 return None;
             }
         }
-        match answer.and_then(|told| told.map(|(_, body)| ListMessage::parse(&body)).transpose()) {
+        match answer.and_then(|response| response.map(|(_, body)| ListMessage::parse(&body)).transpose()) {
             Ok(None) => None,
             Ok(Some(message)) => {
                 tracing::trace!(index = message.index, lines = message.endpoints.len(), "told");
-                let fresh = self.continues && !self.whole;
-                self.whole = false;
+                let contiguous = self.continues && !self.full_list;
+                self.full_list = false;
                 self.overbooked.reset();
                 if end == ReadEnd::Blocked {
-                    self.ask(now, held.max(Some(message.index)), true);
+                    self.request(now, version.max(Some(message.index)), true);
                 } else {
                     (self.conn, self.state) = (None, State::Pausing(now + RECONNECT_PAUSE));
                 }
-                Some((message, fresh))
+                Some((message, contiguous))
             }
             Err(why) => {
                 tracing::warn!("the old node list stands: {why}");
                 // Changes may be lost with it, so the whole list is asked for.
-                self.ask_whole(now);
+                self.request_full_list(now);
                 None
             }
         }
     }
 
-    fn ask(&mut self, now: Instant, held: Option<u64>, continues: bool) {
+    fn request(&mut self, now: Instant, version: Option<u64>, continues: bool) {
         self.continues = continues;
         let Some(conn) = &mut self.conn else { return };
-        let query = match held.filter(|_| !self.whole) {
+        let query = match version.filter(|_| !self.full_list) {
             None => String::new(),
-            Some(index) => format!("?after={index}&wait_ms={}", self.manner.wait.as_millis()),
+            Some(index) => format!("?after={index}&wait_ms={}", self.policy.wait.as_millis()),
         };
         conn.push(
             format!("GET /registry/instances{query} HTTP/1.1\r\nHost: {}\r\n\r\n", self.address).as_bytes(),
         );
         tracing::trace!(query, "asked");
-        self.state = State::Asked(now + self.manner.wait + self.manner.silence);
+        self.state = State::Awaiting(now + self.policy.wait + self.policy.response_timeout);
         if conn.flush().is_err() {
             self.fail(now);
         }
     }
 
     /// Asks for the whole list in a while.
-    fn ask_whole(&mut self, now: Instant) {
-        self.whole = true;
+    fn request_full_list(&mut self, now: Instant) {
+        self.full_list = true;
         self.fail(now);
     }
 
@@ -393,9 +413,9 @@
 
 /// Takes one whole HTTP answer off the input, and the interim ones (1xx) before it: its status and body, or nothing
 /// while it is not all there. The far side may have ended its sending, in order: a reset is no end.
-fn take_answer(input: &mut Vec<u8>, ended: bool) -> Result<Option<(u16, Vec<u8>)>, String> {
-    for _ in 0..MOST_INTERIM {
-        match take_one(input, ended)? {
+fn take_response(input: &mut Vec<u8>, ended: bool) -> Result<Option<(u16, Vec<u8>)>, String> {
+    for _ in 0..MAX_INTERIM {
+        match take_one_response(input, ended)? {
             Some((100..=199, _)) => {}
             last => return Ok(last),
         }
@@ -404,12 +424,14 @@
 }
 
 /// Takes one answer off the input: its status and body.
-fn take_one(input: &mut Vec<u8>, ended: bool) -> Result<Option<(u16, Vec<u8>)>, String> {
-    let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
+fn take_one_response(input: &mut Vec<u8>, ended: bool) -> Result<Option<(u16, Vec<u8>)>, String> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut answer = httparse::Response::new(&mut headers);
     let head = match answer.parse(input).map_err(|error| error.to_string())? {
         httparse::Status::Complete(head) => head,
-        httparse::Status::Partial if input.len() >= LONGEST_ANSWER => return Err("it does not end".into()),
+        httparse::Status::Partial if input.len() >= MAX_RESPONSE_BYTES => {
+            return Err("it does not end".into())
+        }
         httparse::Status::Partial => return Ok(None),
     };
     let header = |name: &str| {
@@ -428,13 +450,13 @@
         take_chunks(&input[head..])?.map(|(body, length)| (body, head + length))
     } else if let Some(length) = length {
         let length: usize = length.parse().map_err(|_| "its length is no number")?;
-        if length > LONGEST_ANSWER {
+        if length > MAX_RESPONSE_BYTES {
             return Err(format!("it has {length} bytes"));
         }
         input.get(head..head + length).map(|body| (body.to_vec(), head + length))
     } else {
         // Without a length it ends with the connection (RFC 9112, 6.3), and with nothing else (8).
-        if input.len() >= LONGEST_ANSWER {
+        if input.len() >= MAX_RESPONSE_BYTES {
             return Err("it does not end".into());
         }
         ended.then(|| (input[head..].to_vec(), input.len()))
@@ -453,7 +475,7 @@
             Ok(httparse::Status::Partial) => return Ok(None),
             Err(_) => return Err("a chunk has no size".into()),
         };
-        let size = usize::try_from(size).ok().filter(|size| *size <= LONGEST_ANSWER);
+        let size = usize::try_from(size).ok().filter(|size| *size <= MAX_RESPONSE_BYTES);
         let size = size.ok_or("a chunk is too long")?;
         let Some(chunk) = input.get(start..start + size) else { return Ok(None) };
         if input.len() < start + size + 2 {
--- a/src/flow.rs
+++ b/src/flow.rs
@@ -5,9 +5,9 @@
 use std::rc::Rc;
 
 /// A value beyond this is long.
-pub const LONG: usize = 64 * 1024;
+pub const STREAM_THRESHOLD: usize = 64 * 1024;
 /// A value is not longer.
-pub const LONGEST: usize = 4 * 1024 * 1024;
+pub const MAX_VALUE_BYTES: usize = 4 * 1024 * 1024;
 /// What is held at most of a value that the budget has no room for.
 pub const WINDOW: usize = 64 * 1024;
 
@@ -27,13 +27,13 @@
 
 impl Budget {
     /// A budget of so many bytes.
-    pub fn new(most: usize) -> Self {
-        Budget { bytes: Rc::new(Cell::new((most, 0))) }
+    pub fn new(max: usize) -> Self {
+        Budget { bytes: Rc::new(Cell::new((max, 0))) }
     }
 
     /// Another size from now on; what is granted stays so.
-    pub fn resize(&self, most: usize) {
-        self.bytes.set((most, self.granted()));
+    pub fn resize(&self, max: usize) {
+        self.bytes.set((max, self.granted()));
     }
 
     /// Bytes granted.
@@ -43,10 +43,10 @@
 
     /// So many bytes, if there are as many left.
     pub fn grant(&self, bytes: usize) -> Option<Grant> {
-        let (most, granted) = self.bytes.get();
-        let fits = granted.checked_add(bytes).is_some_and(|sum| sum <= most);
+        let (max, granted) = self.bytes.get();
+        let fits = granted.checked_add(bytes).is_some_and(|sum| sum <= max);
         fits.then(|| {
-            self.bytes.set((most, granted + bytes));
+            self.bytes.set((max, granted + bytes));
             Grant { budget: self.clone(), bytes }
         })
     }
@@ -61,38 +61,44 @@
 
 impl Drop for Grant {
     fn drop(&mut self) {
-        let (most, granted) = self.budget.bytes.get();
-        self.budget.bytes.set((most, granted - self.bytes));
+        let (max, granted) = self.budget.bytes.get();
+        self.budget.bytes.set((max, granted - self.bytes));
     }
 }
 
 /// The body of a write, shared by who reads it in and who writes it out.
 #[derive(Clone, Debug)]
-pub struct Flow(Rc<RefCell<State>>);
+pub struct BodyStream(Rc<RefCell<State>>);
 
 #[derive(Debug)]
 struct State {
     length: usize,
     /// Where in the body the first byte held lies.
     start: usize,
-    held: Vec<u8>,
+    buffered: Vec<u8>,
     /// The body may be held whole.
     grant: Option<Grant>,
     /// Nobody wants it any more.
-    abandoned: bool,
+    discarded: bool,
 }
 
 /// It is the same body, not an equal one.
-impl PartialEq for Flow {
-    fn eq(&self, other: &Flow) -> bool {
+impl PartialEq for BodyStream {
+    fn eq(&self, other: &BodyStream) -> bool {
         Rc::ptr_eq(&self.0, &other.0)
     }
 }
 
-impl Flow {
+impl BodyStream {
     /// A body of which nothing has come; with a grant for its whole length it is held whole.
     pub fn new(length: usize, grant: Option<Grant>) -> Self {
-        Flow(Rc::new(RefCell::new(State { length, start: 0, held: Vec::new(), grant, abandoned: false })))
+        BodyStream(Rc::new(RefCell::new(State {
+            length,
+            start: 0,
+            buffered: Vec::new(),
+            grant,
+            discarded: false,
+        })))
     }
 
     /// Bytes of the whole body.
@@ -101,71 +107,72 @@
     }
 
     /// Bytes that have come.
-    pub fn came(&self) -> usize {
+    pub fn received(&self) -> usize {
         let state = self.0.borrow();
-        state.start + state.held.len()
+        state.start + state.buffered.len()
     }
 
     /// Whether all of it has come.
     pub fn is_complete(&self) -> bool {
-        self.came() == self.length()
+        self.received() == self.length()
     }
 
     /// Whether it can be sent from its beginning.
-    pub fn is_repeatable(&self) -> bool {
+    pub fn is_replayable(&self) -> bool {
         let state = self.0.borrow();
-        state.start == 0 && !state.abandoned
+        state.start == 0 && !state.discarded
     }
 
     /// How many bytes more can be taken now.
-    pub fn room(&self) -> usize {
+    pub fn capacity(&self) -> usize {
         let state = self.0.borrow();
-        let left = state.length - state.start - state.held.len();
-        match state.grant.is_some() || state.abandoned {
+        let left = state.length - state.start - state.buffered.len();
+        match state.grant.is_some() || state.discarded {
             true => left,
-            false => left.min(WINDOW - state.held.len()),
+            false => left.min(WINDOW - state.buffered.len()),
         }
     }
 
     /// Takes what has come, as much as there is room for.
     pub fn push(&self, bytes: &[u8]) {
         let mut state = self.0.borrow_mut();
-        if state.abandoned {
+        if state.discarded {
             state.start += bytes.len();
             return;
         }
-        if state.grant.is_some() && state.held.is_empty() {
+        if state.grant.is_some() && state.buffered.is_empty() {
             // Growing by doubling would take up to twice what was granted.
             let length = state.length;
-            state.held.reserve_exact(length);
+            state.buffered.reserve_exact(length);
         }
-        state.held.extend_from_slice(bytes);
+        state.buffered.extend_from_slice(bytes);
     }
 
     /// What is held from a place on, at most so much.
-    pub fn copy(&self, from: usize, most: usize) -> Vec<u8> {
+    pub fn copy(&self, from: usize, max: usize) -> Vec<u8> {
         let state = self.0.borrow();
-        let held = from.checked_sub(state.start).and_then(|at| state.held.get(at..)).unwrap_or_default();
-        held[..held.len().min(most)].to_vec()
+        let buffered =
+            from.checked_sub(state.start).and_then(|at| state.buffered.get(at..)).unwrap_or_default();
+        buffered[..buffered.len().min(max)].to_vec()
     }
 
     /// What lies before a place was written out. Without a grant it makes room.
-    pub fn written(&self, upto: usize) {
+    pub fn release(&self, upto: usize) {
         let mut state = self.0.borrow_mut();
         if state.grant.is_none() {
-            let count = upto.saturating_sub(state.start).min(state.held.len());
-            state.held.drain(..count);
+            let count = upto.saturating_sub(state.start).min(state.buffered.len());
+            state.buffered.drain(..count);
             state.start += count;
         }
     }
 
     /// Nobody wants it any more: what still comes is passed over.
-    pub fn abandon(&self) {
+    pub fn discard(&self) {
         let mut state = self.0.borrow_mut();
-        state.start += state.held.len();
-        state.held = Vec::new();
+        state.start += state.buffered.len();
+        state.buffered = Vec::new();
         state.grant = None;
-        state.abandoned = true;
+        state.discarded = true;
     }
 }
 
--- a/src/flow/tests.rs
+++ b/src/flow/tests.rs
@@ -10,33 +10,33 @@
     ) {
         let budget = Budget::new(300_000);
         let grant = granted.then(|| budget.grant(length).unwrap());
-        let (flow, body) = (Flow::new(length, grant), (0..length).map(|at| (at % 251) as u8).collect::<Vec<_>>());
+        let (body_stream, body) = (BodyStream::new(length, grant), (0..length).map(|at| (at % 251) as u8).collect::<Vec<_>>());
         let mut out: Vec<u8> = Vec::new();
         for (read, write) in pieces.iter().cycle().take(10_000) {
-            let came = flow.came();
-            let count = flow.room().min(*read);
-            flow.push(&body[came..came + count]);
-            let most = if granted { length } else { WINDOW };
-            prop_assert!(flow.0.borrow().held.len() <= most);
-            let bytes = flow.copy(out.len(), *write);
+            let received = body_stream.received();
+            let count = body_stream.capacity().min(*read);
+            body_stream.push(&body[received..received + count]);
+            let max = if granted { length } else { WINDOW };
+            prop_assert!(body_stream.0.borrow().buffered.len() <= max);
+            let bytes = body_stream.copy(out.len(), *write);
             out.extend(&bytes);
-            flow.written(out.len());
-            prop_assert!(granted == flow.is_repeatable() || out.is_empty() == flow.is_repeatable());
+            body_stream.release(out.len());
+            prop_assert!(granted == body_stream.is_replayable() || out.is_empty() == body_stream.is_replayable());
             if out.len() == length {
                 break;
             }
         }
         prop_assert_eq!(out, body);
-        prop_assert!(flow.is_complete());
-        drop(flow);
+        prop_assert!(body_stream.is_complete());
+        drop(body_stream);
         prop_assert_eq!(budget.granted(), 0);
     }
 
     #[test]
-    fn grants_never_sum_to_more_than_the_budget(asks in prop::collection::vec((0usize..5000, any::<bool>()), 0..100)) {
+    fn grants_never_sum_to_more_than_the_budget(requests in prop::collection::vec((0usize..5000, any::<bool>()), 0..100)) {
         let budget = Budget::new(20_000);
         let mut grants: Vec<Grant> = Vec::new();
-        for (bytes, drops) in asks {
+        for (bytes, drops) in requests {
             if drops && !grants.is_empty() {
                 grants.remove(bytes % grants.len());
             } else if let Some(grant) = budget.grant(bytes) {
@@ -50,11 +50,11 @@
 
 #[test]
 fn an_abandoned_body_is_passed_over_and_gives_its_grant_back() {
-    let budget = Budget::new(LONGEST);
-    let flow = Flow::new(200_000, budget.grant(200_000));
-    flow.push(&[1; 1000]);
-    flow.abandon();
-    assert_eq!((budget.granted(), flow.room(), flow.is_repeatable()), (0, 199_000, false));
-    flow.push(&[1; 199_000]);
-    assert!(flow.is_complete() && flow.copy(0, 9).is_empty());
+    let budget = Budget::new(MAX_VALUE_BYTES);
+    let body_stream = BodyStream::new(200_000, budget.grant(200_000));
+    body_stream.push(&[1; 1000]);
+    body_stream.discard();
+    assert_eq!((budget.granted(), body_stream.capacity(), body_stream.is_replayable()), (0, 199_000, false));
+    body_stream.push(&[1; 199_000]);
+    assert!(body_stream.is_complete() && body_stream.copy(0, 9).is_empty());
 }
--- a/src/forwarder/configuration.rs
+++ b/src/forwarder/configuration.rs
@@ -54,7 +54,7 @@
 
     /// Nodes that are out get nothing new after the grace, as those that drain.
     fn take_nodes_out(&mut self, now: Instant, names: &BTreeSet<String>) {
-        let event = self.nodes.configure_out(now, self.clock.unix(now), names);
+        let event = self.nodes.set_configured_out(now, self.clock.unix(now), names);
         if let Some(event) = event {
             self.close_draining(&event);
             self.core.push_event(event);
--- a/src/forwarder/configuration/tests.rs
+++ b/src/forwarder/configuration/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::config::Files;
 use crate::core::{Answer, AttemptId, Content, Effect, Operation, Origin};
-use crate::discovery::{Endpoint, ListMessage, News, Status};
+use crate::discovery::{Endpoint, ListMessage, ListUpdate, Status};
 use crate::interface::{Event, ListKind, NewRequest, NodeEntry, NodeState, RequestId};
 use crate::process::Signals;
 use crate::revisions::document::Document;
@@ -106,7 +106,7 @@
         since_ms: 1.0,
     };
     let message = ListMessage { index: 1, snapshot: true, endpoints: names.iter().map(line).collect() };
-    forwarder.take_list(News { message, fresh: true, came: Instant::now() }, ListKind::Full);
+    forwarder.take_list(ListUpdate { message, contiguous: true, received: Instant::now() }, ListKind::Full);
 }
 
 /// The lines of the node list that the scheduler is to be told.
@@ -126,7 +126,7 @@
         id: "1".into(),
         attributes: String::new(),
         body: Vec::new(),
-        flow: None,
+        body_stream: None,
         extent: None,
     }
 }
--- a/src/forwarder/effects.rs
+++ b/src/forwarder/effects.rs
@@ -51,8 +51,8 @@
         let Some((key, node)) = self.core.key_and_node(attempt) else { return };
         let Some(shard) = self.nodes.shard(node) else { return };
         match outcome {
-            Outcome::Served => self.placement.served(key, shard),
-            Outcome::Full => self.placement.turned_away(key, shard),
+            Outcome::Served => self.placement.record(key, shard),
+            Outcome::Full => self.placement.invalidate(key, shard),
             _ => {}
         }
     }
@@ -107,7 +107,7 @@
             Effect::CancelUnsent { attempt } => self.targets.withdraw(attempt),
             Effect::Start { attempt, node, content, give_up_at, begin_by } => {
                 let grace = self.config.settings.rules.drain_grace;
-                let Some((endpoint, closes)) = self.nodes.open(now, node, grace) else {
+                let Some((endpoint, closes)) = self.nodes.endpoint(now, node, grace) else {
                     return self.core.attempt_ended(
                         now,
                         attempt,
--- a/src/forwarder/mod.rs
+++ b/src/forwarder/mod.rs
@@ -15,13 +15,13 @@
 use crate::config::{Config, Files};
 use crate::control::endpoint::AdminEndpoint;
 use crate::core::Core;
-use crate::discovery::{Discovery, News};
+use crate::discovery::{Discovery, ListUpdate};
 use crate::fleet;
 use crate::flow::Budget;
 use crate::front::{iscsi, resp, Front};
 use crate::interface::{Event, ListKind};
 use crate::nodes::Nodes;
-use crate::pace::Pace;
+use crate::pace::LoopTiming;
 use crate::placement::Placement;
 use crate::planner::client::{self, Planners};
 use crate::planner::Planner;
@@ -109,11 +109,11 @@
     pub fn run(&mut self) -> std::io::Result<()> {
         let mut ready = Readiness::new();
         self.plan(Instant::now());
-        let mut pace = Pace::new(self.config.settings.tick, self.config.cores, Instant::now());
+        let mut pace = LoopTiming::new(self.config.settings.tick, self.config.cores, Instant::now());
         loop {
             let now = Instant::now();
             let due = self.next_timer(now);
-            let pause = pace.waits(now);
+            let pause = pace.iteration_done(now);
             if !pause.is_zero() {
                 let begun = Instant::now();
                 std::thread::sleep(pause);
@@ -129,7 +129,7 @@
             }
             let now = Instant::now();
             self.turns.begin(now);
-            let late = pace.woken(now);
+            let late = pace.wait_done(now);
             let stopped = pace.may_have_been_stopped(now);
             if stopped {
                 // Guards what has come by now against timers that are due by now: it may have come after the wait.
@@ -137,7 +137,7 @@
             }
             self.core.set_lateness(late);
             self.report_turns(now);
-            self.came = now.checked_sub(pace.waited()).unwrap_or(now);
+            self.came = now.checked_sub(pace.max_queued()).unwrap_or(now);
             self.resp.begin_turn(self.came, stopped);
             self.iscsi.iter_mut().for_each(|front| front.begin_turn(self.came, stopped));
             self.answer_what_is_over(now);
@@ -193,7 +193,7 @@
     /// Follows the addresses that move, before anything else that is ready.
     fn serve(&mut self, now: Instant, ready: &Readiness) {
         let came: Vec<bool> = ADVERTISEMENTS.iter().map(|token| ready.contains(*token)).collect();
-        let discovery = self.discovery.heard();
+        let discovery = self.discovery.last_message_at();
         let ready_nodes = self.nodes.ready();
         let (crowded, memory) = (self.resp.is_crowded(now), self.config.memory);
         self.with_addresses(|addresses, lent| {
@@ -299,7 +299,7 @@
         }
         self.config.discovery = new.discovery;
         let token = self.tokens.next(Kind::Discovery);
-        self.discovery.move_to(new.discovery, token, now);
+        self.discovery.set_address(new.discovery, token, now);
     }
 
     /// What the fronts do in each turn of the loop.
@@ -312,9 +312,9 @@
     }
 
     /// Takes a list from discovery.
-    fn take_list(&mut self, news: News, kind: ListKind) {
+    fn take_list(&mut self, news: ListUpdate, kind: ListKind) {
         self.turns.spent_on(Work::Hearing);
-        let (event, gone) = self.nodes.take(news, kind);
+        let (event, gone) = self.nodes.apply(news, kind);
         tracing::trace!(?event, "node list");
         gone.into_iter().for_each(|node| self.targets.leave(node));
         self.close_draining(&event);
@@ -324,7 +324,7 @@
 
     /// Nothing begins at the draining nodes of a message once their grace is over.
     fn close_draining(&mut self, message: &Event) {
-        for (node, closes) in self.nodes.closing(message, self.config.settings.rules.drain_grace) {
+        for (node, closes) in self.nodes.drain_deadlines(message, self.config.settings.rules.drain_grace) {
             self.targets.close_at(node, closes);
         }
     }
--- a/src/forwarder/operators.rs
+++ b/src/forwarder/operators.rs
@@ -57,7 +57,7 @@
 
     /// Takes a target out, or back.
     pub(super) fn ban(&mut self, now: Instant, unix: Duration, name: &str, out: bool) -> Result<(), String> {
-        let event = if out { self.nodes.ban(now, unix, name) } else { self.nodes.call_back(unix, name) };
+        let event = if out { self.nodes.disable(now, unix, name) } else { self.nodes.enable(unix, name) };
         if let Some(event) = event? {
             self.close_draining(&event);
             self.core.push_event(event);
--- a/src/forwarder/start.rs
+++ b/src/forwarder/start.rs
@@ -10,7 +10,7 @@
 use crate::config::{Config, Files};
 use crate::control::endpoint::AdminEndpoint;
 use crate::core::Core;
-use crate::discovery::{self, Discovery, News};
+use crate::discovery::{self, Discovery, ListUpdate};
 use crate::flow::Budget;
 use crate::front::{iscsi, resp, Front, Room};
 use crate::interface::{Event, ListKind};
@@ -67,7 +67,7 @@
         let targets = Targets::new(wire.connect_timeout, wire.conn_idle, for_targets, now);
         let retry_after = settings.limits.max_retry_after;
         let iscsi = config.iscsi.clone().map(|offered| {
-            offered.storage.iter().for_each(|storage| nodes.add_own(storage));
+            offered.storage.iter().for_each(|storage| nodes.add_iscsi(storage));
             let patience = settings.classes.iter().map(|class| class.deadline).collect();
             let room =
                 Room { easy: MOST_ISCSI, clients: MOST_ISCSI, crowd: 0, leaving: MOST_ISCSI / 4, ..room };
@@ -114,7 +114,7 @@
                     state.drain(now)?;
                 }
                 held = holds;
-                if let Some(list_event) = nodes.load(now, listed) {
+                if let Some(list_event) = nodes.restore(now, listed) {
                     (version, loaded) = (list, true);
                     let learned = scheduler.is_some_and(|scheduler| planner.take_over(scheduler));
                     tracing::info!(learned, "taken over from the process before");
@@ -137,7 +137,7 @@
                 tokens.next(Kind::Discovery),
                 now,
                 version,
-                discovery::Manner::new(&config.settings, config.seed),
+                discovery::PollingPolicy::new(&config.settings, config.seed),
             ),
             nodes,
             placement: Placement::default(),
@@ -158,12 +158,13 @@
             came: now,
             next_report: now,
         };
-        if !forwarder.nodes.own().is_empty() {
-            let entries = forwarder.nodes.own().to_vec();
+        if !forwarder.nodes.iscsi_nodes().is_empty() {
+            let entries = forwarder.nodes.iscsi_nodes().to_vec();
             forwarder.core.push_event(Event::List { kind: ListKind::Delta, entries });
         }
         if let Some(known) = known.filter(|_| !loaded) {
-            forwarder.take_list(News { message: known, fresh: false, came: now }, ListKind::Cached);
+            forwarder
+                .take_list(ListUpdate { message: known, contiguous: false, received: now }, ListKind::Cached);
         }
         if let Some(vrrp) = forwarder.config.vrrp.clone() {
             let longest = forwarder.longest_deadline();
@@ -203,7 +204,7 @@
 /// Limits and cold nodes are divided between the machines of a virtual router.
 fn divide_between_routers(config: &mut Config, files: &Files) -> Result<(), String> {
     let Some(vrrp) = &config.vrrp else { return Ok(()) };
-    if let Some(plan) = vrrp.share.too_small(&config.settings) {
+    if let Some(plan) = vrrp.share.plan_below_largest(&config.settings) {
         let why = "handover.burst_share leaves no room for the largest request of plan";
         return Err(format!("{}: {why} {:?}", files.vrrp.display(), config.wire.plans[plan]));
     }
--- a/src/forwarder/succession.rs
+++ b/src/forwarder/succession.rs
@@ -106,7 +106,7 @@
             let scheduler = Some(planner.hand_over(now));
             *again = None;
             let fleet = fleet.take().map(Speaker::hand_over);
-            Carried { drained, nodes: nodes.carry(now), list, scheduler, holds, fleet }
+            Carried { drained, nodes: nodes.save(now), list, scheduler, holds, fleet }
         });
         if given {
             tracing::info!("another process takes over");
--- a/src/front/endpoints.rs
+++ b/src/front/endpoints.rs
@@ -76,7 +76,7 @@
             }
             let listener = self.endpoints[endpoint].listener.as_mut();
             let Some(Pending::Connection(accepted)) = listener.map(Listener::accept) else { break };
-            self.admit(now, (accepted.stream, Some(accepted.came)), endpoint, true, next(), registry);
+            self.admit(now, (accepted.stream, Some(accepted.received)), endpoint, true, next(), registry);
         }
         self.endpoints[endpoint] = Endpoint { listener: None, retired: true };
     }
@@ -168,7 +168,7 @@
     fn take_newcomer(
         &mut self,
         now: Instant,
-        Accepted { stream, came, has_sent }: Accepted,
+        Accepted { stream, received, has_sent }: Accepted,
         endpoint: usize,
         registry: &Registry,
         next: &mut impl FnMut() -> Token,
@@ -183,7 +183,7 @@
             }
         };
         let token = next();
-        self.admit(now, (stream, has_sent.then_some(came)), endpoint, crowded, token, registry);
+        self.admit(now, (stream, has_sent.then_some(received)), endpoint, crowded, token, registry);
         if has_sent {
             self.queue(token.0);
         }
--- a/src/front/iscsi.rs
+++ b/src/front/iscsi.rs
@@ -424,7 +424,7 @@
             id,
             attributes,
             body: std::mem::take(&mut task.body),
-            flow: None,
+            body_stream: None,
             extent: Some(Extent {
                 lun: unit.storage_lun,
                 block: transfer.block,
--- a/src/front/leaving.rs
+++ b/src/front/leaving.rs
@@ -31,7 +31,7 @@
 impl Leaving {
     /// Ends a connection of which all is written. Where there are too many, the one that was ended first is closed.
     pub fn add(&mut self, now: Instant, id: usize, conn: Conn, most: usize) {
-        if conn.end_sending().is_err() {
+        if conn.shutdown_write().is_err() {
             // The far side has gone.
             return;
         }
--- a/src/front/resp.rs
+++ b/src/front/resp.rs
@@ -3,7 +3,7 @@
 use super::{Closing, Declined, Intake, Protocol, ELSEWHERE_AFTER, MOST_INPUT};
 use crate::config::Wire;
 use crate::core::{Answer, Content, Operation};
-use crate::flow::{Budget, Flow, LONG, LONGEST};
+use crate::flow::{BodyStream, Budget, MAX_VALUE_BYTES, STREAM_THRESHOLD};
 use crate::interface::{NewRequest, RequestId, VolumeId};
 use crate::resp::{self, Value};
 use std::collections::VecDeque;
@@ -51,7 +51,7 @@
     place: u64,
     /// When its head had come.
     since: Duration,
-    flow: Flow,
+    flow: BodyStream,
     patience: Duration,
     /// What is asked for, until it is.
     command: Option<Box<(NewRequest, Content)>>,
@@ -79,7 +79,7 @@
         }
         let place = session.next_place;
         let (length, request, answer) = match self.parse(input) {
-            Ok(None) => match resp::head(input, PUT_WORDS - 1, LONGEST) {
+            Ok(None) => match resp::head(input, PUT_WORDS - 1, MAX_VALUE_BYTES) {
                 Ok(Some(head)) if head.elements == PUT_WORDS => {
                     let length = head.start;
                     self.begin_body(session, head, output, intake);
@@ -123,7 +123,7 @@
     fn answer(&self, session: &mut Session, place: u64, answer: Answer, output: &mut Vec<u8>) {
         if let Some(receiving) = session.receiving.as_mut().filter(|receiving| receiving.place == place) {
             // Its answer came before its last byte: what still comes is passed over.
-            receiving.flow.abandon();
+            receiving.flow.discard();
         }
         let Some(pending) = session.pending.iter_mut().find(|pending| pending.place == place) else { return };
         pending.answer = Some(match answer {
@@ -183,7 +183,7 @@
     }
 
     fn is_full(&self, session: &Session) -> bool {
-        let held_up = |receiving: &Receiving| receiving.flow.room() == 0 && !receiving.flow.is_complete();
+        let held_up = |receiving: &Receiving| receiving.flow.capacity() == 0 && !receiving.flow.is_complete();
         match &session.receiving {
             Some(receiving) => held_up(receiving),
             None => session.pending.len() >= self.most_pending,
@@ -199,8 +199,8 @@
     /// A whole command, unless its body is long: that one is passed through.
     fn parse(&self, input: &[u8]) -> Result<Option<(Value, usize)>, String> {
         match resp::parse(input) {
-            Err(why) => match resp::head(input, PUT_WORDS - 1, LONGEST) {
-                Ok(Some(head)) if head.elements == PUT_WORDS && head.length > LONG => Ok(None),
+            Err(why) => match resp::head(input, PUT_WORDS - 1, MAX_VALUE_BYTES) {
+                Ok(Some(head)) if head.elements == PUT_WORDS && head.length > STREAM_THRESHOLD => Ok(None),
                 _ => Err(why),
             },
             whole => whole,
@@ -212,15 +212,15 @@
         let place = session.next_place;
         let mut words: Vec<Value> = head.words.into_iter().map(|word| Value::Bulk(Some(word))).collect();
         words.push(Value::Bulk(Some(Vec::new())));
-        let flow = Flow::new(head.length, self.budget.grant(head.length));
+        let flow = BodyStream::new(head.length, self.budget.grant(head.length));
         let mut pending = Pending { place, ..Pending::default() };
         let (mut patience, mut command) = (Duration::ZERO, None);
         match read_command(Value::Array(Some(words)), &self.wire) {
             Ok(Command::Request { new, patience: waits, mut content }) => {
                 session.requested = true;
-                content.flow = Some(flow.clone());
+                content.body_stream = Some(flow.clone());
                 (patience, command) = (waits, Some(Box::new((new, *content))));
-                intake.core.counters.bodies_streamed += u64::from(head.length > LONG);
+                intake.core.counters.bodies_streamed += u64::from(head.length > STREAM_THRESHOLD);
             }
             Ok(_) => pending.answer = Some(error("unknown command")),
             Err(why) => {
@@ -233,7 +233,7 @@
             (command, pending.answer) = (None, Some(self.declined(why)));
         }
         if command.is_none() {
-            flow.abandon();
+            flow.discard();
         }
         session.next_place += 1;
         session.pending.push_back(pending);
@@ -254,7 +254,7 @@
         if intake.now.saturating_sub(receiving.since) > LONGEST_BODY {
             return Err(Closing);
         }
-        let mut count = flow.room().min(input.len());
+        let mut count = flow.capacity().min(input.len());
         flow.push(&input[..count]);
         let complete = flow.is_complete();
         let mut done = false;
@@ -269,13 +269,13 @@
                 None => {}
             }
         }
-        if done || (flow.room() == 0 && !complete) {
+        if done || (flow.capacity() == 0 && !complete) {
             if let Some(command) = receiving.command.take() {
                 let (new, mut content) = *command;
-                if done && flow.length() <= LONG {
+                if done && flow.length() <= STREAM_THRESHOLD {
                     // It is no different from one that came in one piece.
                     content.body = flow.copy(0, flow.length());
-                    content.flow = None;
+                    content.body_stream = None;
                 }
                 // The client's time counts from its last byte, which may be long in coming.
                 let patience = receiving.patience + if done { Duration::ZERO } else { LONGEST_BODY };
@@ -285,7 +285,7 @@
                         pending.into_iter().for_each(|pending| pending.request = Some(request));
                     }
                     Err(why) => {
-                        flow.abandon();
+                        flow.discard();
                         session.settle(receiving.place, Some(self.declined(why)), output);
                     }
                 }
@@ -397,7 +397,7 @@
     }
     let body = words.next().unwrap_or_default();
     let (new, patience, attributes) = read_attributes(&attributes, &object, wire)?;
-    let content = Content { operation, object, id, attributes, body, flow: None, extent: None };
+    let content = Content { operation, object, id, attributes, body, body_stream: None, extent: None };
     Ok(Command::Request { new, patience, content: Box::new(content) })
 }
 
--- a/src/handover.rs
+++ b/src/handover.rs
@@ -33,7 +33,7 @@
 
     /// The plan, by position, whose limit would leave no room for the largest request of a volume whose requests
     /// come through one host.
-    pub fn too_small(&self, settings: &Settings) -> Option<usize> {
+    pub fn plan_below_largest(&self, settings: &Settings) -> Option<usize> {
         let small =
             |plan: &Plan| plan.limit.is_some_and(|limit| limit.burst * self.burst < settings.units.largest);
         settings.plans.iter().position(small)
@@ -66,7 +66,7 @@
     /// The address is here, and listened at.
     Opened,
     /// Time has passed; so many items taken there have no final answer yet.
-    Looked {
+    Polled {
         /// Items.
         open: usize,
     },
@@ -74,34 +74,36 @@
 
 /// What is to be done with the address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Order {
+pub enum AddressAction {
     /// Get it and listen there.
-    Take,
+    Acquire,
     /// Take nothing more there, at once, and let the address go. Connections stay until they are answered.
     Release,
     /// End what has no final answer yet: its time is over.
-    End,
+    Abort,
 }
 
 impl Duty {
     /// The next duty, and what is to be done. `finish` is how long an item may last: the longest deadline.
-    pub fn step(self, now: Duration, finish: Duration, event: Event) -> (Duty, Option<Order>) {
+    pub fn step(self, now: Duration, max_duration: Duration, event: Event) -> (Duty, Option<AddressAction>) {
         match (self, event) {
-            (Duty::Standby | Duty::Retired { .. }, Event::Granted) => (Duty::Opening, Some(Order::Take)),
+            (Duty::Standby | Duty::Retired { .. }, Event::Granted) => {
+                (Duty::Opening, Some(AddressAction::Acquire))
+            }
             (Duty::Opening | Duty::Serving, Event::Withdrawn) => {
-                (Duty::Retired { until: now + finish }, Some(Order::Release))
+                (Duty::Retired { until: now + max_duration }, Some(AddressAction::Release))
             }
             (Duty::Opening, Event::Opened) => (Duty::Serving, None),
-            (Duty::Retired { .. }, Event::Looked { open: 0 }) => (Duty::Standby, None),
-            (Duty::Retired { until }, Event::Looked { .. }) if now > until => {
-                (Duty::Standby, Some(Order::End))
+            (Duty::Retired { .. }, Event::Polled { open: 0 }) => (Duty::Standby, None),
+            (Duty::Retired { until }, Event::Polled { .. }) if now > until => {
+                (Duty::Standby, Some(AddressAction::Abort))
             }
             (duty, _) => (duty, None),
         }
     }
 
     /// Whether an item that comes in at the address may be taken.
-    pub fn takes(self) -> bool {
+    pub fn accepts(self) -> bool {
         self == Duty::Serving
     }
 
@@ -120,13 +122,13 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Handover {
     duties: Vec<Duty>,
-    finish: Duration,
+    max_duration: Duration,
 }
 
 impl Handover {
     /// Nothing is served yet.
-    pub fn new(addresses: usize, finish: Duration) -> Self {
-        Handover { duties: vec![Duty::Standby; addresses], finish }
+    pub fn new(addresses: usize, max_duration: Duration) -> Self {
+        Handover { duties: vec![Duty::Standby; addresses], max_duration }
     }
 
     /// What is done for an address.
@@ -135,10 +137,10 @@
     }
 
     /// Takes what happened to an address.
-    pub fn step(&mut self, now: Duration, address: usize, event: Event) -> Option<Order> {
-        let (duty, order) = self.duties[address].step(now, self.finish, event);
+    pub fn step(&mut self, now: Duration, address: usize, event: Event) -> Option<AddressAction> {
+        let (duty, action) = self.duties[address].step(now, self.max_duration, event);
         self.duties[address] = duty;
-        order
+        action
     }
 }
 
--- a/src/listener/mod.rs
+++ b/src/listener/mod.rs
@@ -25,19 +25,19 @@
 /// clients try again after 0.2 s, 0.4 s, 1 s. Linux gives no more than `net.core.somaxconn`, which is 4096 unless changed.
 pub const ACCEPT_BACKLOG: u32 = 4096;
 /// How long an address may still be another's at the start, and how often it is tried.
-const BIND_PATIENCE: Duration = Duration::from_secs(2);
+const BIND_TIMEOUT: Duration = Duration::from_secs(2);
 const BIND_PAUSE: Duration = Duration::from_millis(10);
 /// How soon connections are looked for again where the system lacks what they take.
 const RETRY_PAUSE: Duration = Duration::from_millis(20);
 /// Connections in a row that may have failed before they were accepted, until the others wait for the next turn.
-const MOST_FAILED: usize = 64;
+const MAX_FAILED_ACCEPTS: usize = 64;
 
 /// A connection that was accepted.
 pub struct Accepted {
     /// The connection.
     pub stream: TcpStream,
     /// When what its client has sent so far came, at the earliest; the moment of its acceptance where nothing had come.
-    pub came: Instant,
+    pub received: Instant,
     /// Something of it waits to be read.
     pub has_sent: bool,
 }
@@ -79,7 +79,7 @@
         let start = Instant::now();
         loop {
             match bind(address, Locality::Local) {
-                Err(error) if error.kind() == ErrorKind::AddrInUse && start.elapsed() < BIND_PATIENCE => {
+                Err(error) if error.kind() == ErrorKind::AddrInUse && start.elapsed() < BIND_TIMEOUT => {
                     std::thread::sleep(BIND_PAUSE);
                 }
                 other => return Ok(Listener::adopt(TcpListener::from_std(other?), Some(start))),
@@ -170,20 +170,20 @@
 
     /// The next connection of the queue. One that broke while it was there is passed over.
     pub fn accept(&mut self) -> Pending {
-        for _ in 0..MOST_FAILED {
+        for _ in 0..MAX_FAILED_ACCEPTS {
             match self.socket.accept() {
                 Ok((stream, _)) => {
                     let now = Instant::now();
                     let info = TcpInfo::of(stream.as_fd());
-                    let (came, has_sent) = self.queue.arrival(now, info.as_ref());
-                    return Pending::Connection(Accepted { stream, came, has_sent });
+                    let (received, has_sent) = self.queue.arrival(now, info.as_ref());
+                    return Pending::Connection(Accepted { stream, received, has_sent });
                 }
                 Err(error) if error.kind() == ErrorKind::WouldBlock => {
                     self.queue.emptied();
                     self.next_accept = NextAccept::WhenReady;
                     return Pending::Empty;
                 }
-                Err(error) if is_lack(&error) => {
+                Err(error) if is_resource_shortage(&error) => {
                     self.next_accept = NextAccept::At(Instant::now() + RETRY_PAUSE);
                     return Pending::Failed(error);
                 }
@@ -229,10 +229,10 @@
 
 /// Says once if the system gives less than is asked for.
 fn warn_if_short(socket: &TcpListener) {
-    static SAID: Once = Once::new();
+    static WARNED: Once = Once::new();
     let Some(limit) = TcpInfo::of(socket.as_fd()).map(|info| info.accept_queue_limit()) else { return };
     if limit < ACCEPT_BACKLOG {
-        SAID.call_once(|| {
+        WARNED.call_once(|| {
             tracing::warn!(
                 limit,
                 wanted = ACCEPT_BACKLOG,
@@ -243,7 +243,7 @@
 }
 
 /// Whether it is this machine that lacks something, so that the connection is still in the queue.
-fn is_lack(error: &std::io::Error) -> bool {
+fn is_resource_shortage(error: &std::io::Error) -> bool {
     use nix::libc::{EINVAL, EMFILE, ENFILE, ENOBUFS, ENOMEM};
     error.raw_os_error().is_some_and(|code| [EMFILE, ENFILE, ENOBUFS, ENOMEM, EINVAL].contains(&code))
 }
--- a/src/listener/queue.rs
+++ b/src/listener/queue.rs
@@ -105,14 +105,14 @@
             return (now, false);
         }
         let data = now.checked_sub(info.since_data() + TICK).unwrap_or(now);
-        let came = match (info.data_segments(), earliest) {
+        let received = match (info.data_segments(), earliest) {
             (1, Some(earliest)) => data.max(info.arrived_by(now, earliest)),
             (1, None) => data,
             (_, earliest) => earliest.unwrap_or(data).min(data),
         };
         let dropped = self.overflowed.is_some_and(|at| now - at < OVERFLOW_MEMORY);
         let held_up = if dropped { handshake_delay(info) } else { Duration::ZERO };
-        (came.checked_sub(held_up).unwrap_or(came), true)
+        (received.checked_sub(held_up).unwrap_or(received), true)
     }
 }
 
--- a/src/listener/tests.rs
+++ b/src/listener/tests.rs
@@ -21,7 +21,7 @@
             Pending::Failed(error) => panic!("{error}"),
         }
     }
-    panic!("nobody came");
+    panic!("nobody received");
 }
 
 #[test]
@@ -35,8 +35,11 @@
     std::thread::sleep(ms(200));
     let (first, second) = (next(&mut listener), next(&mut listener));
     // The kernel counts in ticks, of 10 ms at most.
-    assert!(first.has_sent && first.came + ms(10) >= before && first.came <= sent, "as old as the bytes");
-    assert!(!second.has_sent && second.came >= sent + ms(200), "nothing has come that could be old");
+    assert!(
+        first.has_sent && first.received + ms(10) >= before && first.received <= sent,
+        "as old as the bytes"
+    );
+    assert!(!second.has_sent && second.received >= sent + ms(200), "nothing has come that could be old");
 }
 
 #[test]
@@ -88,19 +91,19 @@
     queue.ready(found);
     queue.ready(now);
     // The kernel counts in ticks.
-    let old = TcpInfo::planted(1, 60, 100, 0);
+    let old = TcpInfo::with_segments(1, 60, 100, 0);
     assert_eq!(queue.arrival(now, Some(&old)), (found, true));
     assert_eq!(queue.arrival(now, None), (found, true), "where the system tells nothing, the earlier bound");
-    let fresh = TcpInfo::planted(1, 0, 100, 0);
-    let (came, _) = queue.arrival(now, Some(&fresh));
-    assert!(came >= found && came < now, "the kernel counts in ticks");
+    let fresh = TcpInfo::with_segments(1, 0, 100, 0);
+    let (received, _) = queue.arrival(now, Some(&fresh));
+    assert!(received >= found && received < now, "the kernel counts in ticks");
     // The age of the last of several segments says little of the first.
-    let several = TcpInfo::planted(3, 0, 100, 0);
+    let several = TcpInfo::with_segments(3, 0, 100, 0);
     assert_eq!(queue.arrival(now, Some(&several)), (found, true));
     queue.forget_age();
-    let old = TcpInfo::planted(1, 5_000, 100, 0);
-    let (came, _) = queue.arrival(start + ms(6_000), Some(&old));
-    assert!(came <= start + ms(1_000), "others had the queue before");
+    let old = TcpInfo::with_segments(1, 5_000, 100, 0);
+    let (received, _) = queue.arrival(start + ms(6_000), Some(&old));
+    assert!(received <= start + ms(1_000), "others had the queue before");
 }
 
 /// A process that was stopped just as its wait ended believes that nothing came before it went on (`may_have_been_stopped`); the
@@ -112,9 +115,9 @@
     let mut queue = AcceptQueue::new(Some(start));
     queue.emptied();
     queue.ready(now);
-    let waited = TcpInfo::planted(1, 400, 100, 0);
-    let (came, has_sent) = queue.arrival(now, Some(&waited));
-    assert!(has_sent && came <= now - ms(400) && came >= now - ms(420), "{:?}", now - came);
+    let waited = TcpInfo::with_segments(1, 400, 100, 0);
+    let (received, has_sent) = queue.arrival(now, Some(&waited));
+    assert!(has_sent && received <= now - ms(400) && received >= now - ms(420), "{:?}", now - received);
 }
 
 #[test]
@@ -124,10 +127,10 @@
     let mut queue = AcceptQueue::new(Some(start));
     queue.emptied();
     queue.ready(now);
-    let again = TcpInfo::planted(1, 0, 400_000, 0);
-    let again_by_server = TcpInfo::planted(1, 0, 100, 1);
+    let again = TcpInfo::with_segments(1, 0, 400_000, 0);
+    let again_by_server = TcpInfo::with_segments(1, 0, 100, 1);
     assert_eq!(queue.arrival(now, Some(&again)).0, now, "a long way is no overflow");
-    queue.inspected(now, &TcpInfo::planted_queue(128, 128), 7);
+    queue.inspected(now, &TcpInfo::with_accept_queue(128, 128), 7);
     assert_eq!(queue.figures(0), QueueFigures { length: 0, limit: 128, longest: 128, drops: 7 });
     assert_eq!(queue.arrival(now, Some(&again)).0, now - ms(400));
     assert_eq!(queue.arrival(now, Some(&again_by_server)).0, now - ms(1_000));
--- a/src/nodes/tests.rs
+++ b/src/nodes/tests.rs
@@ -4,25 +4,25 @@
 
 const GRACE: Duration = Duration::from_secs(2);
 
-fn line(name: &str, status: Status, since_ms: f64) -> Line {
+fn listed_endpoint(name: &str, status: Status, since_ms: f64) -> Line {
     let address = ([127, 0, 0, 1], 1).into();
     Line { name: name.into(), address, zone: String::new(), group: 3, status, since_ms }
 }
 
-fn told(came: Instant, snapshot: bool, endpoints: Vec<Line>) -> News {
-    News { message: ListMessage { index: 1, snapshot, endpoints }, fresh: true, came }
+fn update(received: Instant, snapshot: bool, endpoints: Vec<Line>) -> ListUpdate {
+    ListUpdate { message: ListMessage { index: 1, snapshot, endpoints }, contiguous: true, received }
 }
 
 /// One of everything.
-pub fn some() -> Nodes {
+pub fn populated() -> Nodes {
     let (now, mut nodes) = (Instant::now(), Nodes::new(vec!["z".into()]));
-    let lines = ["s-1", "s-2", "s-3"].map(|name| line(name, Status::Active, 1.0)).to_vec();
-    nodes.take(told(now, true, lines), ListKind::Full);
-    nodes.take(told(now, false, vec![line("s-1", Status::Leaving, 1.0)]), ListKind::Delta);
+    let lines = ["s-1", "s-2", "s-3"].map(|name| listed_endpoint(name, Status::Active, 1.0)).to_vec();
+    nodes.apply(update(now, true, lines), ListKind::Full);
+    nodes.apply(update(now, false, vec![listed_endpoint("s-1", Status::Leaving, 1.0)]), ListKind::Delta);
     for name in ["s-2", "s-3"] {
-        nodes.ban(now, seconds(100), name).unwrap();
+        nodes.disable(now, seconds(100), name).unwrap();
     }
-    nodes.call_back(seconds(110), "s-3").unwrap();
+    nodes.enable(seconds(110), "s-3").unwrap();
     nodes
 }
 
@@ -38,56 +38,58 @@
 #[test]
 fn a_target_that_was_called_back_is_cold_until_discovery_names_its_start() {
     let (now, mut nodes) = (Instant::now(), Nodes::new(vec![]));
-    nodes.take(told(now, true, vec![line("s-1", Status::Active, 0.0)]), ListKind::Full);
-    assert!(nodes.ban(now, seconds(100), "s-2").is_err(), "never listed");
-    let event = nodes.ban(now, seconds(100), "s-1").unwrap().unwrap();
+    nodes.apply(update(now, true, vec![listed_endpoint("s-1", Status::Active, 0.0)]), ListKind::Full);
+    assert!(nodes.disable(now, seconds(100), "s-2").is_err(), "never listed");
+    let event = nodes.disable(now, seconds(100), "s-1").unwrap().unwrap();
     assert_eq!(states(&event), [(NodeState::Draining, None)]);
     // Restarted, as discovery sees it, and listed again: it stays out.
-    let left = told(now, false, vec![line("s-1", Status::Left, 0.0)]);
-    nodes.take(left, ListKind::Delta);
-    let (event, _) = nodes.take(told(now, false, vec![line("s-1", Status::Active, 0.0)]), ListKind::Delta);
+    let left = update(now, false, vec![listed_endpoint("s-1", Status::Left, 0.0)]);
+    nodes.apply(left, ListKind::Delta);
+    let (event, _) =
+        nodes.apply(update(now, false, vec![listed_endpoint("s-1", Status::Active, 0.0)]), ListKind::Delta);
     assert_eq!(states(&event), [(NodeState::Draining, None)]);
     // Discovery has not told of the restart.
-    let event = nodes.call_back(seconds(110), "s-1").unwrap().unwrap();
+    let event = nodes.enable(seconds(110), "s-1").unwrap().unwrap();
     assert_eq!(states(&event), [(NodeState::Ready, Some(seconds(110)))]);
-    let late = told(now, true, vec![line("s-1", Status::Active, 105_000.0)]);
-    assert_eq!(states(&nodes.take(late, ListKind::Full).0)[0].1, Some(seconds(110)));
-    let again = told(now, true, vec![line("s-1", Status::Active, 130_000.0)]);
-    assert_eq!(states(&nodes.take(again, ListKind::Full).0)[0].1, Some(seconds(130)));
+    let late = update(now, true, vec![listed_endpoint("s-1", Status::Active, 105_000.0)]);
+    assert_eq!(states(&nodes.apply(late, ListKind::Full).0)[0].1, Some(seconds(110)));
+    let again = update(now, true, vec![listed_endpoint("s-1", Status::Active, 130_000.0)]);
+    assert_eq!(states(&nodes.apply(again, ListKind::Full).0)[0].1, Some(seconds(130)));
     // It has told of the restart before the call back.
-    nodes.ban(now, seconds(140), "s-1").unwrap();
-    let late = told(now, true, vec![line("s-1", Status::Active, 145_000.0)]);
-    nodes.take(late, ListKind::Full);
-    let event = nodes.call_back(seconds(150), "s-1").unwrap().unwrap();
+    nodes.disable(now, seconds(140), "s-1").unwrap();
+    let late = update(now, true, vec![listed_endpoint("s-1", Status::Active, 145_000.0)]);
+    nodes.apply(late, ListKind::Full);
+    let event = nodes.enable(seconds(150), "s-1").unwrap().unwrap();
     assert_eq!(states(&event), [(NodeState::Ready, Some(seconds(145)))]);
 }
 
 #[test]
 fn bans_and_drains_go_on_with_their_clocks_in_the_next_process() {
     let (now, mut old) = (Instant::now(), Nodes::new(vec!["z".into()]));
-    let lines = || vec![line("s-1", Status::Active, 0.0), line("s-2", Status::Active, 0.0)];
-    old.take(told(now, true, lines()), ListKind::Full);
-    old.take(told(now, false, vec![line("s-2", Status::Leaving, 0.0)]), ListKind::Delta);
-    old.ban(now, seconds(100), "s-1").unwrap();
+    let lines =
+        || vec![listed_endpoint("s-1", Status::Active, 0.0), listed_endpoint("s-2", Status::Active, 0.0)];
+    old.apply(update(now, true, lines()), ListKind::Full);
+    old.apply(update(now, false, vec![listed_endpoint("s-2", Status::Leaving, 0.0)]), ListKind::Delta);
+    old.disable(now, seconds(100), "s-1").unwrap();
     let later = now + Duration::from_millis(1500);
     let mut new = Nodes::new(vec!["z".into()]);
-    let event = new.load(later, old.carry(later)).unwrap();
+    let event = new.restore(later, old.save(later)).unwrap();
     assert!(states(&event).iter().all(|(state, _)| *state == NodeState::Draining));
     for (at, open) in [(1900, true), (2100, false)] {
         let at = now + Duration::from_millis(at);
         for name in ["s-1", "s-2"] {
             assert_eq!(old.ids[name], new.ids[name]);
-            assert_eq!(new.open(at, new.ids[name], GRACE).is_some(), open, "{name}");
+            assert_eq!(new.endpoint(at, new.ids[name], GRACE).is_some(), open, "{name}");
         }
     }
-    assert!(new.call_back(seconds(110), "s-1").unwrap().is_some());
-    assert!(Nodes::new(vec!["y".into()]).load(later, old.carry(later)).is_none());
+    assert!(new.enable(seconds(110), "s-1").unwrap().is_some());
+    assert!(Nodes::new(vec!["y".into()]).restore(later, old.save(later)).is_none());
 }
 
 #[derive(Clone, Debug)]
 enum Step {
-    Ban(usize),
-    CallBack(usize),
+    Disable(usize),
+    Enable(usize),
     Tell(bool, Vec<(usize, u8)>),
     Pass,
 }
@@ -95,8 +97,8 @@
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     let tell = (any::<bool>(), prop::collection::vec((0..3usize, 0..3u8), 0..3));
     let step = prop_oneof![
-        (0..3usize).prop_map(Step::Ban),
-        (0..3usize).prop_map(Step::CallBack),
+        (0..3usize).prop_map(Step::Disable),
+        (0..3usize).prop_map(Step::Enable),
         tell.prop_map(|(snapshot, lines)| Step::Tell(snapshot, lines)),
         Just(Step::Pass),
     ];
@@ -108,28 +110,28 @@
     fn whatever_discovery_says_a_banned_target_is_never_ready_nor_open_beyond_its_grace(steps in steps()) {
         let (mut now, mut nodes) = (Instant::now(), Nodes::new(vec![]));
         let names = ["a", "b", "c"];
-        let all = names.iter().map(|name| line(name, Status::Active, 0.0)).collect();
-        nodes.take(told(now, true, all), ListKind::Full);
-        let mut banned: BTreeMap<usize, Instant> = BTreeMap::new();
+        let all = names.iter().map(|name| listed_endpoint(name, Status::Active, 0.0)).collect();
+        nodes.apply(update(now, true, all), ListKind::Full);
+        let mut disabled: BTreeMap<usize, Instant> = BTreeMap::new();
         let mut seen: BTreeMap<NodeId, NodeState> = BTreeMap::new();
         for step in steps {
             let event = match step {
-                Step::Ban(at) => {
-                    banned.entry(at).or_insert(now);
-                    nodes.ban(now, seconds(1), names[at]).unwrap()
+                Step::Disable(at) => {
+                    disabled.entry(at).or_insert(now);
+                    nodes.disable(now, seconds(1), names[at]).unwrap()
                 }
-                Step::CallBack(at) => {
-                    banned.remove(&at);
-                    nodes.call_back(seconds(2), names[at]).unwrap()
+                Step::Enable(at) => {
+                    disabled.remove(&at);
+                    nodes.enable(seconds(2), names[at]).unwrap()
                 }
                 Step::Tell(snapshot, lines) => {
                     let status = |code| [Status::Active, Status::Leaving, Status::Left][usize::from(code)];
-                    let lines = lines.iter().map(|(at, code)| line(names[*at], status(*code), 0.0)).collect();
+                    let lines = lines.iter().map(|(at, code)| listed_endpoint(names[*at], status(*code), 0.0)).collect();
                     let kind = if snapshot { ListKind::Full } else { ListKind::Delta };
                     if snapshot {
                         seen.clear();
                     }
-                    Some(nodes.take(told(now, snapshot, lines), kind).0)
+                    Some(nodes.apply(update(now, snapshot, lines), kind).0)
                 }
                 Step::Pass => {
                     now += Duration::from_millis(700);
@@ -139,10 +141,10 @@
             if let Some(Event::List { entries, .. }) = event {
                 seen.extend(entries.iter().map(|entry| (entry.node, entry.state)));
             }
-            for (at, since) in &banned {
+            for (at, since) in &disabled {
                 let Some(id) = nodes.ids.get(names[*at]) else { continue };
                 prop_assert_ne!(seen.get(id), Some(&NodeState::Ready));
-                prop_assert!(nodes.open(now, *id, GRACE).is_none() || now < *since + GRACE);
+                prop_assert!(nodes.endpoint(now, *id, GRACE).is_none() || now < *since + GRACE);
             }
         }
     }
@@ -154,8 +156,8 @@
 
 fn listed(now: Instant, known: &[&str]) -> Nodes {
     let mut nodes = Nodes::new(vec![]);
-    let lines = known.iter().map(|name| line(name, Status::Active, 1.0)).collect();
-    nodes.take(told(now, true, lines), ListKind::Full);
+    let lines = known.iter().map(|name| listed_endpoint(name, Status::Active, 1.0)).collect();
+    nodes.apply(update(now, true, lines), ListKind::Full);
     nodes
 }
 
@@ -163,19 +165,23 @@
 fn a_node_is_out_while_the_admin_endpoint_or_the_configuration_says_so() {
     let now = Instant::now();
     let mut nodes = listed(now, &["s-1"]);
-    nodes.ban(now, seconds(100), "s-1").unwrap();
-    let event = nodes.configure_out(now, seconds(101), &names(&["s-1"])).unwrap();
+    nodes.disable(now, seconds(100), "s-1").unwrap();
+    let event = nodes.set_configured_out(now, seconds(101), &names(&["s-1"])).unwrap();
     assert_eq!(states(&event)[0].0, NodeState::Draining);
-    assert_eq!(nodes.call_back(seconds(110), "s-1"), Ok(None), "the configuration still says so");
+    assert_eq!(nodes.enable(seconds(110), "s-1"), Ok(None), "the configuration still says so");
     assert_eq!(nodes.ready(), 0);
-    let event = nodes.configure_out(now, seconds(120), &names(&[])).unwrap();
+    let event = nodes.set_configured_out(now, seconds(120), &names(&[])).unwrap();
     assert_eq!(states(&event), [(NodeState::Ready, Some(seconds(120)))]);
     // The other way round.
-    nodes.configure_out(now, seconds(130), &names(&["s-1"]));
-    nodes.ban(now, seconds(131), "s-1").unwrap();
-    assert_eq!(nodes.configure_out(now, seconds(140), &names(&[])), None, "the admin endpoint still says so");
+    nodes.set_configured_out(now, seconds(130), &names(&["s-1"]));
+    nodes.disable(now, seconds(131), "s-1").unwrap();
+    assert_eq!(
+        nodes.set_configured_out(now, seconds(140), &names(&[])),
+        None,
+        "the admin endpoint still says so"
+    );
     assert_eq!(nodes.ready(), 0);
-    let event = nodes.call_back(seconds(150), "s-1").unwrap().unwrap();
+    let event = nodes.enable(seconds(150), "s-1").unwrap().unwrap();
     assert_eq!(states(&event), [(NodeState::Ready, Some(seconds(150)))]);
     assert_eq!(nodes.ready(), 1);
 }
@@ -184,22 +190,23 @@
 fn a_name_that_the_configuration_takes_out_counts_once_it_is_listed() {
     let now = Instant::now();
     let mut nodes = listed(now, &["s-1"]);
-    assert_eq!(nodes.configure_out(now, seconds(100), &names(&["s-2"])), None);
-    let line_of = |name| line(name, Status::Active, 1.0);
-    let (event, _) = nodes.take(told(now, true, vec![line_of("s-1"), line_of("s-2")]), ListKind::Full);
+    assert_eq!(nodes.set_configured_out(now, seconds(100), &names(&["s-2"])), None);
+    let line_of = |name| listed_endpoint(name, Status::Active, 1.0);
+    let (event, _) = nodes.apply(update(now, true, vec![line_of("s-1"), line_of("s-2")]), ListKind::Full);
     assert_eq!(
         states(&event).iter().map(|it| it.0).collect::<Vec<_>>(),
         [NodeState::Ready, NodeState::Draining]
     );
     // The same names again are no news, and do not begin its grace anew.
     let later = now + GRACE / 2;
-    assert_eq!(nodes.configure_out(later, seconds(101), &names(&["s-2"])), None);
-    let closes: Vec<Instant> = nodes.closing(&event, GRACE).into_iter().map(|(_, closes)| closes).collect();
+    assert_eq!(nodes.set_configured_out(later, seconds(101), &names(&["s-2"])), None);
+    let closes: Vec<Instant> =
+        nodes.drain_deadlines(&event, GRACE).into_iter().map(|(_, closes)| closes).collect();
     assert_eq!(closes, [now + GRACE]);
-    let open = |nodes: &Nodes, now| nodes.open(now, nodes.ids["s-2"], GRACE).is_some();
+    let open = |nodes: &Nodes, now| nodes.endpoint(now, nodes.ids["s-2"], GRACE).is_some();
     assert!(open(&nodes, now + GRACE / 2) && !open(&nodes, now + GRACE));
     // What discovery says in between does not end it.
-    let (event, _) = nodes.take(told(now, false, vec![line_of("s-2")]), ListKind::Delta);
+    let (event, _) = nodes.apply(update(now, false, vec![line_of("s-2")]), ListKind::Delta);
     assert_eq!(states(&event)[0].0, NodeState::Draining);
 }
 
@@ -207,10 +214,11 @@
 fn a_node_that_the_configuration_gives_back_while_it_is_not_listed_begins_anew() {
     let now = Instant::now();
     let mut nodes = listed(now, &["s-1"]);
-    nodes.configure_out(now, seconds(100), &names(&["s-1"]));
-    nodes.take(told(now, false, vec![line("s-1", Status::Left, 1.0)]), ListKind::Delta);
-    assert_eq!(nodes.configure_out(now, seconds(110), &names(&[])), None);
-    let (event, _) = nodes.take(told(now, false, vec![line("s-1", Status::Active, 1.0)]), ListKind::Delta);
+    nodes.set_configured_out(now, seconds(100), &names(&["s-1"]));
+    nodes.apply(update(now, false, vec![listed_endpoint("s-1", Status::Left, 1.0)]), ListKind::Delta);
+    assert_eq!(nodes.set_configured_out(now, seconds(110), &names(&[])), None);
+    let (event, _) =
+        nodes.apply(update(now, false, vec![listed_endpoint("s-1", Status::Active, 1.0)]), ListKind::Delta);
     assert_eq!(states(&event), [(NodeState::Ready, Some(seconds(110)))]);
 }
 
@@ -218,8 +226,8 @@
 fn storage_of_the_second_front_that_is_out_stays_out_with_each_list() {
     let now = Instant::now();
     let mut nodes = Nodes::new(vec![]);
-    nodes.add_own(&Storage { name: "iqn.a".into(), address: ([127, 0, 0, 1], 2).into(), shard: 5 });
-    assert!(nodes.configure_out(now, seconds(100), &names(&["iscsi iqn.a"])).is_some());
-    let (event, _) = nodes.take(told(now, true, vec![]), ListKind::Full);
+    nodes.add_iscsi(&Storage { name: "iqn.a".into(), address: ([127, 0, 0, 1], 2).into(), shard: 5 });
+    assert!(nodes.set_configured_out(now, seconds(100), &names(&["iscsi iqn.a"])).is_some());
+    let (event, _) = nodes.apply(update(now, true, vec![]), ListKind::Full);
     assert_eq!(states(&event)[0].0, NodeState::Draining);
 }
--- a/src/pace.rs
+++ b/src/pace.rs
@@ -4,61 +4,62 @@
 use std::time::{Duration, Instant};
 
 /// Over how long the busy part of the time is smoothed.
-const MEMORY: Duration = Duration::from_millis(100);
+const SMOOTHING: Duration = Duration::from_millis(100);
 /// Below the first part of what it may use no turn is kept waiting; from the second on each is, for a whole tick.
-const PACED: (f64, f64) = (0.1, 0.5);
+const PACING_RANGE: (f64, f64) = (0.1, 0.5);
 
 /// A wait may hide a stop: a process that is stopped as its wait ends reads the clock when it goes on, and the whole of it looks
 /// like waiting. A shorter one hides nothing that counts.
-const HIDES_A_STOP: Duration = Duration::from_millis(20);
+const MIN_AMBIGUOUS_WAIT: Duration = Duration::from_millis(20);
 /// How long after such a wait what came in it may still be found: it takes several turns where it is much.
-const FOUND_WITHIN: Duration = Duration::from_millis(200);
+const AMBIGUITY_SPAN: Duration = Duration::from_millis(200);
 
 /// The loop's own time.
 #[derive(Debug)]
-pub struct Pace {
+pub struct LoopTiming {
     /// The longest that a turn is kept waiting: the settings' shortest time between two calls of the scheduler.
     tick: Duration,
     /// Part of a core that this process may use.
     cores: f64,
-    woke: Instant,
+    woke_at: Instant,
     /// When the last turn was done, and how long the pause is that follows it.
-    done: Instant,
+    done_at: Instant,
     pause: Duration,
     /// The wait was interrupted, as it is when the process was stopped in it.
-    stopped: bool,
+    interrupted: bool,
     /// Part of the time that the loop was busy, or kept from its work.
     busy: f64,
-    late: Duration,
+    lateness: Duration,
     /// For how long at most what is ready in this turn has waited.
-    waited: Duration,
+    max_queued: Duration,
     /// When a wait ended last that was long enough to hide a stop.
     long_wait: Option<Instant>,
 }
 
-impl Pace {
+impl LoopTiming {
     pub fn new(tick: Duration, cores: f64, now: Instant) -> Self {
-        Pace {
+        LoopTiming {
             tick,
             cores,
-            woke: now,
-            done: now,
+            woke_at: now,
+            done_at: now,
             pause: Duration::ZERO,
-            stopped: false,
+            interrupted: false,
             busy: 0.0,
-            late: Duration::ZERO,
-            waited: Duration::ZERO,
+            lateness: Duration::ZERO,
+            max_queued: Duration::ZERO,
             long_wait: None,
         }
     }
 
     /// A turn is done: how long to pause before it is looked for more. A busy loop takes what comes within a tick in
     /// one turn, which costs little more than a single request does.
-    pub fn waits(&mut self, now: Instant) -> Duration {
-        if !self.stopped {
-            self.done = now;
+    pub fn iteration_done(&mut self, now: Instant) -> Duration {
+        if !self.interrupted {
+            self.done_at = now;
         }
-        let part = ((self.busy / self.cores - PACED.0) / (PACED.1 - PACED.0)).clamp(0.0, 1.0);
+        let part =
+            ((self.busy / self.cores - PACING_RANGE.0) / (PACING_RANGE.1 - PACING_RANGE.0)).clamp(0.0, 1.0);
         self.pause = self.tick.mul_f64(part);
         self.pause
     }
@@ -70,44 +71,44 @@
 
     /// The wait was interrupted: whatever has come since the last turn may have waited.
     pub fn interrupted(&mut self) {
-        self.stopped = true;
+        self.interrupted = true;
     }
 
     /// The wait is over: for how long at most what is ready now has waited for this loop. It came before the loop
     /// began to wait where that returned at once, and at its end where it did not.
-    pub fn woken(&mut self, now: Instant) -> Duration {
-        let (worked, asleep) = (self.done - self.woke, now - self.done);
-        let kept = if std::mem::take(&mut self.stopped) { asleep } else { Duration::ZERO };
+    pub fn wait_done(&mut self, now: Instant) -> Duration {
+        let (worked, asleep) = (self.done_at - self.woke_at, now - self.done_at);
+        let kept = if std::mem::take(&mut self.interrupted) { asleep } else { Duration::ZERO };
         let waited = asleep.saturating_sub(self.pause + kept);
-        if asleep > HIDES_A_STOP {
+        if asleep > MIN_AMBIGUOUS_WAIT {
             self.long_wait = Some(now);
         }
         let late = (worked + self.pause).saturating_sub(waited) + kept;
-        self.waited = late;
+        self.max_queued = late;
         // What was sent late is answered late a turn on.
-        self.late = late.max(self.late / 2);
-        if self.late < self.tick {
-            self.late = Duration::ZERO;
+        self.lateness = late.max(self.lateness / 2);
+        if self.lateness < self.tick {
+            self.lateness = Duration::ZERO;
         }
-        let whole = now - self.woke;
+        let whole = now - self.woke_at;
         if !whole.is_zero() {
-            let gain = 1.0 - (-whole.div_duration_f64(MEMORY)).exp();
+            let gain = 1.0 - (-whole.div_duration_f64(SMOOTHING)).exp();
             let part = (worked + kept).div_duration_f64(whole).min(1.0);
             self.busy += gain * (part - self.busy);
         }
-        self.woke = now;
-        self.late
+        self.woke_at = now;
+        self.lateness
     }
 
     /// For how long at most what is ready in this turn has waited for this loop: what has come is that old.
-    pub fn waited(&self) -> Duration {
-        self.waited
+    pub fn max_queued(&self) -> Duration {
+        self.max_queued
     }
 
     /// Whether what is found in the turn that begins now may have waited for longer: the process may have been stopped
     /// unnoticed. The kernel tells.
     pub fn may_have_been_stopped(&self, now: Instant) -> bool {
-        self.long_wait.is_some_and(|at| now - at < FOUND_WITHIN)
+        self.long_wait.is_some_and(|at| now - at < AMBIGUITY_SPAN)
     }
 }
 
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -4,7 +4,7 @@
 use std::collections::{HashMap, VecDeque};
 
 /// Pieces remembered, the last to be served.
-const MOST: usize = 16 * 1024;
+const MAX_KEYS: usize = 16 * 1024;
 
 /// Pieces by key, with the shard that holds them.
 #[derive(Default)]
@@ -16,7 +16,7 @@
 
 impl Placement {
     /// A node of a shard has served a piece; 0 names none.
-    pub fn served(&mut self, key: u64, shard: u32) {
+    pub fn record(&mut self, key: u64, shard: u32) {
         if key == 0 {
             return;
         }
@@ -24,13 +24,13 @@
             self.order.push_back(key);
         }
         // Guards the memory against a day on which pieces are always new.
-        while self.order.len() > MOST {
+        while self.order.len() > MAX_KEYS {
             self.order.pop_front().map(|oldest| self.shards.remove(&oldest));
         }
     }
 
     /// A node of a shard has turned a piece away: nothing is known of it any more that led there.
-    pub fn turned_away(&mut self, key: u64, shard: u32) {
+    pub fn invalidate(&mut self, key: u64, shard: u32) {
         if self.shards.get(&key) == Some(&shard) {
             self.shards.remove(&key);
             self.order.retain(|other| *other != key);
--- a/src/planner/connection.rs
+++ b/src/planner/connection.rs
@@ -60,7 +60,7 @@
         }
         let longest = self.longest();
         let message = frame::take_within(&mut self.conn.input, longest);
-        self.conn.shed();
+        self.conn.free_empty_input();
         message
     }
 
@@ -87,7 +87,7 @@
     pub fn flush(&mut self) -> std::io::Result<()> {
         self.conn.flush()?;
         if self.role == Role::Answered && self.conn.unwritten() == 0 {
-            self.conn.end_sending()?;
+            self.conn.shutdown_write()?;
         }
         Ok(())
     }
--- a/src/service/addresses.rs
+++ b/src/service/addresses.rs
@@ -5,7 +5,7 @@
 
 use crate::core::Core;
 use crate::front::{iscsi, resp, Front};
-use crate::handover::{Duty, Event, Handover, Order};
+use crate::handover::{AddressAction, Duty, Event, Handover};
 use crate::process::resident;
 use crate::tokens::{Kind, Tokens};
 use crate::vrrp::address::{address, Address, Progress, PAUSE};
@@ -215,11 +215,11 @@
         let place = &mut self.places[router];
         match order {
             None => {}
-            Some(Order::Take) => {
+            Some(AddressAction::Acquire) => {
                 place.address.take(now);
                 place.pending = true;
             }
-            Some(Order::Release) => {
+            Some(AddressAction::Release) => {
                 for (wire, endpoint) in &place.endpoints {
                     match (wire, &mut lent.iscsi) {
                         (Wire::Iscsi, Some(front)) => {
@@ -235,7 +235,7 @@
                 place.address.release(now);
                 (place.pending, place.failing) = (true, false);
             }
-            Some(Order::End) => {
+            Some(AddressAction::Abort) => {
                 for request in open_at(&place.endpoints, lent) {
                     lent.core.terminate(request);
                 }
@@ -280,7 +280,7 @@
             }
             if matches!(self.handover.duty(router), Duty::Retired { .. }) {
                 let open = open_at(&self.places[router].endpoints, lent).len();
-                self.step(now, router, Event::Looked { open }, lent);
+                self.step(now, router, Event::Polled { open }, lent);
             }
         }
         let finishes = |router| matches!(self.handover.duty(router), Duty::Retired { .. });
--- a/src/target/mod.rs
+++ b/src/target/mod.rs
@@ -9,7 +9,7 @@
 
 use crate::conn::{Conn, Connecting, ReadEnd};
 use crate::core::{AttemptId, AttemptResult, Content};
-use crate::flow::{Flow, WINDOW};
+use crate::flow::{BodyStream, WINDOW};
 use crate::interface::{NodeId, Outcome};
 use mio::{Registry, Token};
 use rustc_hash::{FxHashMap, FxHashSet};
@@ -129,7 +129,7 @@
     /// Since when an answer is begun that has not come any further.
     partial: Option<Instant>,
     /// A long body on its way out, and how much of it was put out.
-    body: Option<(Flow, usize)>,
+    body: Option<(BodyStream, usize)>,
     /// When something of a long body or answer last went on.
     moved: Instant,
     /// When the attempt was begun, how long its body took to go out, and when its answer began that was not whole.
@@ -168,7 +168,7 @@
                 break;
             }
             *at += piece.len();
-            flow.written(*at);
+            flow.release(*at);
             self.conn.push(&piece);
             moved = true;
             if *at == flow.length() {
@@ -192,7 +192,7 @@
         let mut output = Vec::new();
         let begun = self.session.start(&content, give_up_at.saturating_duration_since(now), &mut output);
         self.conn.push(&output);
-        self.body = content.flow.clone().map(|flow| (flow, 0));
+        self.body = content.body_stream.clone().map(|flow| (flow, 0));
         (self.begun, self.moved, self.slow) = (now, now, false);
         (self.sending, self.answering, self.credit) = (None, None, None);
         begun
@@ -261,7 +261,7 @@
         registry: &Registry,
     ) {
         let Start { attempt, node, content, give_up_at, begin_by } = start;
-        if content.flow.is_some() {
+        if content.body_stream.is_some() {
             self.long.push(attempt);
         }
         let waiting = Some((content, give_up_at));
@@ -482,7 +482,7 @@
             let read = target.conn.read(more);
             let mut output = Vec::new();
             let step = target.session.input(&mut target.conn.input, &mut output);
-            target.conn.shed();
+            target.conn.free_empty_input();
             target.conn.push(&output);
             match step {
                 Ok(Step::Waiting) if read.is_over() => return self.end(id, Outcome::Reset),
@@ -657,7 +657,7 @@
             // A node that waits for its client, or for the rest of a body, is not the one that does not go on.
             let stalled = |target: &Target| {
                 let waits = match &target.body {
-                    Some((flow, at)) => target.conn.unwritten() == 0 && flow.came() == *at,
+                    Some((flow, at)) => target.conn.unwritten() == 0 && flow.received() == *at,
                     None => target.credit.is_none_or(|credit| credit == 0) && target.conn.unwritten() == 0,
                 };
                 !waits && now - target.moved > LONG_STALL
--- a/src/target/resp.rs
+++ b/src/target/resp.rs
@@ -2,7 +2,7 @@
 
 use super::Step;
 use crate::core::{AttemptResult, Content, Operation};
-use crate::flow::{LONG, LONGEST};
+use crate::flow::{MAX_VALUE_BYTES, STREAM_THRESHOLD};
 use crate::interface::Outcome;
 use crate::resp::{self, Value};
 use std::time::Duration;
@@ -63,8 +63,10 @@
                 Ok(Step::Piece(piece))
             }
             None => {
-                let head = resp::head(input, 0, LONGEST).ok().flatten();
-                match head.filter(|head| self.long && head.elements == ELEMENTS && head.length > LONG) {
+                let head = resp::head(input, 0, MAX_VALUE_BYTES).ok().flatten();
+                match head
+                    .filter(|head| self.long && head.elements == ELEMENTS && head.length > STREAM_THRESHOLD)
+                {
                     Some(head) => {
                         input.drain(..head.start);
                         self.left = Some(head.length);
@@ -95,7 +97,7 @@
         words.push(&content.body);
     }
     let mut command = resp::command(&words);
-    if let Some(flow) = &content.flow {
+    if let Some(flow) = &content.body_stream {
         // The body follows as it comes, in the place of the empty one.
         command.truncate(command.len() - b"$0\r\n\r\n".len());
         command.extend_from_slice(format!("${}\r\n", flow.length()).as_bytes());
--- a/src/target/resp/tests.rs
+++ b/src/target/resp/tests.rs
@@ -36,7 +36,7 @@
 
 #[test]
 fn a_long_answer_is_passed_on_as_it_comes_and_read_to_its_end_however_it_is_cut() {
-    let value: Vec<u8> = (0..LONG + 1).map(|at| at as u8).collect();
+    let value: Vec<u8> = (0..STREAM_THRESHOLD + 1).map(|at| at as u8).collect();
     let mut answer = b"*3\r\n".to_vec();
     resp::bulk(&mut answer, &value);
     answer.extend(b"$14\r\nused=37,cost=4\r\n$-1\r\n");
@@ -78,7 +78,7 @@
         id: "9b1f03aa5c7e2d41".into(),
         attributes: "c=write,k=5c".into(),
         body: b"\r\n".to_vec(),
-        flow: None,
+        body_stream: None,
         extent: None,
     };
     let words: [&[u8]; 5] =
--- a/src/target/tests.rs
+++ b/src/target/tests.rs
@@ -37,7 +37,7 @@
             id: String::new(),
             attributes: String::new(),
             body,
-            flow: None,
+            body_stream: None,
             extent: None,
         });
         let endpoint = Endpoint { address: self.node.local_addr().unwrap(), wire: Wire::Resp };
--- a/src/tcp_info.rs
+++ b/src/tcp_info.rs
@@ -76,7 +76,12 @@
     }
 
     #[cfg(test)]
-    pub fn planted(data_segments: u32, since_data_ms: u32, round_trip_us: u32, retransmits: u32) -> TcpInfo {
+    pub fn with_segments(
+        data_segments: u32,
+        since_data_ms: u32,
+        round_trip_us: u32,
+        retransmits: u32,
+    ) -> TcpInfo {
         let mut words = [0; WORDS];
         words[DATA_SEGS_IN] = data_segments;
         words[LAST_DATA_RECV] = since_data_ms;
@@ -86,7 +91,7 @@
     }
 
     #[cfg(test)]
-    pub fn planted_queue(length: u32, limit: u32) -> TcpInfo {
+    pub fn with_accept_queue(length: u32, limit: u32) -> TcpInfo {
         let mut words = [0; WORDS];
         words[UNACKED] = length;
         words[SACKED] = limit;
@@ -110,7 +115,7 @@
     let whole = std::mem::size_of_val(&words) as libc::socklen_t;
     let mut length = whole;
     // SAFETY: `words` is writable for `length` bytes, any content of which is valid, and the descriptor is open.
-    let told =
+    let result =
         unsafe { libc::getsockopt(socket.as_raw_fd(), level, name, words.as_mut_ptr().cast(), &mut length) };
-    (told == 0 && length == whole).then_some(words)
+    (result == 0 && length == whole).then_some(words)
 }
--- a/src/tokens.rs
+++ b/src/tokens.rs
@@ -5,7 +5,7 @@
 /// Tokens below are named one by one.
 const FIRST_FREE: usize = 16;
 /// The remainder of a token by this tells its kind.
-const KINDS: usize = 16;
+const STRIDE: usize = 16;
 
 /// What a token names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -45,7 +45,7 @@
 impl Kind {
     /// Of a token that was given out.
     pub fn of(token: usize) -> Option<Kind> {
-        ALL.get(token % KINDS).copied().filter(|_| token >= FIRST_FREE)
+        ALL.get(token % STRIDE).copied().filter(|_| token >= FIRST_FREE)
     }
 }
 
@@ -70,7 +70,7 @@
     /// One that was never given out.
     pub fn next(&mut self, kind: Kind) -> Token {
         let token = Token(self.next + kind as usize);
-        self.next += KINDS;
+        self.next += STRIDE;
         token
     }
 }
--- a/src/tokens/tests.rs
+++ b/src/tokens/tests.rs
@@ -8,5 +8,5 @@
         assert_eq!(Kind::of(*token), Some(*kind));
         assert!(given[..at].iter().all(|(other, _)| other != token));
     }
-    assert_eq!((Kind::of(0), Kind::of(FIRST_FREE + KINDS - 1)), (None, None));
+    assert_eq!((Kind::of(0), Kind::of(FIRST_FREE + STRIDE - 1)), (None, None));
 }
--- a/src/upgrade/frame.rs
+++ b/src/upgrade/frame.rs
@@ -31,7 +31,7 @@
     /// An operator has drained it.
     pub drained: bool,
     /// Nodes, and those that operators have taken out.
-    pub nodes: nodes::Carried,
+    pub nodes: nodes::SavedNodes,
     /// Version of the node list.
     pub list: Option<u64>,
     /// What its scheduler has learned, unless that is too much.
--- a/src/upgrade/tests.rs
+++ b/src/upgrade/tests.rs
@@ -120,7 +120,7 @@
     let events = [Event::List { kind: ListKind::Full, entries }, Event::Request(new)];
     scheduler.handle(now, &events, &mut Vec::new());
     let scheduler = Some(scheduler.hand_over(now));
-    let nodes = crate::nodes::tests::some().carry(Instant::now());
+    let nodes = crate::nodes::tests::populated().save(Instant::now());
     let file = include_str!("../../deploy/fleet.toml").replace("enabled = false", "enabled = true");
     let fleet = crate::fleet::settings::Settings::parse(&file).unwrap().unwrap();
     let fleet = crate::fleet::member::Member::new(fleet.parameters(now, 1), now).identity();
