--- a/lab/src/hollow/initiator.rs
+++ b/lab/src/hollow/initiator.rs
@@ -9,7 +9,7 @@
 use topazpath::clock::Clock;
 use topazpath::config::Config;
 use topazpath::core::Core;
-use topazpath::discovery::{Discovery, Manner};
+use topazpath::discovery::{Discovery, PollingPolicy};
 use topazpath::fleet::speaker::Driver;
 use topazpath::interface::{Event, NewRequest, RequestId, VolumeId};
 use topazpath::nodes::Nodes;
@@ -18,17 +18,7 @@
 use topazpath::tokens::{Kind, Tokens};
 
 /// What a hollow initiator lacks against a real one.
-pub const LEFT_OUT: [&str; 9] = [
-    "fronts: listeners, client connections, parsing and answers",
-    "connections to nodes, attempts and their outcomes, so nothing learned of nodes",
-    "requests before the scheduler: it is told lists alone (the planners' client is told of requests, where volumes are asked for)",
-    "the pause that the loop makes between two turns",
-    "signals, reload, admin endpoint and takeover by another process",
-    "VRRP",
-    "the second front",
-    "the carrying of what was learned between processes",
-    "a process of its own: memory of the program itself and its allocator is shared by many",
-];
+pub const LEFT_OUT: [&str; 9] = ["fronts: listeners, client connections, parsing and answers", "connections to nodes, attempts and their outcomes, so nothing learned of nodes", "requests before the scheduler: it is told lists alone (the planners' client is told of requests, where volumes are asked for)", "the pause that the loop makes between two turns", "signals, reload, admin endpoint and takeover by another process", "VRRP", "the second front", "the carrying of what was learned between processes", "a process of its own: memory of the program itself and its allocator is shared by many"];
 /// How often volumes are asked for.
 const ASKED: Duration = Duration::from_secs(1);
 
@@ -86,7 +76,7 @@
             tokens,
         );
         let scheduler = Planner::new(settings, config.seed, clock);
-        let manner = Manner::new(&config.settings, config.seed);
+        let manner = PollingPolicy::new(&config.settings, config.seed);
         let discovery = Discovery::new(config.discovery, tokens.next(Kind::Discovery), now, None, manner);
         let fleet_token = tokens.next(Kind::Upgrade);
         let part = config.fleet.as_ref().ok_or("no fleet is set up")?;
@@ -125,7 +115,7 @@
     pub fn turn(&mut self, now: Instant, ready: &[Token], registry: &Registry) -> Vec<Told> {
         let late = now.saturating_duration_since(self.due);
         let mut told = Vec::new();
-        self.core.is_late_by(late);
+        self.core.set_lateness(late);
         for token in ready {
             if *token == self.fleet_token {
                 self.fleet.set_readable();
@@ -133,8 +123,8 @@
                 self.planners.ready(now, *token);
             } else if let Some(news) = self.discovery.ready(now, now, *token) {
                 let (index, kind) = (news.message.index, news.message.kind());
-                let (event, _) = self.nodes.take(news, kind);
-                self.core.tell(event);
+                let (event, _) = self.nodes.apply(news, kind);
+                self.core.push_event(event);
                 told.push(Told::List(index));
             }
         }
@@ -142,7 +132,7 @@
         if let Some((lines, _)) = self.fleet.due_report(now) {
             self.fleet_lines = lines;
         }
-        self.core.fire(now);
+        self.core.fire_timers(now);
         self.discovery.tick(now, registry);
         if self.planners.tick(now, registry) {
             let (lines, json) = self.planners.info(now);
@@ -161,8 +151,8 @@
         if let Err(why) = self.scheduler.reconfigure(now, prepared.settings.clone()) {
             return self.planners.configuration_not_taken_over(&prepared, why.to_string());
         }
-        let out = self.nodes.configure_out(now, self.clock.unix(now), &prepared.nodes_out);
-        out.into_iter().for_each(|event| self.core.tell(event));
+        let out = self.nodes.set_configured_out(now, self.clock.unix(now), &prepared.nodes_out);
+        out.into_iter().for_each(|event| self.core.push_event(event));
         self.planners.configuration_taken_over(now, &prepared);
     }
 
--- a/src/core.rs
+++ b/src/core.rs
@@ -1,28 +1,29 @@
-//! What every request goes through, whatever wire it came by: taking it, its attempts, its one final answer.
+//! The life cycle of a request, independent of the protocol it arrived by: admission, attempts and exactly one
+//! final answer.
 //!
-//! Nothing here does I/O or reads a clock. Fronts hand in requests, targets hand in how attempts ended, the
-//! planner's actions are carried out; what comes back is [`Effect`]s for fronts and targets.
+//! Fronts pass in requests, targets pass in the results of attempts, and the planner passes in [`Action`]s. The core
+//! returns [`Effect`]s for fronts and targets and [`Event`]s for the planner. It does no I/O and reads no clock.
 
 use crate::clock::Clock;
-use crate::flow::Flow;
+use crate::flow::BodyStream;
 use crate::interface::{self, Action, AttemptEnd, Event, NewRequest, NodeId, Outcome, RequestId};
 use rustc_hash::FxHashMap;
 use std::collections::{BTreeSet, HashMap};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How long after a request's deadline the core answers in the planner's place. Guards against a planner that
-/// says nothing; the planner's own answer at the deadline comes first.
-const OVERDUE: Duration = Duration::from_millis(4);
+/// Delay after a request's deadline before the core answers in the planner's place, in case the planner does not
+/// answer. The delay lets the planner's own answer at the deadline go first.
+const ANSWER_GRACE: Duration = Duration::from_millis(4);
 
-/// No answer counts as quicker where this process is late, and cannot tell.
-const QUICKEST: Duration = Duration::from_millis(1);
+/// Lower bound of a latency from which this process's lateness was subtracted; the real one is unknown.
+const MIN_LATENCY: Duration = Duration::from_millis(1);
 
-/// Where an answer belongs: a connection of a front, and the place of the command on it.
+/// Where the answer of a request goes: a connection of a front, and the command's sequence number on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Origin {
     pub conn: usize,
-    pub place: u64,
+    pub sequence: u64,
 }
 
 /// Whether a request reads or writes.
@@ -32,24 +33,24 @@
     Write,
 }
 
-/// What a target needs to know of a request. It passes through unread.
+/// What a target sends for a request. The core does not interpret it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Content {
     pub operation: Operation,
-    /// The piece of data, as 16 hex digits.
+    /// The object's key, as 16 hex digits.
     pub object: String,
-    /// The client's id for the request.
+    /// The request id that the client chose.
     pub id: String,
-    /// Further names and values, less the deadline: `c=read,t=gold,...`.
+    /// Further attributes as sent by the client, without the deadline: `c=read,t=gold,...`.
     pub attributes: String,
     pub body: Vec<u8>,
-    /// The body in its stead, where it is long.
-    pub flow: Option<Flow>,
-    /// Where it lies on block storage; without it only nodes of objects can serve it.
+    /// A long body that is streamed; `body` is empty then.
+    pub body_stream: Option<BodyStream>,
+    /// The blocks it covers on block storage; without it only object nodes can serve the request.
     pub extent: Option<Extent>,
 }
 
-/// A run of blocks of a logical unit.
+/// A contiguous range of blocks of a logical unit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Extent {
     pub lun: u16,
@@ -58,34 +59,34 @@
     pub block_bytes: u32,
 }
 
-/// One attempt of a request.
+/// Identifies one attempt of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct AttemptId {
     pub request: RequestId,
     pub number: u32,
 }
 
-/// How an attempt ended, with what its answer told.
+/// The result of an attempt, with the values from the node's reply.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ended {
+pub struct AttemptResult {
     pub outcome: Outcome,
     pub used: Option<f64>,
     pub elsewhere: f64,
-    /// The value, where it was served and is not long.
+    /// The value that was served, unless it was long and streamed.
     pub value: Vec<u8>,
-    /// For how long a body went out and the answer came in: the time that peers take to read and write is no sign of
-    /// the node's load.
+    /// Time spent sending the body and receiving the reply. It is not counted as latency: how fast peers read and write
+    /// says nothing about the node's load.
     pub transfer: Duration,
 }
 
-impl Ended {
-    /// An end that no answer came with.
-    pub fn bare(outcome: Outcome) -> Self {
-        Ended { outcome, used: None, elsewhere: 0.0, value: Vec::new(), transfer: Duration::ZERO }
+impl AttemptResult {
+    /// The result of an attempt whose node sent no reply with values.
+    pub fn without_reply(outcome: Outcome) -> Self {
+        AttemptResult { outcome, used: None, elsewhere: 0.0, value: Vec::new(), transfer: Duration::ZERO }
     }
 }
 
-/// A final answer.
+/// The final answer to a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
     Served(Vec<u8>),
@@ -93,45 +94,34 @@
     Failed,
 }
 
-/// What fronts and targets are to do.
+/// A command to fronts and targets.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
+    /// Send an attempt to a node.
     Start {
         attempt: AttemptId,
         node: NodeId,
         content: Rc<Content>,
         give_up_at: Instant,
-        /// Its last byte goes out by then, or none does.
+        /// The last byte has to be sent by then; otherwise the attempt does not start.
         begin_by: Instant,
     },
-    /// The client has gone: an attempt whose last byte is not out is not to begin any more.
-    Withdraw {
-        attempt: AttemptId,
-    },
-    /// Stop waiting for an attempt. The target reports its end: `outcome`, or that it never ran.
-    Stop {
-        attempt: AttemptId,
-        outcome: Outcome,
-    },
-    Answer {
-        origin: Origin,
-        answer: Answer,
-    },
-    /// There is more of the body of an attempt.
-    Moved {
-        attempt: AttemptId,
-    },
-    /// A long answer that was begun has come to its end, whole or not.
-    Finish {
-        origin: Origin,
-        whole: bool,
-    },
+    /// The client has disconnected: drop the attempt unless its last byte was sent.
+    CancelUnsent { attempt: AttemptId },
+    /// Stop waiting for an attempt. The target reports its end with `outcome`, or that it never ran.
+    Stop { attempt: AttemptId, outcome: Outcome },
+    /// Send the final answer to the client.
+    Answer { origin: Origin, answer: Answer },
+    /// More bytes of an attempt's request body are available.
+    BodyAvailable { attempt: AttemptId },
+    /// A streamed answer ended; `complete` is false if it was cut short.
+    EndStream { origin: Origin, complete: bool },
 }
 
-/// Counts since the start, and what is open now.
+/// Counters since the process started.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Counters {
-    pub taken: u64,
+    pub requests_accepted: u64,
     pub served: u64,
     pub refused: u64,
     pub failed: u64,
@@ -146,26 +136,26 @@
     pub attempts_cancelled: u64,
     pub attempts_other: u64,
     pub answered_overdue: u64,
-    pub ids_in_use: u64,
-    pub read_late: u64,
-    pub commands_unusable: u64,
+    pub duplicate_ids: u64,
+    pub requests_read_late: u64,
+    pub commands_rejected: u64,
     pub clients_silent: u64,
-    pub clients_shut: u64,
-    pub answers_spoilt: u64,
+    pub clients_shut_unread: u64,
+    pub replies_unparsable: u64,
     pub reloads: u64,
     pub reloads_failed: u64,
-    pub operator_calls: u64,
+    pub admin_commands: u64,
     pub clients_taken_over: u64,
-    pub bodies_long: u64,
-    pub answers_long: u64,
-    pub answers_cut: u64,
+    pub bodies_streamed: u64,
+    pub answers_streamed: u64,
+    pub answers_truncated: u64,
 }
 
 impl Counters {
-    /// A line for each count.
+    /// One INFO line for each counter.
     fn text(&self) -> String {
         let rows = [
-            ("requests_taken", self.taken),
+            ("requests_taken", self.requests_accepted),
             ("answers_served", self.served),
             ("answers_refused", self.refused),
             ("answers_failed", self.failed),
@@ -180,19 +170,19 @@
             ("attempts_cancelled", self.attempts_cancelled),
             ("attempts_other", self.attempts_other),
             ("answered_overdue", self.answered_overdue),
-            ("ids_in_use", self.ids_in_use),
-            ("requests_read_late", self.read_late),
-            ("commands_unusable", self.commands_unusable),
+            ("ids_in_use", self.duplicate_ids),
+            ("requests_read_late", self.requests_read_late),
+            ("commands_unusable", self.commands_rejected),
             ("clients_silent", self.clients_silent),
-            ("clients_shut_unread", self.clients_shut),
-            ("answers_spoilt", self.answers_spoilt),
+            ("clients_shut_unread", self.clients_shut_unread),
+            ("answers_spoilt", self.replies_unparsable),
             ("reloads", self.reloads),
             ("reloads_failed", self.reloads_failed),
-            ("operator_calls", self.operator_calls),
+            ("operator_calls", self.admin_commands),
             ("clients_taken_over", self.clients_taken_over),
-            ("bodies_long", self.bodies_long),
-            ("answers_long", self.answers_long),
-            ("answers_cut", self.answers_cut),
+            ("bodies_long", self.bodies_streamed),
+            ("answers_long", self.answers_streamed),
+            ("answers_cut", self.answers_truncated),
         ];
         rows.iter().map(|(name, count)| format!("{name}:{count}\r\n")).collect()
     }
@@ -211,7 +201,7 @@
     }
 }
 
-/// Whether an attempt that ended like this may have had an effect.
+/// Whether an attempt with this outcome may have been executed by the node.
 pub fn may_have_run(outcome: Outcome) -> bool {
     !matches!(outcome, Outcome::Full | Outcome::NotConnected | Outcome::Moot)
 }
@@ -223,51 +213,51 @@
     running: bool,
 }
 
-struct Open {
+struct OpenRequest {
     origin: Origin,
     content: Rc<Content>,
-    /// The piece of data; 0: none.
+    /// The object's key; 0 if it has none.
     key: u64,
     deadline: Instant,
-    /// Whether it may run more than once.
-    repeats: interface::Effect,
+    /// Whether the request may be executed more than once.
+    effect: interface::Effect,
     attempts: Vec<Attempt>,
     answered: bool,
-    /// An ended attempt may have run.
-    ran: bool,
-    /// The attempt whose long answer has begun.
-    streams: Option<u32>,
+    /// An attempt that has ended may have been executed.
+    may_have_run: bool,
+    /// The attempt whose answer is being streamed to the client.
+    streaming: Option<u32>,
 }
 
 /// The open requests of one initiator.
 pub struct Core {
     clock: Clock,
-    requests: FxHashMap<RequestId, Open>,
-    /// Open requests by the ids that clients gave them.
-    by_name: HashMap<String, RequestId>,
-    /// When attempts are given up, and requests answered in the planner's place: of what is open alone, one that is over
-    /// takes its timers along.
-    give_ups: BTreeSet<(Instant, AttemptId)>,
-    overdue: BTreeSet<(Instant, RequestId)>,
+    requests: FxHashMap<RequestId, OpenRequest>,
+    /// Open requests by client request id.
+    by_client_id: HashMap<String, RequestId>,
+    /// When attempts time out, and when requests are answered in the planner's place. Timers of finished requests are
+    /// removed.
+    attempt_timeouts: BTreeSet<(Instant, AttemptId)>,
+    overdue_answers: BTreeSet<(Instant, RequestId)>,
     /// When the planner is to be called next.
     wake_at: Option<Instant>,
-    /// How late this process is, by its own clock: for so long at most, what came in has waited for it.
-    late: Duration,
-    /// News for the planner, in the order they came.
+    /// Upper bound of how long input has waited for this process before it was read.
+    lateness: Duration,
+    /// Events not yet passed to the planner, in order of arrival.
     events: Vec<Event>,
     effects: Vec<Effect>,
-    /// Bytes of the bodies held.
-    held_bytes: usize,
+    /// Bytes of the bodies of open requests.
+    body_bytes: usize,
     last_id: u64,
-    /// When a client is to come again that the core refuses by itself.
+    /// Retry delay for clients that the core refuses by itself.
     retry_after: Duration,
-    /// Whether requests of a class may run more than once, by its number. One of an unknown class may not.
+    /// Whether requests may be executed more than once, by class number. Those of an unknown class may not.
     classes: Vec<interface::Effect>,
     pub counters: Counters,
-    /// What other parts tell of themselves, by name: lines for [`Core::info`], and all of it as JSON.
+    /// Reports of other parts by name: lines for [`Core::info`], and the full report as JSON.
     reports: Vec<(&'static str, String, String)>,
-    /// How many there are now of what is kept elsewhere, by name.
-    pub sizes: Vec<(&'static str, usize)>,
+    /// Current sizes of collections that other parts keep, by name.
+    pub gauges: Vec<(&'static str, usize)>,
 }
 
 impl Core {
@@ -275,126 +265,127 @@
         Core {
             clock,
             requests: FxHashMap::default(),
-            by_name: HashMap::new(),
-            give_ups: BTreeSet::new(),
-            overdue: BTreeSet::new(),
+            by_client_id: HashMap::new(),
+            attempt_timeouts: BTreeSet::new(),
+            overdue_answers: BTreeSet::new(),
             wake_at: None,
-            late: Duration::ZERO,
+            lateness: Duration::ZERO,
             events: Vec::new(),
             effects: Vec::new(),
-            held_bytes: 0,
+            body_bytes: 0,
             last_id: 0,
             retry_after,
             classes: Vec::new(),
             counters: Counters::default(),
             reports: Vec::new(),
-            sizes: Vec::new(),
+            gauges: Vec::new(),
         }
     }
 
-    /// The classes of requests that are taken from now on.
+    /// Sets the classes for requests accepted from now on.
     pub fn set_classes(&mut self, classes: &[interface::Class]) {
         self.classes = classes.iter().map(|class| class.effect).collect();
     }
 
-    /// When a client is to come again from now on that is refused here.
+    /// Sets the retry delay for clients that the core refuses by itself.
     pub fn set_retry_after(&mut self, retry_after: Duration) {
         self.retry_after = retry_after;
     }
 
-    /// Counts since the start, and what is open or kept now: a line each.
+    /// The text of INFO: counters since the start and current sizes, one line each.
     pub fn info(&self) -> String {
         let own = [
             ("requests_open", self.requests.len()),
-            ("request_bytes", self.held_bytes),
-            ("timers", self.give_ups.len() + self.overdue.len()),
+            ("request_bytes", self.body_bytes),
+            ("timers", self.attempt_timeouts.len() + self.overdue_answers.len()),
         ];
-        let sizes = own.iter().chain(&self.sizes);
+        let sizes = own.iter().chain(&self.gauges);
         let sizes: String = sizes.map(|(name, count)| format!("{name}:{count}\r\n")).collect();
         let reports = self.reports.iter().map(|(_, lines, _)| lines.as_str());
         [self.counters.text(), sizes].iter().map(String::as_str).chain(reports).collect()
     }
 
-    /// Takes the place of a report told before.
+    /// Sets a report, replacing the earlier one of this name.
     pub fn set_report(&mut self, name: &'static str, lines: String, json: String) {
         self.reports.retain(|(known, _, _)| *known != name);
         self.reports.push((name, lines, json));
     }
 
-    /// A report as JSON, if there is one of this name.
+    /// The report of this name as JSON, if there is one.
     pub fn report(&self, name: &str) -> Option<&str> {
         self.reports.iter().find(|(known, _, _)| *known == name).map(|(_, _, json)| json.as_str())
     }
 
-    /// Takes a request; its id is given here. Nothing if the id that its client gave is that of an open request.
-    /// Guards that request: a node would see two commands of one id, and a copy where none is allowed.
-    pub fn take(&mut self, origin: Origin, mut new: NewRequest, content: Content) -> Option<RequestId> {
-        if self.by_name.contains_key(&content.id) {
-            self.counters.ids_in_use += 1;
+    /// Accepts a request and assigns its id. Returns nothing if an open request has the same client id: a node would
+    /// see two commands with one id, and a request that may not run twice could.
+    pub fn accept(&mut self, origin: Origin, mut new: NewRequest, content: Content) -> Option<RequestId> {
+        if self.by_client_id.contains_key(&content.id) {
+            self.counters.duplicate_ids += 1;
             return None;
         }
         self.last_id += 1;
         let id = RequestId(self.last_id);
-        self.by_name.insert(content.id.clone(), id);
+        self.by_client_id.insert(content.id.clone(), id);
         new.id = id;
         let deadline = self.clock.instant(new.deadline);
-        self.overdue.insert((deadline + OVERDUE, id));
-        self.held_bytes += content.body.len();
+        self.overdue_answers.insert((deadline + ANSWER_GRACE, id));
+        self.body_bytes += content.body.len();
         let content = Rc::new(content);
         let key = new.key;
-        let open = Open {
+        let open = OpenRequest {
             origin,
             content,
             key,
             deadline,
-            repeats: self.classes.get(new.class).copied().unwrap_or(interface::Effect::Unsafe),
+            effect: self.classes.get(new.class).copied().unwrap_or(interface::Effect::Unsafe),
             attempts: Vec::new(),
             answered: false,
-            ran: false,
-            streams: None,
+            may_have_run: false,
+            streaming: None,
         };
         self.requests.insert(id, open);
-        self.counters.taken += 1;
+        self.counters.requests_accepted += 1;
         tracing::trace!(id = id.0, ?new, "taken");
         self.events.push(Event::Request(new));
         Some(id)
     }
 
-    /// Ends a request at once that nobody waits for in earnest: its connection is about to be closed.
-    pub fn end(&mut self, id: RequestId) {
+    /// Ends a request at once because its connection is about to be closed.
+    pub fn terminate(&mut self, id: RequestId) {
         if self.requests.get(&id).is_some_and(|open| !open.answered) {
-            self.end_without_planner(id);
+            self.terminate_without_planner(id);
             self.events.push(Event::ClientGone { id });
         }
     }
 
-    /// A long answer begins: it is the client's from here on. Where it goes, unless nobody waits for it.
-    pub fn stream_begins(&mut self, attempt: AttemptId) -> Option<Origin> {
+    /// Commits a request to the streamed answer of this attempt. Returns where to send it, or nothing if the request
+    /// was already answered or the attempt has ended.
+    pub fn begin_stream(&mut self, attempt: AttemptId) -> Option<Origin> {
         let open = self.requests.get_mut(&attempt.request).filter(|open| !open.answered)?;
         open.attempts.get(attempt.number as usize).filter(|it| it.running)?;
-        (open.answered, open.streams) = (true, Some(attempt.number));
+        (open.answered, open.streaming) = (true, Some(attempt.number));
         self.counters.served += 1;
-        self.counters.answers_long += 1;
+        self.counters.answers_streamed += 1;
         self.events.push(Event::StreamStarted { id: attempt.request });
         Some(open.origin)
     }
 
-    /// What an attempt says, or is told, is on its way and takes its time: the node waits for it, or has done its work.
-    /// Guards all others for the same node, which would wait behind it.
-    pub fn takes_time(&mut self, attempt: AttemptId) {
+    /// A long transfer with the node is in progress: the node waits for the body, or has done its work. Tells the
+    /// planner, so that other requests for this node don't wait behind it.
+    pub fn transfer_started(&mut self, attempt: AttemptId) {
         if self.is_running(attempt) {
             self.events.push(Event::StreamStarted { id: attempt.request });
         }
     }
 
-    /// Where the answer of an attempt goes that has begun.
-    pub fn stream(&self, attempt: AttemptId) -> Option<Origin> {
+    /// Where the answer goes that is being streamed from this attempt.
+    pub fn stream_origin(&self, attempt: AttemptId) -> Option<Origin> {
         let open = self.requests.get(&attempt.request)?;
-        (open.streams == Some(attempt.number)).then_some(open.origin)
+        (open.streaming == Some(attempt.number)).then_some(open.origin)
     }
 
-    /// What an attempt asks for, and at which node.
-    pub fn piece(&self, attempt: AttemptId) -> Option<(u64, NodeId)> {
+    /// The key that an attempt asks for, and its node.
+    pub fn key_and_node(&self, attempt: AttemptId) -> Option<(u64, NodeId)> {
         let open = self.requests.get(&attempt.request)?;
         open.attempts.get(attempt.number as usize).map(|it| (open.key, it.node))
     }
@@ -404,42 +395,43 @@
         self.requests.get(&id).map(|open| open.origin)
     }
 
-    /// More of a long body has come.
-    pub fn body_moved(&mut self, id: RequestId) {
+    /// More of a streamed body was received.
+    pub fn body_available(&mut self, id: RequestId) {
         let Some(open) = self.requests.get(&id) else { return };
         for (number, _) in open.attempts.iter().enumerate().filter(|(_, it)| it.running) {
-            self.effects.push(Effect::Moved { attempt: AttemptId { request: id, number: number as u32 } });
+            self.effects
+                .push(Effect::BodyAvailable { attempt: AttemptId { request: id, number: number as u32 } });
         }
     }
 
-    /// The last byte of a long body has come: its client's time counts from now on, and ends then.
-    pub fn body_came(&mut self, id: RequestId, deadline: Duration) {
+    /// The last byte of a streamed body was received. The client's time counts from now on and ends at `deadline`.
+    pub fn body_complete(&mut self, id: RequestId, deadline: Duration) {
         let Some(open) = self.requests.get_mut(&id).filter(|open| !open.answered) else { return };
-        self.overdue.remove(&(open.deadline + OVERDUE, id));
+        self.overdue_answers.remove(&(open.deadline + ANSWER_GRACE, id));
         open.deadline = open.deadline.min(self.clock.instant(deadline));
-        self.overdue.insert((open.deadline + OVERDUE, id));
-        for (number, it) in open.attempts.iter_mut().enumerate().filter(|(_, it)| it.running) {
+        self.overdue_answers.insert((open.deadline + ANSWER_GRACE, id));
+        for (number, state) in open.attempts.iter_mut().enumerate().filter(|(_, state)| state.running) {
             let attempt = AttemptId { request: id, number: number as u32 };
-            self.give_ups.remove(&(it.give_up_at, attempt));
-            it.give_up_at = it.give_up_at.min(open.deadline);
-            self.give_ups.insert((it.give_up_at, attempt));
+            self.attempt_timeouts.remove(&(state.give_up_at, attempt));
+            state.give_up_at = state.give_up_at.min(open.deadline);
+            self.attempt_timeouts.insert((state.give_up_at, attempt));
         }
     }
 
-    /// The client of a request no longer waits. Nothing is answered any more.
+    /// The client of a request has disconnected; no answer is sent any more.
     pub fn client_gone(&mut self, id: RequestId) {
         let Some(open) = self.requests.get_mut(&id) else { return };
-        // The planner withdraws nothing that has begun: neither an answer that nobody reads any more, nor a command
-        // whose rest will not come.
-        let half = open.content.flow.as_ref().is_some_and(|flow| !flow.is_complete());
-        let streams = open.streams.take();
+        // The planner doesn't cancel attempts that have started transferring. Stop them here: the answer has no reader,
+        // or the rest of the command will not arrive.
+        let incomplete = open.content.body_stream.as_ref().is_some_and(|body| !body.is_complete());
+        let streaming = open.streaming.take();
         for number in 0..open.attempts.len() as u32 {
             let attempt = AttemptId { request: id, number };
-            if half || streams == Some(number) {
+            if incomplete || streaming == Some(number) {
                 self.effects.push(Effect::Stop { attempt, outcome: Outcome::Cancelled });
             } else if open.attempts[number as usize].running {
-                // The planner may withdraw nothing, or not what it takes to be under way already.
-                self.effects.push(Effect::Withdraw { attempt });
+                // The planner may be configured not to cancel, or may take the attempt to be started already.
+                self.effects.push(Effect::CancelUnsent { attempt });
             }
         }
         if open.answered {
@@ -448,46 +440,46 @@
         open.answered = true;
         self.counters.clients_gone += 1;
         self.events.push(Event::ClientGone { id });
-        self.close_if_over(id);
+        self.remove_if_finished(id);
     }
 
-    /// How late this process is now.
-    pub fn is_late_by(&mut self, late: Duration) {
-        if !(late.is_zero() && self.late.is_zero()) {
+    /// Sets how late this process is now.
+    pub fn set_lateness(&mut self, late: Duration) {
+        if !(late.is_zero() && self.lateness.is_zero()) {
             self.events.push(Event::Late { by: late });
         }
-        self.late = late;
+        self.lateness = late;
     }
 
-    /// News of another kind for the planner.
-    pub fn tell(&mut self, event: Event) {
+    /// Queues an event of another kind for the planner.
+    pub fn push_event(&mut self, event: Event) {
         self.events.push(event);
     }
 
     /// An attempt ended. The first value served is the final answer of its request.
-    pub fn attempt_ended(&mut self, now: Instant, attempt: AttemptId, ended: Ended) {
+    pub fn attempt_ended(&mut self, now: Instant, attempt: AttemptId, ended: AttemptResult) {
         let id = attempt.request;
         let Some(open) = self.requests.get_mut(&id) else { return };
         let Some(it) = open.attempts.get_mut(attempt.number as usize).filter(|it| it.running) else { return };
         it.running = false;
-        self.give_ups.remove(&(it.give_up_at, attempt));
-        // A process that was kept from its work doubts itself first: what waited here says nothing of the node.
+        self.attempt_timeouts.remove(&(it.give_up_at, attempt));
+        // Time that the reply may have waited for this process says nothing about the node.
         let took = now - it.sent;
         let (node, latency) =
-            (it.node, took.saturating_sub(ended.transfer + self.late).max(took.min(QUICKEST)));
-        let streams = open.streams.take_if(|number| *number == attempt.number).is_some();
-        let gone = open.content.flow.as_ref().is_some_and(|flow| !flow.is_repeatable());
-        open.ran |= may_have_run(ended.outcome);
+            (it.node, took.saturating_sub(ended.transfer + self.lateness).max(took.min(MIN_LATENCY)));
+        let was_streaming = open.streaming.take_if(|number| *number == attempt.number).is_some();
+        let partly_released = open.content.body_stream.as_ref().is_some_and(|body| !body.is_replayable());
+        open.may_have_run |= may_have_run(ended.outcome);
         tracing::trace!(id = id.0, node = node.0, outcome = ?ended.outcome, ?latency, "attempt ended");
         self.counters.attempt_ended(ended.outcome);
-        if streams {
-            let whole = ended.outcome == Outcome::Served;
-            self.effects.push(Effect::Finish { origin: open.origin, whole });
+        if was_streaming {
+            let complete = ended.outcome == Outcome::Served;
+            self.effects.push(Effect::EndStream { origin: open.origin, complete });
         } else if ended.outcome == Outcome::Served {
             self.answer(id, Answer::Served(ended.value));
-        } else if gone {
-            // Guards against half a body: what was let go of cannot be sent again.
-            self.end_without_planner(id);
+        } else if partly_released {
+            // The start of the body was released and can't be sent again; another attempt would send part of it.
+            self.terminate_without_planner(id);
         }
         self.events.push(Event::AttemptEnded(AttemptEnd {
             id,
@@ -499,10 +491,10 @@
             used: ended.used,
             elsewhere: ended.elsewhere,
         }));
-        self.close_if_over(id);
+        self.remove_if_finished(id);
     }
 
-    /// Carries out what the planner decided.
+    /// Carries out the planner's actions.
     pub fn carry_out(&mut self, now: Instant, actions: Vec<Action>) {
         for action in actions {
             match action {
@@ -511,11 +503,11 @@
                 }
                 Action::Refuse { id, retry_after } => {
                     self.answer(id, Answer::Refused { retry_after });
-                    self.close_if_over(id);
+                    self.remove_if_finished(id);
                 }
                 Action::Fail { id } => {
                     self.answer(id, Answer::Failed);
-                    self.close_if_over(id);
+                    self.remove_if_finished(id);
                 }
                 Action::Cancel { id, attempt } => {
                     let attempt = AttemptId { request: id, number: attempt };
@@ -527,7 +519,7 @@
                     let at = self.clock.instant(at);
                     self.wake_at = Some(self.wake_at.map_or(at, |other| other.min(at)));
                 }
-                // Discovery is watched all the time; no call has to be asked for.
+                // Discovery is watched all the time, so there is no subscription to request.
                 Action::Subscribe => {}
             }
         }
@@ -541,7 +533,7 @@
         begin_by: Duration,
     ) {
         let Some(open) = self.requests.get_mut(&id).filter(|open| !open.answered) else {
-            // The request was ended without the planner meanwhile, which is to count no attempt as out.
+            // The core ended the request meanwhile; the planner must not count this attempt as in flight.
             let (outcome, finished) = (Outcome::Moot, true);
             let (attempt, latency, used, elsewhere) = (0, Duration::ZERO, None, 0.0);
             let end = AttemptEnd { id, attempt, node, outcome, finished, latency, used, elsewhere };
@@ -553,7 +545,7 @@
         open.attempts.push(Attempt { node, sent: now, give_up_at, running: true });
         self.counters.attempts += 1;
         tracing::trace!(id = id.0, node = node.0, number = attempt.number, "attempt begins");
-        self.give_ups.insert((give_up_at, attempt));
+        self.attempt_timeouts.insert((give_up_at, attempt));
         let content = open.content.clone();
         self.effects.push(Effect::Start { attempt, node, content, give_up_at, begin_by });
     }
@@ -564,14 +556,14 @@
     }
 
     fn is_overdue(&self, id: RequestId, now: Instant) -> bool {
-        self.requests.get(&id).is_some_and(|open| !open.answered && open.deadline + OVERDUE <= now)
+        self.requests.get(&id).is_some_and(|open| !open.answered && open.deadline + ANSWER_GRACE <= now)
     }
 
-    /// Gives the final answer, unless there was one.
+    /// Sends the final answer, unless there was one already.
     fn answer(&mut self, id: RequestId, answer: Answer) {
         let Some(open) = self.requests.get_mut(&id).filter(|open| !open.answered) else { return };
         open.answered = true;
-        self.overdue.remove(&(open.deadline + OVERDUE, id));
+        self.overdue_answers.remove(&(open.deadline + ANSWER_GRACE, id));
         let outcome = match answer {
             Answer::Served(_) => "served",
             Answer::Refused { .. } => "refused",
@@ -586,45 +578,46 @@
         self.effects.push(Effect::Answer { origin: open.origin, answer });
     }
 
-    fn close_if_over(&mut self, id: RequestId) {
-        let over = |open: &Open| open.answered && open.attempts.iter().all(|attempt| !attempt.running);
-        if self.requests.get(&id).is_some_and(over) {
+    fn remove_if_finished(&mut self, id: RequestId) {
+        let finished =
+            |open: &OpenRequest| open.answered && open.attempts.iter().all(|attempt| !attempt.running);
+        if self.requests.get(&id).is_some_and(finished) {
             if let Some(open) = self.requests.remove(&id) {
-                // One that ends without an answer still has it.
-                self.overdue.remove(&(open.deadline + OVERDUE, id));
-                self.held_bytes -= open.content.body.len();
-                self.by_name.remove(&open.content.id);
+                // A request that ends without an answer still has its timer.
+                self.overdue_answers.remove(&(open.deadline + ANSWER_GRACE, id));
+                self.body_bytes -= open.content.body.len();
+                self.by_client_id.remove(&open.content.id);
             }
         }
     }
 
-    /// When the next timer is due.
+    /// When the next timer expires.
     pub fn next_timer(&self) -> Option<Instant> {
-        let give_up = self.give_ups.first().map(|(at, _)| *at);
-        let overdue = self.overdue.first().map(|(at, _)| *at);
+        let give_up = self.attempt_timeouts.first().map(|(at, _)| *at);
+        let overdue = self.overdue_answers.first().map(|(at, _)| *at);
         [give_up, overdue, self.wake_at].into_iter().flatten().min()
     }
 
-    /// Whether there is something for fronts and targets to do.
+    /// Whether there are effects for fronts and targets.
     pub fn has_effects(&self) -> bool {
         !self.effects.is_empty()
     }
 
-    /// Whether there is news that the planner was not told yet, or something for fronts and targets to do.
-    pub fn has_news(&self) -> bool {
+    /// Whether there are events for the planner, or effects for fronts and targets.
+    pub fn has_pending(&self) -> bool {
         !self.events.is_empty() || !self.effects.is_empty()
     }
 
-    /// Fires the timers that are due.
-    pub fn fire(&mut self, now: Instant) {
+    /// Fires the timers that have expired by `now`.
+    pub fn fire_timers(&mut self, now: Instant) {
         let woken = self.wake_at.take_if(|at| *at <= now).is_some();
-        while let Some((at, attempt)) = self.give_ups.pop_first() {
+        while let Some((at, attempt)) = self.attempt_timeouts.pop_first() {
             if at > now {
-                self.give_ups.insert((at, attempt));
+                self.attempt_timeouts.insert((at, attempt));
                 break;
             }
-            // What a node still sends of a long answer is not cut off.
-            if self.is_running(attempt) && self.stream(attempt).is_none() {
+            // A streamed answer in progress is not cut off.
+            if self.is_running(attempt) && self.stream_origin(attempt).is_none() {
                 self.effects.push(Effect::Stop { attempt, outcome: Outcome::TimedOut });
             }
         }
@@ -634,32 +627,32 @@
         }
     }
 
-    /// Answers the requests whose time was over some milliseconds before `now`, whatever else is to be done.
+    /// Answers the requests whose deadline passed more than `ANSWER_GRACE` before `now`.
     pub fn answer_overdue(&mut self, now: Instant) {
-        while let Some((at, id)) = self.overdue.pop_first() {
+        while let Some((at, id)) = self.overdue_answers.pop_first() {
             if at > now {
-                self.overdue.insert((at, id));
+                self.overdue_answers.insert((at, id));
                 break;
             }
             if self.is_overdue(id, now) {
                 tracing::warn!(request = id.0, late = ?(now - at), "no decision by the deadline");
                 self.counters.answered_overdue += 1;
-                self.end_overdue(id);
+                self.terminate_overdue(id);
             }
         }
     }
 
-    /// Ends a request whose time is over as the planner would: refused where that is true to its effect, else failed.
-    fn end_overdue(&mut self, id: RequestId) {
+    /// Ends a request after its deadline as the planner would: refused if its effect allows that, else failed.
+    fn terminate_overdue(&mut self, id: RequestId) {
         let Some(open) = self.requests.get(&id) else { return };
-        let repeats = open.repeats;
+        let effect = open.effect;
         let ran = self.stop_attempts(id);
-        self.answer_without_planner(id, repeats.allows_refusal(ran));
+        self.answer_without_planner(id, effect.allows_refusal(ran));
         self.events.push(Event::ClientGone { id });
     }
 
-    /// Ends a request that the planner does not decide: failed where it may have run, else refused.
-    fn end_without_planner(&mut self, id: RequestId) {
+    /// Ends a request without the planner: failed if it may have been executed, else refused.
+    fn terminate_without_planner(&mut self, id: RequestId) {
         let ran = self.stop_attempts(id);
         self.answer_without_planner(id, !ran);
     }
@@ -667,15 +660,15 @@
     fn answer_without_planner(&mut self, id: RequestId, refuses: bool) {
         let refused = Answer::Refused { retry_after: self.retry_after };
         self.answer(id, if refuses { refused } else { Answer::Failed });
-        self.close_if_over(id);
+        self.remove_if_finished(id);
     }
 
-    /// Stops all attempts of a request that are out; whether it may have run.
+    /// Stops all attempts of a request that are in flight. Returns whether the request may have been executed.
     fn stop_attempts(&mut self, id: RequestId) -> bool {
         let Some(open) = self.requests.get(&id) else { return false };
-        let mut ran = open.ran;
+        let mut ran = open.may_have_run;
         for (number, _) in open.attempts.iter().enumerate().filter(|(_, it)| it.running) {
-            // An attempt that is out is taken to have run.
+            // An attempt in flight may have been executed.
             ran = true;
             let attempt = AttemptId { request: id, number: number as u32 };
             self.effects.push(Effect::Stop { attempt, outcome: Outcome::Cancelled });
@@ -683,11 +676,11 @@
         ran
     }
 
-    /// At the end of the process: ends every open request once and replays nothing.
-    pub fn end_all(&mut self) {
+    /// At process exit: gives every open request its one final answer and retries nothing.
+    pub fn terminate_all(&mut self) {
         let mut ids: Vec<RequestId> = self.requests.keys().copied().collect();
         ids.sort();
-        ids.into_iter().for_each(|id| self.end_without_planner(id));
+        ids.into_iter().for_each(|id| self.terminate_without_planner(id));
         self.events.clear();
     }
 
@@ -695,8 +688,8 @@
         self.requests.len()
     }
 
-    pub fn held_bytes(&self) -> usize {
-        self.held_bytes
+    pub fn body_bytes(&self) -> usize {
+        self.body_bytes
     }
 
     pub fn drain_events(&mut self) -> Vec<Event> {
--- a/src/forwarder/configuration.rs
+++ b/src/forwarder/configuration.rs
@@ -54,10 +54,10 @@
 
     /// Drains the nodes that the revision takes out: they get no new attempts after the grace period.
     fn take_nodes_out(&mut self, now: Instant, names: &BTreeSet<String>) {
-        let event = self.nodes.configure_out(now, self.clock.unix(now), names);
+        let event = self.nodes.set_configured_out(now, self.clock.unix(now), names);
         if let Some(event) = event {
             self.close_draining(&event);
-            self.core.tell(event);
+            self.core.push_event(event);
         }
     }
 }
--- a/src/forwarder/configuration/tests.rs
+++ b/src/forwarder/configuration/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::config::Files;
 use crate::core::{Answer, AttemptId, Content, Effect, Operation, Origin};
-use crate::discovery::{Endpoint, ListMessage, News, Status};
+use crate::discovery::{Endpoint, ListMessage, ListUpdate, Status};
 use crate::interface::{Event, ListKind, NewRequest, NodeEntry, NodeState, RequestId};
 use crate::process::Signals;
 use crate::revisions::document::Document;
@@ -106,7 +106,7 @@
         since_ms: 1.0,
     };
     let message = ListMessage { index: 1, snapshot: true, endpoints: names.iter().map(line).collect() };
-    forwarder.take_list(News { message, fresh: true, came: Instant::now() }, ListKind::Full);
+    forwarder.take_list(ListUpdate { message, contiguous: true, received: Instant::now() }, ListKind::Full);
 }
 
 /// Takes the node list entries that are queued for the scheduler.
@@ -126,7 +126,7 @@
         id: "1".into(),
         attributes: String::new(),
         body: Vec::new(),
-        flow: None,
+        body_stream: None,
         extent: None,
     }
 }
@@ -152,8 +152,8 @@
     assert_eq!((offered.exports[0].units[&0].max_transfer_bytes, retry_after), (7 * 4096, again));
     let deadline = forwarder.clock.unix(Instant::now()) + Duration::from_secs(1);
     let new = NewRequest { deadline, ..NewRequest::default() };
-    forwarder.core.take(Origin { conn: 1, place: 0 }, new, content()).unwrap();
-    forwarder.core.end_all();
+    forwarder.core.accept(Origin { conn: 1, sequence: 0 }, new, content()).unwrap();
+    forwarder.core.terminate_all();
     let refused = |effect: &Effect| matches!(effect, Effect::Answer { answer: Answer::Refused { retry_after }, .. } if *retry_after == again);
     assert!(forwarder.core.drain_effects().iter().any(refused));
     // A revision without a value restores the value of the settings.
--- a/src/forwarder/effects.rs
+++ b/src/forwarder/effects.rs
@@ -1,7 +1,7 @@
 //! Runs the planner and applies the effects of its decisions.
 
 use super::{turns, Forwarder};
-use crate::core::{AttemptId, Effect, Ended};
+use crate::core::{AttemptId, AttemptResult, Effect};
 use crate::flow::WINDOW;
 use crate::interface::{Event, Outcome};
 use crate::target::{Start, TransferEvent};
@@ -49,11 +49,11 @@
 
     /// Learns where pieces are stored: a node holds the pieces that it serves and not those that it turns away.
     pub(super) fn learn_placement(&mut self, attempt: AttemptId, outcome: Outcome) {
-        let Some((key, node)) = self.core.piece(attempt) else { return };
+        let Some((key, node)) = self.core.key_and_node(attempt) else { return };
         let Some(shard) = self.nodes.shard(node) else { return };
         match outcome {
-            Outcome::Served => self.placement.served(key, shard),
-            Outcome::Full => self.placement.turned_away(key, shard),
+            Outcome::Served => self.placement.record(key, shard),
+            Outcome::Full => self.placement.invalidate(key, shard),
             _ => {}
         }
     }
@@ -61,7 +61,7 @@
     /// Moves long values between targets and clients, as far as the receiving side has capacity.
     pub(super) fn relay_transfers(&mut self, now: Instant) {
         for attempt in self.targets.blocked_on_client() {
-            let Some(origin) = self.core.stream(attempt) else { continue };
+            let Some(origin) = self.core.stream_origin(attempt) else { continue };
             let room = self.resp.answer_capacity(origin);
             // Avoids many small reads.
             if room >= WINDOW / 2 {
@@ -71,7 +71,7 @@
         // Data read with the new credit has to be relayed before the attempts' ends are handled.
         while let Some((attempt, step)) = self.targets.transfer_events.pop_front() {
             match step {
-                TransferEvent::AnswerStarted(length) => match self.core.stream_begins(attempt) {
+                TransferEvent::AnswerStarted(length) => match self.core.begin_stream(attempt) {
                     Some(origin) => {
                         let grant = self.budget.grant(length);
                         if grant.is_some() {
@@ -82,11 +82,11 @@
                     None => self.targets.stop(attempt, Outcome::Cancelled),
                 },
                 TransferEvent::AnswerData(piece) => {
-                    if let Some(origin) = self.core.stream(attempt) {
+                    if let Some(origin) = self.core.stream_origin(attempt) {
                         self.resp.write_piece(now, origin, &piece, &mut self.core);
                     }
                 }
-                TransferEvent::Slow => self.core.takes_time(attempt),
+                TransferEvent::Slow => self.core.transfer_started(attempt),
                 TransferEvent::BodyProgress => {
                     if let Some(origin) = self.core.origin(attempt.request) {
                         self.resp.resume(now, origin.conn, &mut self.core);
@@ -98,18 +98,24 @@
 
     pub(super) fn apply_effect(&mut self, now: Instant, effect: Effect) {
         match effect {
-            Effect::Moved { attempt } => self.targets.continue_body(now, attempt),
-            Effect::Finish { origin, whole } => self.resp.finish_answer(now, origin, whole, &mut self.core),
+            Effect::BodyAvailable { attempt } => self.targets.continue_body(now, attempt),
+            Effect::EndStream { origin, complete } => {
+                self.resp.finish_answer(now, origin, complete, &mut self.core)
+            }
             Effect::Answer { origin, answer } => match (Kind::of(origin.conn), &mut self.iscsi) {
                 (Some(Kind::IscsiClient), Some(front)) => front.answer(now, origin, answer, &mut self.core),
                 _ => self.resp.answer(now, origin, answer, &mut self.core),
             },
             Effect::Stop { attempt, outcome } => self.targets.stop(attempt, outcome),
-            Effect::Withdraw { attempt } => self.targets.cancel_unsent(attempt),
+            Effect::CancelUnsent { attempt } => self.targets.cancel_unsent(attempt),
             Effect::Start { attempt, node, content, give_up_at, begin_by } => {
                 let grace = self.config.settings.rules.drain_grace;
-                let Some((endpoint, closes)) = self.nodes.open(now, node, grace) else {
-                    return self.core.attempt_ended(now, attempt, Ended::bare(Outcome::NotConnected));
+                let Some((endpoint, closes)) = self.nodes.endpoint(now, node, grace) else {
+                    return self.core.attempt_ended(
+                        now,
+                        attempt,
+                        AttemptResult::without_reply(Outcome::NotConnected),
+                    );
                 };
                 let begin_by = closes.map_or(begin_by, |closes| closes.min(begin_by));
                 let start = Start { attempt, node, content, give_up_at, begin_by };
--- a/src/forwarder/mod.rs
+++ b/src/forwarder/mod.rs
@@ -15,13 +15,13 @@
 use crate::config::{Config, Files};
 use crate::control::endpoint::AdminEndpoint;
 use crate::core::Core;
-use crate::discovery::{Discovery, News};
+use crate::discovery::{Discovery, ListUpdate};
 use crate::fleet;
 use crate::flow::Budget;
 use crate::front::{iscsi, resp, Front};
 use crate::interface::{Event, ListKind};
 use crate::nodes::Nodes;
-use crate::pace::Pace;
+use crate::pace::LoopTiming;
 use crate::placement::Placement;
 use crate::planner::client::{self, Planners};
 use crate::planner::Planner;
@@ -110,11 +110,11 @@
     pub fn run(&mut self) -> std::io::Result<()> {
         let mut ready = Readiness::new();
         self.run_planner(Instant::now());
-        let mut pace = Pace::new(self.config.settings.tick, self.config.cores, Instant::now());
+        let mut pace = LoopTiming::new(self.config.settings.tick, self.config.cores, Instant::now());
         loop {
             let now = Instant::now();
             let due = self.next_timer(now);
-            let pause = pace.waits(now);
+            let pause = pace.iteration_done(now);
             if !pause.is_zero() {
                 let begun = Instant::now();
                 std::thread::sleep(pause);
@@ -130,16 +130,16 @@
             }
             let now = Instant::now();
             self.loop_stats.begin(now);
-            let late = pace.woken(now);
+            let late = pace.wait_done(now);
             let stopped = pace.may_have_been_stopped(now);
             if stopped {
                 // Events may have arrived after the wait: they have to be handled before the timers that are due by
                 // now.
                 ready.poll_again(&mut self.poll)?;
             }
-            self.core.is_late_by(late);
+            self.core.set_lateness(late);
             self.report_loop(now);
-            self.arrived_since = now.checked_sub(pace.waited()).unwrap_or(now);
+            self.arrived_since = now.checked_sub(pace.max_queued()).unwrap_or(now);
             self.resp.begin_iteration(self.arrived_since, stopped);
             self.iscsi.iter_mut().for_each(|front| front.begin_iteration(self.arrived_since, stopped));
             self.answer_overdue_requests(now);
@@ -158,7 +158,7 @@
             self.run_fronts(now);
             self.loop_stats.record(Work::Input);
             self.run_upgrade(now);
-            self.core.fire(now);
+            self.core.fire_timers(now);
             self.targets.tick(now);
             self.discovery.tick(now, self.poll.registry());
             if let Some(planners) = &mut self.planners {
@@ -195,7 +195,7 @@
     /// Follows the virtual router addresses before handling any other event.
     fn run_addresses(&mut self, now: Instant, ready: &Readiness) {
         let received: Vec<bool> = ADVERTISEMENTS.iter().map(|token| ready.contains(*token)).collect();
-        let discovery = self.discovery.heard();
+        let discovery = self.discovery.last_message_at();
         let ready_nodes = self.nodes.ready();
         let (descriptors_used_up, memory) = (self.resp.is_at_capacity(now), self.config.memory);
         self.with_addresses(|addresses, context| {
@@ -268,7 +268,7 @@
         next = self.fleet.as_ref().and_then(|fleet| fleet.next_timer(now)).map_or(next, |at| next.min(at));
         next = self.rejoin_fleet_at.map_or(next, |at| next.min(at));
         next = self.planners.as_ref().map_or(next, |planners| next.min(planners.next_timer()));
-        if self.core.has_news() || self.targets.has_results() {
+        if self.core.has_pending() || self.targets.has_results() {
             // The last iteration was long and left work to this one.
             return now;
         }
@@ -305,7 +305,7 @@
         }
         self.config.discovery = new.discovery;
         let token = self.tokens.next(Kind::Discovery);
-        self.discovery.move_to(new.discovery, token, now);
+        self.discovery.set_address(new.discovery, token, now);
     }
 
     /// Runs the fronts for one iteration.
@@ -318,19 +318,19 @@
     }
 
     /// Applies a node list message from discovery.
-    fn take_list(&mut self, news: News, kind: ListKind) {
+    fn take_list(&mut self, news: ListUpdate, kind: ListKind) {
         self.loop_stats.record(Work::Input);
-        let (event, gone) = self.nodes.take(news, kind);
+        let (event, gone) = self.nodes.apply(news, kind);
         tracing::trace!(?event, "node list");
         gone.into_iter().for_each(|node| self.targets.remove_node(node));
         self.close_draining(&event);
-        self.core.tell(event);
+        self.core.push_event(event);
         self.loop_stats.record(Work::NodeLists);
     }
 
     /// Prevents attempts from starting at the draining nodes of a message after their grace period.
     fn close_draining(&mut self, message: &Event) {
-        for (node, closes) in self.nodes.closing(message, self.config.settings.rules.drain_grace) {
+        for (node, closes) in self.nodes.drain_deadlines(message, self.config.settings.rules.drain_grace) {
             self.targets.forbid_start_after(node, closes);
         }
     }
--- a/src/forwarder/operators.rs
+++ b/src/forwarder/operators.rs
@@ -27,7 +27,7 @@
                 Ok(text) => tracing::info!(?call, "{text}"),
                 Err(why) => tracing::warn!(?call, "command rejected: {why}"),
             }
-            self.core.counters.operator_calls += 1;
+            self.core.counters.admin_commands += 1;
             self.admin.iter_mut().for_each(|admin| admin.reply(now, caller, &outcome));
         }
     }
@@ -57,10 +57,10 @@
 
     /// Takes a target out of service, or returns it to service.
     pub(super) fn ban(&mut self, now: Instant, unix: Duration, name: &str, out: bool) -> Result<(), String> {
-        let event = if out { self.nodes.ban(now, unix, name) } else { self.nodes.call_back(unix, name) };
+        let event = if out { self.nodes.disable(now, unix, name) } else { self.nodes.enable(unix, name) };
         if let Some(event) = event? {
             self.close_draining(&event);
-            self.core.tell(event);
+            self.core.push_event(event);
         }
         Ok(())
     }
--- a/src/forwarder/reports.rs
+++ b/src/forwarder/reports.rs
@@ -1,7 +1,7 @@
 //! The loop's rows of `INFO`: sizes, iteration times, reasons of refusals and accept queues.
 
 use super::Forwarder;
-use crate::listener::QueueFigures;
+use crate::listener::QueueStats;
 use std::time::{Duration, Instant};
 
 /// Name of the loop's report in `INFO`, and how often it is updated.
@@ -18,7 +18,7 @@
     "iscsi_accept_queue_drops",
 ];
 
-fn accept_queue_rows(figures: QueueFigures, names: [&'static str; 4]) -> [(&'static str, u64); 4] {
+fn accept_queue_rows(figures: QueueStats, names: [&'static str; 4]) -> [(&'static str, u64); 4] {
     let values = [figures.length, figures.limit, figures.longest, figures.drops];
     std::array::from_fn(|at| (names[at], u64::from(values[at])))
 }
@@ -28,16 +28,16 @@
     pub(super) fn update_sizes(&mut self) {
         let iscsi =
             self.iscsi.as_ref().map_or((0, 0), |front| (front.connection_count(), front.buffered_bytes()));
-        self.core.counters.answers_spoilt = self.targets.unreadable;
-        self.core.sizes.clear();
-        self.core.sizes.extend([
+        self.core.counters.replies_unparsable = self.targets.unreadable;
+        self.core.gauges.clear();
+        self.core.gauges.extend([
             ("clients", self.resp.connection_count() + iscsi.0),
             ("client_bytes", self.resp.buffered_bytes() + iscsi.1),
             ("long_value_bytes", self.budget.granted()),
             ("pieces_placed", self.placement.len()),
         ]);
-        self.core.sizes.extend(self.nodes.sizes());
-        self.core.sizes.extend(self.targets.sizes());
+        self.core.gauges.extend(self.nodes.sizes());
+        self.core.gauges.extend(self.targets.sizes());
     }
 
     /// Updates the report of iteration times, refusals and accept queues.
--- a/src/forwarder/start.rs
+++ b/src/forwarder/start.rs
@@ -10,7 +10,7 @@
 use crate::config::{Config, Files};
 use crate::control::endpoint::AdminEndpoint;
 use crate::core::Core;
-use crate::discovery::{self, Discovery, News};
+use crate::discovery::{self, Discovery, ListUpdate};
 use crate::flow::Budget;
 use crate::front::{iscsi, resp, ClientLimits, Front};
 use crate::interface::{Event, ListKind};
@@ -68,7 +68,7 @@
         let targets = Targets::new(wire.connect_timeout, wire.conn_idle, for_targets, now);
         let retry_after = settings.limits.max_retry_after;
         let iscsi = config.iscsi.clone().map(|offered| {
-            offered.storage.iter().for_each(|storage| nodes.add_own(storage));
+            offered.storage.iter().for_each(|storage| nodes.add_iscsi(storage));
             let deadlines = settings.classes.iter().map(|class| class.deadline).collect();
             let room = ClientLimits {
                 evict_idle_above: MAX_ISCSI_SESSIONS,
@@ -120,11 +120,11 @@
                     state.drain(now)?;
                 }
                 predecessor_usage = usage;
-                if let Some(list_event) = nodes.load(now, listed) {
+                if let Some(list_event) = nodes.restore(now, listed) {
                     (version, loaded) = (list, true);
                     let learned = scheduler.is_some_and(|scheduler| planner.take_over(scheduler));
                     tracing::info!(learned, "took over the state of the predecessor");
-                    core.tell(list_event);
+                    core.push_event(list_event);
                 }
             }
         }
@@ -143,7 +143,7 @@
                 tokens.next(Kind::Discovery),
                 now,
                 version,
-                discovery::Manner::new(&config.settings, config.seed),
+                discovery::PollingPolicy::new(&config.settings, config.seed),
             ),
             nodes,
             placement: Placement::default(),
@@ -164,12 +164,13 @@
             arrived_since: now,
             next_report: now,
         };
-        if !forwarder.nodes.own().is_empty() {
-            let entries = forwarder.nodes.own().to_vec();
-            forwarder.core.tell(Event::List { kind: ListKind::Delta, entries });
+        if !forwarder.nodes.iscsi_nodes().is_empty() {
+            let entries = forwarder.nodes.iscsi_nodes().to_vec();
+            forwarder.core.push_event(Event::List { kind: ListKind::Delta, entries });
         }
         if let Some(known) = known.filter(|_| !loaded) {
-            forwarder.take_list(News { message: known, fresh: false, came: now }, ListKind::Cached);
+            forwarder
+                .take_list(ListUpdate { message: known, contiguous: false, received: now }, ListKind::Cached);
         }
         if let Some(vrrp) = forwarder.config.vrrp.clone() {
             let longest = forwarder.longest_deadline();
@@ -210,7 +211,7 @@
 /// Divides the limits and the load of cold nodes between the machines of a virtual router.
 fn apply_router_shares(config: &mut Config, files: &Files) -> Result<(), String> {
     let Some(vrrp) = &config.vrrp else { return Ok(()) };
-    if let Some(plan) = vrrp.share.too_small(&config.settings) {
+    if let Some(plan) = vrrp.share.plan_below_largest(&config.settings) {
         let why = "handover.burst_share leaves no room for the largest request of plan";
         return Err(format!("{}: {why} {:?}", files.vrrp.display(), config.wire.plans[plan]));
     }
--- a/src/forwarder/succession.rs
+++ b/src/forwarder/succession.rs
@@ -115,7 +115,7 @@
             let scheduler = Some(planner.hand_over(now));
             *rejoin_at = None;
             let fleet = fleet.take().map(Driver::hand_over);
-            HandoverState { drained, nodes: nodes.carry(now), list, scheduler, usage, fleet }
+            HandoverState { drained, nodes: nodes.save(now), list, scheduler, usage, fleet }
         });
         if handed_over {
             tracing::info!("a successor takes over");
@@ -162,7 +162,7 @@
         }
         if elapsed >= longest + ANSWER_ALL_AFTER {
             // Guards against being killed while requests have no answer.
-            self.core.end_all();
+            self.core.terminate_all();
         }
         self.run_planner(now);
         let iscsi = self.iscsi.as_mut().is_none_or(|front| front.shut_down(now, &mut self.core));
--- a/src/front/answers.rs
+++ b/src/front/answers.rs
@@ -12,7 +12,7 @@
     pub fn answer(&mut self, now: Instant, origin: Origin, answer: Answer, core: &mut Core) {
         let Some(client) = self.clients.get_mut(&origin.conn) else { return };
         let mut output = Vec::new();
-        self.protocol.write_answer(&mut client.session, origin.place, answer, &mut output);
+        self.protocol.write_answer(&mut client.session, origin.sequence, answer, &mut output);
         client.conn.push(&output);
         client.last_active = now;
         self.resume(now, origin.conn, core);
@@ -32,14 +32,14 @@
         client.streaming_answers += 1;
         client.grants.extend(grant);
         self.write_stream_part(now, origin, core, |protocol, session, output| {
-            protocol.begin_answer(session, origin.place, length, output);
+            protocol.begin_answer(session, origin.sequence, length, output);
         });
     }
 
     /// Writes the next piece of a streamed answer.
     pub fn write_piece(&mut self, now: Instant, origin: Origin, piece: &[u8], core: &mut Core) {
         self.write_stream_part(now, origin, core, |protocol, session, output| {
-            protocol.write_piece(session, origin.place, piece, output);
+            protocol.write_piece(session, origin.sequence, piece, output);
         });
     }
 
@@ -49,11 +49,11 @@
         let Some(client) = self.clients.get_mut(&origin.conn) else { return };
         client.streaming_answers -= 1;
         if !whole {
-            core.counters.answers_cut += 1;
+            core.counters.answers_truncated += 1;
             return self.drop_client(origin.conn, core);
         }
         self.write_stream_part(now, origin, core, |protocol, session, output| {
-            protocol.finish_answer(session, origin.place, output)
+            protocol.finish_answer(session, origin.sequence, output)
         });
         self.resume(now, origin.conn, core);
     }
--- a/src/front/endpoints.rs
+++ b/src/front/endpoints.rs
@@ -7,7 +7,7 @@
 use crate::conn::Conn;
 use crate::core::Core;
 use crate::interface::RequestId;
-use crate::listener::{Accepted, Listener, Pending, QueueFigures};
+use crate::listener::{Accepted, Listener, Pending, QueueStats};
 use mio::net::TcpStream;
 use mio::{Registry, Token};
 use std::net::SocketAddr;
@@ -80,7 +80,7 @@
             let Some(Pending::Connection(accepted)) = listener.map(Listener::accept) else { break };
             self.add_client(
                 now,
-                (accepted.stream, Some(accepted.came)),
+                (accepted.stream, Some(accepted.received)),
                 endpoint,
                 true,
                 next_token(),
@@ -102,8 +102,8 @@
     }
 
     /// Figures of the accept queue at the machine's own address.
-    pub fn accept_queue(&self) -> QueueFigures {
-        self.endpoints[0].listener.as_ref().map(Listener::figures).unwrap_or_default()
+    pub fn accept_queue(&self) -> QueueStats {
+        self.endpoints[0].listener.as_ref().map(Listener::stats).unwrap_or_default()
     }
 
     /// Starts or stops accepting at the machine's own address. While it is stopped, another process that shares
@@ -181,7 +181,7 @@
     fn admit_or_close(
         &mut self,
         now: Instant,
-        Accepted { stream, came, has_sent }: Accepted,
+        Accepted { stream, received, has_sent }: Accepted,
         endpoint: usize,
         registry: &Registry,
         next_token: &mut impl FnMut() -> Token,
@@ -191,12 +191,12 @@
             Admission::Serve => false,
             Admission::Decline => true,
             Admission::Close => {
-                core.counters.clients_shut += 1;
+                core.counters.clients_shut_unread += 1;
                 return;
             }
         };
         let token = next_token();
-        self.add_client(now, (stream, has_sent.then_some(came)), endpoint, is_overflow, token, registry);
+        self.add_client(now, (stream, has_sent.then_some(received)), endpoint, is_overflow, token, registry);
         if has_sent {
             self.enqueue(token.0);
         }
--- a/src/front/leaving.rs
+++ b/src/front/leaving.rs
@@ -35,7 +35,7 @@
     /// Shuts down the sending side of a connection whose output is all written. If there are `max` connections
     /// already, the oldest is dropped.
     pub fn add(&mut self, now: Instant, id: usize, conn: Conn, max: usize) {
-        if conn.end_sending().is_err() {
+        if conn.shutdown_write().is_err() {
             // The client is already gone.
             return;
         }
--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -245,7 +245,7 @@
         client.closing_since.get_or_insert(now);
         client.partial_since = None;
         client.conn.consume(client.conn.input.len());
-        self.protocol.open_requests(&client.session).into_iter().for_each(|request| core.end(request));
+        self.protocol.open_requests(&client.session).into_iter().for_each(|request| core.terminate(request));
     }
 
     /// A client's connection is writable and has nothing to read. Ignored unless there is something to write or
@@ -309,7 +309,7 @@
 
     fn process_input(&mut self, now: Instant, id: usize, core: &mut Core) {
         self.promote_overflow_client(id);
-        let full = core.held_bytes() + self.buffered_bytes > self.limits.bytes;
+        let full = core.body_bytes() + self.buffered_bytes > self.limits.bytes;
         let Some(client) = self.clients.get_mut(&id) else { return };
         let retired = self.endpoints[client.endpoint].retired;
         let decline = match (retired, full || client.is_overflow) {
--- a/src/front/protocol.rs
+++ b/src/front/protocol.rs
@@ -139,18 +139,19 @@
         }
         let arrival = self.arrival_of_command(length);
         if self.now - arrival > timeout / 2 {
-            self.core.counters.read_late += 1;
+            self.core.counters.requests_read_late += 1;
             tracing::debug!(id = content.id, waited = ?(self.now - arrival), "declined: read too late");
             return Err(Declined::Late);
         }
         new.deadline = arrival + timeout.saturating_sub(ANSWER_MARGIN).max(Duration::from_millis(1));
-        let origin = Origin { conn: self.conn, place: seq };
-        self.core.take(origin, new, content).ok_or(Declined::IdInUse)
+        let origin = Origin { conn: self.conn, sequence: seq };
+        self.core.accept(origin, new, content).ok_or(Declined::IdInUse)
     }
 
     /// The last byte of a request's body has arrived, at the end of `length` bytes of input; the client waits
     /// for `timeout` from then on.
     pub fn body_arrived(&mut self, request: RequestId, length: usize, timeout: Duration) {
-        self.core.body_came(request, self.arrival_of_command(length) + timeout.saturating_sub(ANSWER_MARGIN));
+        self.core
+            .body_complete(request, self.arrival_of_command(length) + timeout.saturating_sub(ANSWER_MARGIN));
     }
 }
--- a/src/front/resp.rs
+++ b/src/front/resp.rs
@@ -3,7 +3,7 @@
 use super::{CloseConnection, Declined, Intake, Protocol, MAX_INPUT_BYTES, MOVED_RETRY_AFTER};
 use crate::config::Wire;
 use crate::core::{Answer, Content, Operation};
-use crate::flow::{Budget, Flow, LONG, LONGEST};
+use crate::flow::{BodyStream, Budget, MAX_VALUE_BYTES, STREAM_THRESHOLD};
 use crate::interface::{NewRequest, RequestId, VolumeId};
 use crate::resp::{self, Value};
 use std::collections::VecDeque;
@@ -51,7 +51,7 @@
     seq: u64,
     /// When the head of the command was received.
     head_received_at: Duration,
-    flow: Flow,
+    flow: BodyStream,
     timeout: Duration,
     /// The request, until it is submitted.
     unsubmitted: Option<Box<(NewRequest, Content)>>,
@@ -79,7 +79,7 @@
         }
         let seq = session.next_seq;
         let (length, request, answer) = match self.parse(input) {
-            Ok(None) => match resp::parse_head(input, PUT_ELEMENTS - 1, LONGEST) {
+            Ok(None) => match resp::parse_head(input, PUT_ELEMENTS - 1, MAX_VALUE_BYTES) {
                 Ok(Some(head)) if head.elements == PUT_ELEMENTS => {
                     let length = head.start;
                     self.begin_body(session, head, output, intake);
@@ -108,7 +108,7 @@
                 }
                 Err(reason) => {
                     tracing::debug!("unusable command: {reason}");
-                    intake.core.counters.commands_unusable += 1;
+                    intake.core.counters.commands_rejected += 1;
                     (Some(length), None, Some(error_line(&reason)))
                 }
             },
@@ -123,7 +123,7 @@
     fn write_answer(&self, session: &mut Session, seq: u64, answer: Answer, output: &mut Vec<u8>) {
         if let Some(receiving) = session.receiving.as_mut().filter(|receiving| receiving.seq == seq) {
             // The request was answered before its body was complete: the rest is discarded.
-            receiving.flow.abandon();
+            receiving.flow.discard();
         }
         let Some(pending) = session.pending.iter_mut().find(|pending| pending.seq == seq) else { return };
         pending.answer = Some(match answer {
@@ -183,7 +183,7 @@
     }
 
     fn is_blocked(&self, session: &Session) -> bool {
-        let blocked = |receiving: &Receiving| receiving.flow.room() == 0 && !receiving.flow.is_complete();
+        let blocked = |receiving: &Receiving| receiving.flow.capacity() == 0 && !receiving.flow.is_complete();
         match &session.receiving {
             Some(receiving) => blocked(receiving),
             None => session.pending.len() >= self.max_pending,
@@ -199,8 +199,8 @@
     /// Parses a whole command. `None` if it is incomplete or has a long body, which is streamed instead.
     fn parse(&self, input: &[u8]) -> Result<Option<(Value, usize)>, String> {
         match resp::parse(input) {
-            Err(reason) => match resp::parse_head(input, PUT_ELEMENTS - 1, LONGEST) {
-                Ok(Some(head)) if head.elements == PUT_ELEMENTS && head.length > LONG => Ok(None),
+            Err(reason) => match resp::parse_head(input, PUT_ELEMENTS - 1, MAX_VALUE_BYTES) {
+                Ok(Some(head)) if head.elements == PUT_ELEMENTS && head.length > STREAM_THRESHOLD => Ok(None),
                 _ => Err(reason),
             },
             whole => whole,
@@ -212,19 +212,19 @@
         let seq = session.next_seq;
         let mut words: Vec<Value> = head.words.into_iter().map(|word| Value::Bulk(Some(word))).collect();
         words.push(Value::Bulk(Some(Vec::new())));
-        let flow = Flow::new(head.length, self.budget.grant(head.length));
+        let flow = BodyStream::new(head.length, self.budget.grant(head.length));
         let mut pending = Pending { seq, ..Pending::default() };
         let (mut timeout, mut unsubmitted) = (Duration::ZERO, None);
         match read_command(Value::Array(Some(words)), &self.wire) {
             Ok(Command::Request { new, timeout: client_timeout, mut content }) => {
                 session.request_received = true;
-                content.flow = Some(flow.clone());
+                content.body_stream = Some(flow.clone());
                 (timeout, unsubmitted) = (client_timeout, Some(Box::new((new, *content))));
-                intake.core.counters.bodies_long += u64::from(head.length > LONG);
+                intake.core.counters.bodies_streamed += u64::from(head.length > STREAM_THRESHOLD);
             }
             Ok(_) => pending.answer = Some(error_line("unknown command")),
             Err(reason) => {
-                intake.core.counters.commands_unusable += 1;
+                intake.core.counters.commands_rejected += 1;
                 pending.answer = Some(error_line(&reason));
             }
         }
@@ -233,7 +233,7 @@
             (unsubmitted, pending.answer) = (None, Some(self.decline_answer(reason)));
         }
         if unsubmitted.is_none() {
-            flow.abandon();
+            flow.discard();
         }
         session.next_seq += 1;
         session.pending.push_back(pending);
@@ -255,7 +255,7 @@
         if intake.now.saturating_sub(receiving.head_received_at) > BODY_TIMEOUT {
             return Err(CloseConnection);
         }
-        let mut count = flow.room().min(input.len());
+        let mut count = flow.capacity().min(input.len());
         flow.push(&input[..count]);
         let complete = flow.is_complete();
         let mut done = false;
@@ -270,13 +270,13 @@
                 None => {}
             }
         }
-        if done || (flow.room() == 0 && !complete) {
+        if done || (flow.capacity() == 0 && !complete) {
             if let Some(command) = receiving.unsubmitted.take() {
                 let (new, mut content) = *command;
-                if done && flow.length() <= LONG {
+                if done && flow.length() <= STREAM_THRESHOLD {
                     // From here on it is the same as a command received in one piece.
                     content.body = flow.copy(0, flow.length());
-                    content.flow = None;
+                    content.body_stream = None;
                 }
                 // The client's deadline counts from the last byte of the body, which may arrive much later.
                 let timeout = receiving.timeout + if done { Duration::ZERO } else { BODY_TIMEOUT };
@@ -286,7 +286,7 @@
                         pending.into_iter().for_each(|pending| pending.request = Some(request));
                     }
                     Err(reason) => {
-                        flow.abandon();
+                        flow.discard();
                         session.set_answer(receiving.seq, Some(self.decline_answer(reason)), output);
                     }
                 }
@@ -299,7 +299,7 @@
         }
         let pending = session.pending.iter().find(|it| it.seq == receiving.seq);
         if let Some(request) = pending.and_then(|pending| pending.request) {
-            intake.core.body_moved(request);
+            intake.core.body_available(request);
         }
         if !done {
             session.receiving = Some(receiving);
@@ -398,7 +398,7 @@
     }
     let body = words.next().unwrap_or_default();
     let (new, timeout, attributes) = read_attributes(&attributes, &object, wire)?;
-    let content = Content { operation, object, id, attributes, body, flow: None, extent: None };
+    let content = Content { operation, object, id, attributes, body, body_stream: None, extent: None };
     Ok(Command::Request { new, timeout, content: Box::new(content) })
 }
 
--- a/src/front/tests.rs
+++ b/src/front/tests.rs
@@ -197,7 +197,12 @@
     front.begin_iteration(arrival, false);
     front.connections_pending();
     accept_until(&mut front, &poll, &mut core, |_| arrival.elapsed() > Duration::from_millis(300));
-    assert_eq!((core.counters.read_late, core.counters.taken), (1, 0), "{:?}", core.counters);
+    assert_eq!(
+        (core.counters.requests_read_late, core.counters.requests_accepted),
+        (1, 0),
+        "{:?}",
+        core.counters
+    );
 }
 
 /// A process that is stopped just as its poll ends counts the whole stop as polling, and takes input that
@@ -215,7 +220,12 @@
     let now = Instant::now();
     front.begin_iteration(now, true);
     front.readable(now, id, &mut core);
-    assert_eq!((core.counters.read_late, core.counters.taken), (1, 0), "{:?}", core.counters);
+    assert_eq!(
+        (core.counters.requests_read_late, core.counters.requests_accepted),
+        (1, 0),
+        "{:?}",
+        core.counters
+    );
 }
 
 /// Silent clients were closed for new connections while the slots for declined clients stayed empty, so a
--- a/src/service/addresses.rs
+++ b/src/service/addresses.rs
@@ -6,7 +6,7 @@
 
 use crate::core::Core;
 use crate::front::{iscsi, resp, Front};
-use crate::handover::{Duty, Event, Handover, Order};
+use crate::handover::{AddressAction, Duty, Event, Handover};
 use crate::process::resident_memory;
 use crate::tokens::{Kind, Tokens};
 use crate::vrrp::address::{address_takeover, AddressTakeover, Progress, POLL_INTERVAL};
@@ -227,11 +227,11 @@
         let served = &mut self.addresses[router];
         match order {
             None => {}
-            Some(Order::Take) => {
+            Some(AddressAction::Acquire) => {
                 served.address.acquire(now);
                 served.pending = true;
             }
-            Some(Order::Release) => {
+            Some(AddressAction::Release) => {
                 for (wire, endpoint) in &served.endpoints {
                     match (wire, &mut context.iscsi) {
                         (Wire::Iscsi, Some(front)) => {
@@ -247,9 +247,9 @@
                 served.address.release(now);
                 (served.pending, served.failing) = (true, false);
             }
-            Some(Order::End) => {
+            Some(AddressAction::Abort) => {
                 for request in open_requests_at(&served.endpoints, context) {
-                    context.core.end(request);
+                    context.core.terminate(request);
                 }
             }
         }
@@ -298,7 +298,7 @@
             }
             if matches!(self.handover.duty(router), Duty::Retired { .. }) {
                 let open = open_requests_at(&self.addresses[router].endpoints, context).len();
-                self.step(now, router, Event::Looked { open }, context);
+                self.step(now, router, Event::Polled { open }, context);
             }
         }
         let retiring = |router| matches!(self.handover.duty(router), Duty::Retired { .. });
--- a/src/target/iscsi.rs
+++ b/src/target/iscsi.rs
@@ -1,7 +1,7 @@
 //! Storage nodes that speak iSCSI (RFC 7143). This side is the initiator, with one command in flight at a time.
 
 use super::Step;
-use crate::core::{Content, Ended, Operation};
+use crate::core::{AttemptResult, Content, Operation};
 use crate::interface::Outcome;
 use crate::iscsi::pdu::{FINAL, NO_TAG};
 use crate::iscsi::scsi::{self, Cdb};
@@ -144,10 +144,12 @@
         let Some(task) = self.task.take() else { return Step::Incomplete };
         let incomplete = task.value.len() < task.expected && flags & 0x02 == 0;
         Step::Ended(match status {
-            scsi::GOOD if !incomplete => Ended { value: task.value, ..Ended::bare(Outcome::Served) },
+            scsi::GOOD if !incomplete => {
+                AttemptResult { value: task.value, ..AttemptResult::without_reply(Outcome::Served) }
+            }
             // Both statuses say that the command was not started (SAM-5, 5.3.1).
-            scsi::BUSY | scsi::TASK_SET_FULL => Ended::bare(Outcome::Full),
-            _ => Ended::bare(Outcome::Error),
+            scsi::BUSY | scsi::TASK_SET_FULL => AttemptResult::without_reply(Outcome::Full),
+            _ => AttemptResult::without_reply(Outcome::Error),
         })
     }
 }
--- a/src/target/mod.rs
+++ b/src/target/mod.rs
@@ -8,8 +8,8 @@
 pub mod resp;
 
 use crate::conn::{Conn, Connecting, ReadEnd};
-use crate::core::{AttemptId, Content, Ended};
-use crate::flow::{Flow, WINDOW};
+use crate::core::{AttemptId, AttemptResult, Content};
+use crate::flow::{BodyStream, WINDOW};
 use crate::interface::{NodeId, Outcome};
 use mio::{Registry, Token};
 use rustc_hash::{FxHashMap, FxHashSet};
@@ -60,7 +60,7 @@
     /// The next bytes of the long value.
     Data(Vec<u8>),
     /// The attempt ended.
-    Ended(Ended),
+    Ended(AttemptResult),
     /// The peer asks to close the connection.
     Closing,
 }
@@ -129,7 +129,7 @@
     /// Since when an incomplete answer has made no progress.
     partial_since: Option<Instant>,
     /// A long request body that is being sent, and how many of its bytes were queued for output.
-    body: Option<(Flow, usize)>,
+    body: Option<(BodyStream, usize)>,
     /// When a long body or answer last made progress.
     last_progress: Instant,
     /// When the attempt was started, how long its body took to send, and when an answer that did not arrive whole
@@ -169,7 +169,7 @@
                 break;
             }
             *at += piece.len();
-            flow.written(*at);
+            flow.release(*at);
             self.conn.push(&piece);
             moved = true;
             if *at == flow.length() {
@@ -193,7 +193,7 @@
         let mut output = Vec::new();
         let supported = self.session.start(&content, give_up_at.saturating_duration_since(now), &mut output);
         self.conn.push(&output);
-        self.body = content.flow.clone().map(|flow| (flow, 0));
+        self.body = content.body_stream.clone().map(|flow| (flow, 0));
         (self.started, self.last_progress, self.reported_slow) = (now, now, false);
         (self.send_time, self.answer_started, self.credit) = (None, None, None);
         supported
@@ -226,7 +226,7 @@
     /// Number of answers that could not be read.
     pub unreadable: u64,
     /// Attempts that ended since they were last taken.
-    pub ended: Vec<(AttemptId, Ended)>,
+    pub ended: Vec<(AttemptId, AttemptResult)>,
 }
 
 impl Targets {
@@ -262,7 +262,7 @@
         registry: &Registry,
     ) {
         let Start { attempt, node, content, give_up_at, begin_by } = start;
-        if content.flow.is_some() {
+        if content.body_stream.is_some() {
             self.long_attempts.push(attempt);
         }
         let pending = Some((content, give_up_at));
@@ -297,7 +297,7 @@
         let opened = (self.conns.len() < self.max_connections)
             .then(|| Conn::connect(endpoint.address, token, registry));
         let Some(Ok(conn)) = opened else {
-            return self.ended.push((attempt, Ended::bare(Outcome::NotConnected)));
+            return self.ended.push((attempt, AttemptResult::without_reply(Outcome::NotConnected)));
         };
         let connection = Connection {
             conn,
@@ -494,7 +494,7 @@
             let read = connection.conn.read(more);
             let mut output = Vec::new();
             let step = connection.session.input(&mut connection.conn.input, &mut output);
-            connection.conn.shed();
+            connection.conn.free_empty_input();
             connection.conn.push(&output);
             match step {
                 Ok(Step::Incomplete) if read.is_over() => return self.end(id, Outcome::Reset),
@@ -596,13 +596,14 @@
     }
 
     /// Ends an attempt that has its answer. The connection becomes idle, unless unread or unsent bytes remain on it.
-    fn finish_answer(&mut self, now: Instant, id: usize, ended: Ended) {
+    fn finish_answer(&mut self, now: Instant, id: usize, ended: AttemptResult) {
         let Some(connection) = self.conns.get_mut(&id) else { return };
         let clean = connection.all_written() && connection.conn.input.is_empty();
         (connection.idle_since, connection.partial_since, connection.credit, connection.body) =
             (now, None, None, None);
         let answering = connection.answer_started.take().map_or(Duration::ZERO, |since| now - since);
-        let ended = Ended { transfer: connection.send_time.take().unwrap_or_default() + answering, ..ended };
+        let ended =
+            AttemptResult { transfer: connection.send_time.take().unwrap_or_default() + answering, ..ended };
         // An unsolicited answer ends no attempt, and its connection cannot be trusted.
         let Some(attempt) = connection.attempt.take() else { return self.close(id) };
         self.by_attempt.remove(&attempt);
@@ -622,7 +623,7 @@
         let outcome = if never_ran { Outcome::NotConnected } else { outcome };
         if let Some(attempt) = connection.attempt {
             self.by_attempt.remove(&attempt);
-            self.ended.push((attempt, Ended::bare(outcome)));
+            self.ended.push((attempt, AttemptResult::without_reply(outcome)));
         }
         self.close(id);
     }
@@ -681,7 +682,7 @@
             // A node that waits for its client, or for the rest of a body, has not stalled.
             let stalled = |connection: &Connection| {
                 let waits = match &connection.body {
-                    Some((flow, at)) => connection.conn.unwritten() == 0 && flow.came() == *at,
+                    Some((flow, at)) => connection.conn.unwritten() == 0 && flow.received() == *at,
                     None => {
                         connection.credit.is_none_or(|credit| credit == 0) && connection.conn.unwritten() == 0
                     }
--- a/src/target/resp.rs
+++ b/src/target/resp.rs
@@ -1,8 +1,8 @@
 //! Storage nodes that speak RESP2.
 
 use super::Step;
-use crate::core::{Content, Ended, Operation};
-use crate::flow::{LONG, LONGEST};
+use crate::core::{AttemptResult, Content, Operation};
+use crate::flow::{MAX_VALUE_BYTES, STREAM_THRESHOLD};
 use crate::interface::Outcome;
 use crate::resp::{self, Value};
 use std::time::Duration;
@@ -65,10 +65,10 @@
                 Ok(Step::Data(piece))
             }
             None => {
-                let head = resp::parse_head(input, 0, LONGEST).ok().flatten();
-                match head
-                    .filter(|head| self.may_stream && head.elements == ANSWER_ELEMENTS && head.length > LONG)
-                {
+                let head = resp::parse_head(input, 0, MAX_VALUE_BYTES).ok().flatten();
+                match head.filter(|head| {
+                    self.may_stream && head.elements == ANSWER_ELEMENTS && head.length > STREAM_THRESHOLD
+                }) {
                     Some(head) => {
                         input.drain(..head.start);
                         self.value_left = Some(head.length);
@@ -99,7 +99,7 @@
         arguments.push(&content.body);
     }
     let mut command = resp::command(&arguments);
-    if let Some(flow) = &content.flow {
+    if let Some(flow) = &content.body_stream {
         // The body is sent in pieces as it arrives, instead of the empty one.
         command.truncate(command.len() - b"$0\r\n\r\n".len());
         command.extend_from_slice(format!("${}\r\n", flow.length()).as_bytes());
@@ -114,12 +114,12 @@
 
 /// Interprets an answer. An error means that it is not a valid answer, and nothing more on this connection can be
 /// trusted.
-fn outcome(value: Value) -> Result<Ended, String> {
+fn outcome(value: Value) -> Result<AttemptResult, String> {
     match value {
         Value::Array(Some(values)) if values.len() == ANSWER_ELEMENTS => {
             let mut values = values.into_iter();
             let Some(Value::Bulk(Some(value))) = values.next() else { return Err("missing value".into()) };
-            let mut ended = Ended { value, ..Ended::bare(Outcome::Served) };
+            let mut ended = AttemptResult { value, ..AttemptResult::without_reply(Outcome::Served) };
             // Anything else in place of the usage figures is ignored.
             if let Some(Value::Bulk(Some(figures))) = values.next() {
                 read_figures(&figures, &mut ended);
@@ -132,7 +132,7 @@
             if !known {
                 return Err("unknown error reply".into());
             }
-            let mut ended = Ended::bare(if busy { Outcome::Full } else { Outcome::Error });
+            let mut ended = AttemptResult::without_reply(if busy { Outcome::Full } else { Outcome::Error });
             line.split(|byte| *byte == b' ').for_each(|word| read_figures(word, &mut ended));
             Ok(ended)
         }
@@ -141,7 +141,7 @@
 }
 
 /// Reads usage figures such as `used=37,cost=4`; unknown names are ignored.
-fn read_figures(text: &[u8], ended: &mut Ended) {
+fn read_figures(text: &[u8], ended: &mut AttemptResult) {
     for pair in String::from_utf8_lossy(text).split(',') {
         let Some((name, figure)) = pair.split_once('=') else { continue };
         // Guards the usage estimates: a single absurd figure would distort all later ones.
--- a/src/target/resp/tests.rs
+++ b/src/target/resp/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn read(answer: &[u8]) -> Ended {
+fn read(answer: &[u8]) -> AttemptResult {
     outcome(resp::parse(answer).unwrap().unwrap().0).unwrap()
 }
 
@@ -9,15 +9,15 @@
     let served = read(b"*3\r\n$2\r\n\r\n\r\n$14\r\nused=37,cost=4\r\n$-1\r\n");
     assert_eq!((served.outcome, served.used, served.elsewhere), (Outcome::Served, Some(0.37), 4.0));
     assert_eq!(served.value, b"\r\n");
-    assert_eq!(read(b"*3\r\n$0\r\n\r\n$-1\r\n$-1\r\n"), Ended::bare(Outcome::Served));
+    assert_eq!(read(b"*3\r\n$0\r\n\r\n$-1\r\n$-1\r\n"), AttemptResult::without_reply(Outcome::Served));
     let failed = read(b"-ERR failed cost=2 inflight=7,util=0.6\r\n");
     assert_eq!((failed.outcome, failed.elsewhere), (Outcome::Error, 2.0));
-    assert_eq!(read(b"-BUSY\r\n"), Ended::bare(Outcome::Full));
+    assert_eq!(read(b"-BUSY\r\n"), AttemptResult::without_reply(Outcome::Full));
     // A figure or a report that cannot be read is ignored by itself.
     for unreadable in
         [&b"*3\r\n$0\r\n\r\n$14\r\nused=-3,cost=x\r\n$3\r\n!!!\r\n"[..], b"*3\r\n$0\r\n\r\n:7\r\n+x\r\n"]
     {
-        assert_eq!(read(unreadable), Ended::bare(Outcome::Served));
+        assert_eq!(read(unreadable), AttemptResult::without_reply(Outcome::Served));
     }
     for other in [
         &b"-BUSYGROUP\r\n"[..],
@@ -36,7 +36,7 @@
 
 #[test]
 fn a_long_answer_is_passed_on_in_pieces_and_read_to_its_end_for_any_split() {
-    let value: Vec<u8> = (0..LONG + 1).map(|at| at as u8).collect();
+    let value: Vec<u8> = (0..STREAM_THRESHOLD + 1).map(|at| at as u8).collect();
     let mut answer = b"*3\r\n".to_vec();
     resp::write_bulk(&mut answer, &value);
     answer.extend(b"$14\r\nused=37,cost=4\r\n$-1\r\n");
@@ -78,7 +78,7 @@
         id: "9b1f03aa5c7e2d41".into(),
         attributes: "c=write,k=5c".into(),
         body: b"\r\n".to_vec(),
-        flow: None,
+        body_stream: None,
         extent: None,
     };
     let arguments: [&[u8]; 5] =
--- a/src/upgrade/frame.rs
+++ b/src/upgrade/frame.rs
@@ -31,7 +31,7 @@
     /// An operator has drained the predecessor.
     pub drained: bool,
     /// Nodes, and targets that operators have taken out of service.
-    pub nodes: nodes::Carried,
+    pub nodes: nodes::SavedNodes,
     /// Version of the node list.
     pub list: Option<u64>,
     /// The scheduler's learned state, unless it is too large.
--- a/src/upgrade/tests.rs
+++ b/src/upgrade/tests.rs
@@ -120,7 +120,7 @@
     let events = [Event::List { kind: ListKind::Full, entries }, Event::Request(new)];
     scheduler.handle(now, &events, &mut Vec::new());
     let scheduler = Some(scheduler.hand_over(now));
-    let nodes = crate::nodes::tests::some().carry(Instant::now());
+    let nodes = crate::nodes::tests::populated().save(Instant::now());
     let file = include_str!("../../deploy/fleet.toml").replace("enabled = false", "enabled = true");
     let fleet = crate::fleet::settings::Settings::parse(&file).unwrap().unwrap();
     let fleet = crate::fleet::member::Member::new(fleet.parameters(now, 1), now).identity();
