--- a/src/planner/mod.rs
+++ b/src/planner/mod.rs
@@ -65,6 +65,6 @@
 
     /// The process before is gone, with what it had kept.
     pub fn take_all(&mut self, now: Instant) {
-        self.scheduler.take_all(self.clock.unix(now));
+        self.scheduler.reclaim_limits(self.clock.unix(now));
     }
 }
--- a/src/rules/carry/tests.rs
+++ b/src/rules/carry/tests.rs
@@ -114,7 +114,7 @@
                 prop_assert!(new.scheduler.take_over(old.scheduler.hand_over(now)));
             }
             if at == handed + apart {
-                new.scheduler.take_all(now);
+                new.scheduler.reclaim_limits(now);
             }
             if at >= handed {
                 new.step(now, vec![], f64::from(*ask));
@@ -141,12 +141,14 @@
     let (mut old, mut new) = (Scheduler::new(settings(), 1), Scheduler::new(settings(), 2));
     let cold = list(Some(now - Duration::from_secs(3)));
     old.handle(now, &[cold], &mut Vec::new());
-    old.nodes.change(NodeId(1), |node| node.cold = Store { level: -20.0, at: now }).unwrap();
+    old.nodes
+        .change(NodeId(1), |node| node.slow_start = TokenBucket { level: -20.0, updated_at: now })
+        .unwrap();
     assert!(new.take_over(old.hand_over(now)));
-    assert_eq!(new.nodes.get(NodeId(1)).unwrap().cold.level, -20.0);
+    assert_eq!(new.nodes.get(NodeId(1)).unwrap().slow_start.level, -20.0);
     let at = |scheduler: &Scheduler, now| {
         let node = scheduler.nodes.get(NodeId(1)).unwrap();
-        node.cold.clone().fill(now, scheduler.cold_rate(node), 0.0)
+        node.slow_start.clone().fill(now, scheduler.slow_start_rate(node), 0.0)
     };
     let later = now + Duration::from_secs(5);
     assert!(at(&old, later) < 0.0, "nothing for as long as it lives");
--- a/src/rules/classes.rs
+++ b/src/rules/classes.rs
@@ -14,7 +14,7 @@
 pub(super) struct ClassControl {
     /// Normalized bound and last ask.
     pub bound: f64,
-    pub ask: f64,
+    pub requested: f64,
     /// Performance and bound in slots of past intervals.
     pub history: VecDeque<(f64, f64)>,
     /// Sum of latencies and count of the answers of this interval.
@@ -33,7 +33,7 @@
     }
 
     /// Requirement estimator: the bound that meets the aim, near the last; without slope or answers the last.
-    pub fn ask(&mut self, total: f64, aim: Duration) {
+    pub fn update_request(&mut self, total: f64, aim: Duration) {
         let (sum, answers) = std::mem::take(&mut self.latency);
         if answers == 0.0 {
             return;
@@ -43,7 +43,7 @@
         self.history.drain(..self.history.len().saturating_sub(FIT_INTERVALS + 1));
         if let Some(slope) = self.refit() {
             let wanted = self.bound + (1.0 - performance) / (slope * total);
-            self.ask = wanted.clamp(self.bound - BOUND_STEP, self.bound + BOUND_STEP).clamp(0.0, 1.0);
+            self.requested = wanted.clamp(self.bound - BOUND_STEP, self.bound + BOUND_STEP).clamp(0.0, 1.0);
         }
     }
 
@@ -60,11 +60,11 @@
     /// Arbiter: asks that fit are granted and the spare dealt out by worth; else the errors are evened.
     pub(super) fn arbitrate(&mut self, total: f64) {
         let worths: Vec<f64> = self.settings.classes.iter().map(|class| class.worth.max(1e-9)).collect();
-        let asked: f64 = self.classes.iter().map(|class| class.ask).sum();
+        let asked: f64 = self.classes.iter().map(|class| class.requested).sum();
         if asked <= 1.0 {
             let all: f64 = worths.iter().sum();
             for (class, worth) in self.classes.iter_mut().zip(&worths) {
-                class.bound = class.ask + (1.0 - asked) * worth / all;
+                class.bound = class.requested + (1.0 - asked) * worth / all;
             }
             return;
         }
@@ -97,7 +97,7 @@
             for id in &usable {
                 self.nodes.change_figures(*id, |node| {
                     let part = if demand > 0.0 { node.demand[class] / demand } else { even };
-                    node.bounds[class] = ((control.bound * total * part).ceil() as usize).max(1);
+                    node.slots[class] = ((control.bound * total * part).ceil() as usize).max(1);
                 });
             }
         }
--- a/src/rules/final_answers.rs
+++ b/src/rules/final_answers.rs
@@ -47,68 +47,69 @@
 impl Scheduler {
     /// Final answers for queued requests that no value would reach in time, past half of theirs (ieb05fd), or
     /// too many.
-    pub(super) fn give_up(&mut self, actions: &mut Vec<Action>) {
-        if self.held.is_empty() {
+    pub(super) fn shed_requests(&mut self, actions: &mut Vec<Action>) {
+        if self.queue.is_empty() {
             return;
         }
-        let mut over = self.out_of_time();
+        let mut over = self.expired();
         let known: BTreeSet<RequestId> = over.iter().map(|(id, _)| *id).collect();
-        let too_many = self.too_many().into_iter().filter(|id| !known.contains(id));
+        let too_many = self.excess().into_iter().filter(|id| !known.contains(id));
         over.extend(too_many.map(|id| (id, Reason::TooManyQueued)));
         for (id, reason) in over {
             let Some(request) = self.requests.remove(&id) else { continue };
-            self.held.remove(request.lane(), id);
-            self.answer_no(&request, reason, actions);
-            self.leave_line(&request.new);
+            self.queue.remove(request.queue_key(), id);
+            self.deny(&request, reason, actions);
+            self.leave_key_queue(&request.spec);
         }
     }
 
-    fn out_of_time(&self) -> Vec<(RequestId, Reason)> {
-        let margin = self.look + self.settings.tick;
+    fn expired(&self) -> Vec<(RequestId, Reason)> {
+        let margin = self.check_interval + self.settings.tick;
         let mut over = Vec::new();
-        for (lane, requests) in self.held.lanes() {
+        for (lane, requests) in self.queue.by_key() {
             let quick = match lane {
-                Some(shard) => self.nodes.usable_of(shard).map(Node::quick_answer).min(),
-                None => self.nodes.quickest_answer(),
+                Some(shard) => self.nodes.usable_of(shard).map(Node::optimistic_latency).min(),
+                None => self.nodes.min_optimistic_latency(),
             };
             let quick = quick.unwrap_or_default().max(margin);
-            let due =
-                requests.iter().filter_map(|id| Some((*id, self.due(&self.requests[id], quick, margin)?)));
+            let due = requests
+                .iter()
+                .filter_map(|id| Some((*id, self.denial_reason(&self.requests[id], quick, margin)?)));
             over.extend(due);
         }
         over
     }
 
     /// Why a request is to be answered now, if it is.
-    fn due(&self, request: &Request, quick: Duration, margin: Duration) -> Option<Reason> {
-        let Request { new, taken, attempts, .. } = request;
-        if new.deadline <= self.now + quick {
+    fn denial_reason(&self, request: &Request, quick: Duration, margin: Duration) -> Option<Reason> {
+        let Request { spec, accepted_at, attempts, .. } = request;
+        if spec.deadline <= self.now + quick {
             return Some(Reason::NoTimeLeft);
         }
-        let half = (*taken + new.deadline) / 2;
+        let half = (*accepted_at + spec.deadline) / 2;
         (*attempts == 0 && half <= self.now + margin).then_some(Reason::HalfOfItsTime)
     }
 
     /// The deepest in need of what is queued beyond the most (r7b0367: clients with no connection left).
-    fn too_many(&self) -> Vec<RequestId> {
+    fn excess(&self) -> Vec<RequestId> {
         let most = self.settings.limits.max_queued.unwrap_or(usize::MAX);
-        if self.held.len() <= most {
+        if self.queue.len() <= most {
             return Vec::new();
         }
         let node = |shard: Option<u32>| match shard {
             Some(shard) => self.nodes.usable_of(shard).next(),
             None => self.nodes.first_usable(),
         };
-        let need = |it: &Request| node(it.new.shard).map_or(f64::MAX, |node| self.need(it, node));
-        let mut held: Vec<RequestId> = self.held.iter().collect();
+        let need = |it: &Request| node(it.spec.shard).map_or(f64::MAX, |node| self.cost(it, node));
+        let mut held: Vec<RequestId> = self.queue.iter().collect();
         held.sort_by_cached_key(|id| need(&self.requests[id]).to_bits());
         held.split_off(most)
     }
 
     /// Refuses a request where that is true to its effect, else fails it.
-    pub(super) fn answer_no(&mut self, request: &Request, reason: Reason, actions: &mut Vec<Action>) {
-        let id = request.new.id;
-        let effect = self.settings.classes[request.new.class].effect;
+    pub(super) fn deny(&mut self, request: &Request, reason: Reason, actions: &mut Vec<Action>) {
+        let id = request.spec.id;
+        let effect = self.settings.classes[request.spec.class].effect;
         let harmless = effect.allows_refusal(request.may_have_run.is_some());
         self.denials.count(reason);
         tracing::debug!(
--- a/src/rules/node_table.rs
+++ b/src/rules/node_table.rs
@@ -14,7 +14,7 @@
 
 /// Tables up to this size are checked after each call in debug builds.
 #[cfg(debug_assertions)]
-const MOST_CHECKED: usize = 32;
+const MAX_CHECKED_NODES: usize = 32;
 
 /// A floating-point number not below zero: its bits are in the order of its value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -38,7 +38,7 @@
 struct Keys {
     /// How long a request would wait there that is alone in its shard's queue.
     wait: Ordered,
-    quick_answer: Duration,
+    optimistic_latency: Duration,
     errors: Ordered,
 }
 
@@ -71,14 +71,14 @@
     /// Nodes that may get requests: ready ones, and the last of a shard in the grace of its drain.
     usable: BTreeSet<NodeId>,
     by_wait: BTreeSet<(Ordered, NodeId)>,
-    by_quick_answer: BTreeSet<(Duration, NodeId)>,
+    by_optimistic_latency: BTreeSet<(Duration, NodeId)>,
     by_errors: BTreeSet<(Ordered, NodeId)>,
     /// Nodes with attempts in flight.
     busy: BTreeSet<NodeId>,
     /// Ends of drains that lie ahead.
     drains: BTreeSet<(Duration, NodeId)>,
-    /// The tightest aim: what a node that never answered is taken to need.
-    aim: Duration,
+    /// The tightest latency_target: what a node that never answered is taken to need.
+    latency_target: Duration,
     now: Duration,
     visits: Cell<u64>,
 }
@@ -98,16 +98,16 @@
 }
 
 impl NodeTable {
-    /// An empty table; `aim` is the tightest one.
-    pub fn new(aim: Duration) -> Self {
-        NodeTable { aim, ..NodeTable::default() }
+    /// An empty table; `latency_target` is the tightest one.
+    pub fn new(latency_target: Duration) -> Self {
+        NodeTable { latency_target, ..NodeTable::default() }
     }
 
-    /// Makes all indexes anew: for another aim, or nodes that came from elsewhere.
-    pub fn rebuild(&mut self, aim: Duration, now: Duration) {
+    /// Makes all indexes anew: for another latency_target, or nodes that came from elsewhere.
+    pub fn rebuild(&mut self, latency_target: Duration, now: Duration) {
         let nodes = std::mem::take(&mut self.nodes);
         let visits = self.visits.clone();
-        *self = NodeTable { aim, now, visits, ..NodeTable::default() };
+        *self = NodeTable { latency_target, now, visits, ..NodeTable::default() };
         self.nodes = nodes;
         let ids: Vec<NodeId> = self.nodes.keys().copied().collect();
         ids.into_iter().for_each(|id| self.index(id));
@@ -159,7 +159,7 @@
 
     /// Removes the nodes that are gone and have nothing in flight.
     pub fn remove_gone(&mut self) {
-        let is_over = |node: &Node| node.entry.state == NodeState::Gone && node.out.is_empty();
+        let is_over = |node: &Node| node.entry.state == NodeState::Gone && node.in_flight.is_empty();
         let over: Vec<NodeId> =
             self.iter().filter(|node| is_over(node)).map(|node| node.entry.node).collect();
         for id in over {
@@ -171,13 +171,13 @@
     /// Nodes that may get requests, in the order of their ids. A walk over the fleet: for periodic work
     /// alone.
     pub fn usable(&self) -> impl Iterator<Item = &Node> {
-        self.usable.iter().map(|id| self.seen(id))
+        self.usable.iter().map(|id| self.visited(id))
     }
 
     /// Nodes of a shard that may get requests, in the order of their ids.
     pub fn usable_of(&self, shard: u32) -> impl Iterator<Item = &Node> {
         let nodes = self.shards.get(&shard).into_iter().flat_map(|shard| &shard.nodes);
-        nodes.filter(|id| self.usable.contains(id)).map(|id| self.seen(id))
+        nodes.filter(|id| self.usable.contains(id)).map(|id| self.visited(id))
     }
 
     /// Ids of a shard's nodes in any state.
@@ -187,7 +187,7 @@
 
     /// The usable node with the lowest id.
     pub fn first_usable(&self) -> Option<&Node> {
-        self.usable.first().map(|id| self.seen(id))
+        self.usable.first().map(|id| self.visited(id))
     }
 
     /// Nodes that may get requests beyond one that was reached, that with the shortest wait first: the wait
@@ -201,18 +201,18 @@
     }
 
     /// The quickest answer that any usable node is likely to give.
-    pub fn quickest_answer(&self) -> Option<Duration> {
-        self.by_quick_answer.first().map(|(answer, _)| *answer)
+    pub fn min_optimistic_latency(&self) -> Option<Duration> {
+        self.by_optimistic_latency.first().map(|(answer, _)| *answer)
     }
 
     /// The least share of errors of any usable node.
-    pub fn least_errors(&self) -> Option<f64> {
+    pub fn min_error_share(&self) -> Option<f64> {
         self.by_errors.first().map(|(errors, _)| errors.value())
     }
 
     /// Nodes with attempts in flight.
     pub fn busy(&self) -> impl Iterator<Item = &Node> {
-        self.busy.iter().map(|id| self.seen(id))
+        self.busy.iter().map(|id| self.visited(id))
     }
 
     /// Ids of the nodes with attempts in flight.
@@ -229,7 +229,7 @@
         self.visits.set(self.visits.get() + 1);
     }
 
-    fn seen(&self, id: &NodeId) -> &Node {
+    fn visited(&self, id: &NodeId) -> &Node {
         self.visit();
         &self.nodes[id]
     }
@@ -246,13 +246,13 @@
         if let Some((shard, ready)) = self.nodes.get(&id).map(|node| (node.entry.shard, node.is_ready())) {
             touched.extend(self.join_shard(id, shard, ready));
         }
-        self.place(id);
+        self.reindex(id);
         // The drains of a shard depend on whether another node of it is ready.
         touched.sort_unstable();
         touched.dedup();
         for shard in touched {
             let others: Vec<NodeId> = self.of_shard(shard).filter(|other| *other != id).collect();
-            others.into_iter().for_each(|other| self.place(other));
+            others.into_iter().for_each(|other| self.reindex(other));
         }
     }
 
@@ -283,16 +283,16 @@
         let is_last =
             drain_end.is_some() && self.shards.get(&node.entry.shard).is_none_or(|shard| shard.ready == 0);
         let keys = (node.is_ready() || is_last).then(|| Keys {
-            wait: Ordered::of(node.expected_wait(0, self.aim)),
-            quick_answer: node.quick_answer(),
-            errors: Ordered::of(node.errors),
+            wait: Ordered::of(node.expected_wait(0, self.latency_target)),
+            optimistic_latency: node.optimistic_latency(),
+            errors: Ordered::of(node.error_share),
         });
         let (shard, ready) = (node.entry.shard, node.is_ready());
-        Indexed { shard, ready, drain_end, busy: !node.out.is_empty(), keys }
+        Indexed { shard, ready, drain_end, busy: !node.in_flight.is_empty(), keys }
     }
 
     /// Puts a node where it belongs in all indexes but its shard's.
-    fn place(&mut self, id: NodeId) {
+    fn reindex(&mut self, id: NodeId) {
         let wanted = self.nodes.get(&id).map(|node| self.wanted(node));
         let before = self.indexed.get(&id).copied();
         if before == wanted {
@@ -322,7 +322,7 @@
         if let Some(keys) = before.keys {
             self.usable.remove(&id);
             self.by_wait.remove(&(keys.wait, id));
-            self.by_quick_answer.remove(&(keys.quick_answer, id));
+            self.by_optimistic_latency.remove(&(keys.optimistic_latency, id));
             self.by_errors.remove(&(keys.errors, id));
         }
     }
@@ -337,7 +337,7 @@
         if let Some(keys) = wanted.keys {
             self.usable.insert(id);
             self.by_wait.insert((keys.wait, id));
-            self.by_quick_answer.insert((keys.quick_answer, id));
+            self.by_optimistic_latency.insert((keys.optimistic_latency, id));
             self.by_errors.insert((keys.errors, id));
         }
     }
@@ -345,7 +345,7 @@
     /// In debug builds: whether small tables' indexes are what a walk over all nodes finds.
     pub fn check(&self) {
         #[cfg(debug_assertions)]
-        if self.nodes.len() <= MOST_CHECKED {
+        if self.nodes.len() <= MAX_CHECKED_NODES {
             self.check_all();
         }
     }
@@ -365,15 +365,17 @@
         let usable: Vec<&Node> = self.nodes.values().filter(is_usable).collect();
         let ids: Vec<NodeId> = usable.iter().map(|node| node.entry.node).collect();
         assert!(self.usable.iter().eq(&ids), "usable: {:?}, {ids:?} by a walk", self.usable);
-        let quickest = usable.iter().map(|node| node.quick_answer()).min();
-        assert_eq!(self.quickest_answer(), quickest, "the quickest answer");
-        let least = usable.iter().map(|node| node.errors).reduce(f64::min);
-        assert_eq!(self.least_errors(), least, "the least share of errors");
-        let mut waits: Vec<(Wait, NodeId)> =
-            usable.iter().map(|node| (Wait::of(node.expected_wait(0, self.aim)), node.entry.node)).collect();
+        let quickest = usable.iter().map(|node| node.optimistic_latency()).min();
+        assert_eq!(self.min_optimistic_latency(), quickest, "the quickest answer");
+        let least = usable.iter().map(|node| node.error_share).reduce(f64::min);
+        assert_eq!(self.min_error_share(), least, "the least share of errors");
+        let mut waits: Vec<(Wait, NodeId)> = usable
+            .iter()
+            .map(|node| (Wait::of(node.expected_wait(0, self.latency_target)), node.entry.node))
+            .collect();
         waits.sort_unstable();
         assert!(self.by_wait.iter().eq(&waits), "by wait: {:?}, {waits:?} by a walk", self.by_wait);
-        let busy = self.nodes.iter().filter(|(_, node)| !node.out.is_empty()).map(|(id, _)| id);
+        let busy = self.nodes.iter().filter(|(_, node)| !node.in_flight.is_empty()).map(|(id, _)| id);
         assert!(self.busy.iter().eq(busy), "busy: {:?}", self.busy);
         for (id, node) in &self.nodes {
             assert!(self.of_shard(node.entry.shard).any(|other| other == *id), "{id:?} in its shard");
--- a/src/rules/node_table/tests.rs
+++ b/src/rules/node_table/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::interface::{NodeEntry, RequestId};
-use crate::rules::node::Out;
+use crate::rules::node::InFlight;
 use proptest::prelude::*;
 
 const AIM: Duration = Duration::from_millis(400);
@@ -39,17 +39,17 @@
             let entry = NodeEntry { node: NodeId(node), shard, state, ..NodeEntry::default() };
             let drain_end = *now + Duration::from_millis(drain_ms);
             let new = || Node { entry: entry.clone(), ..Node::default() };
-            table.change_or_add(NodeId(node), new, |node| node.list(&entry, *now, drain_end, 0.0));
+            table.change_or_add(NodeId(node), new, |node| node.update(&entry, *now, drain_end, 0.0));
         }
         Operation::Send { node, request } => {
-            let out = Out { sent: *now, class: 0, units: 1.0 };
-            table.change(NodeId(node), |node| node.out.insert(RequestId(request), out));
+            let out = InFlight { sent: *now, class: 0, units: 1.0 };
+            table.change(NodeId(node), |node| node.in_flight.insert(RequestId(request), out));
         }
         Operation::Answer { node, request, latency_ms, errors } => {
             table.change(NodeId(node), |node| {
-                node.out.remove(&RequestId(request));
+                node.in_flight.remove(&RequestId(request));
                 let latency = Duration::from_millis(latency_ms);
-                (node.latency, node.errors) = (Some((latency, latency / 4)), errors);
+                (node.latency, node.error_share) = (Some((latency, latency / 4)), errors);
             });
         }
         Operation::Wait { ms } => {
--- a/src/rules/queue.rs
+++ b/src/rules/queue.rs
@@ -4,65 +4,65 @@
 use std::collections::BTreeMap;
 
 /// What a request waits for: the nodes of a shard, or for a new object any node.
-pub(super) type Lane = Option<u32>;
+pub(super) type QueueKey = Option<u32>;
 
-/// Queued requests, in the order they came into each lane.
+/// Queued requests, in the order they came into each key.
 #[derive(Default, Clone, serde::Serialize, serde::Deserialize)]
-#[serde(from = "BTreeMap<Lane, Vec<RequestId>>", into = "BTreeMap<Lane, Vec<RequestId>>")]
+#[serde(from = "BTreeMap<QueueKey, Vec<RequestId>>", into = "BTreeMap<QueueKey, Vec<RequestId>>")]
 pub(super) struct Queue {
-    /// No lane is empty.
-    lanes: BTreeMap<Lane, Vec<RequestId>>,
+    /// No key is empty.
+    requests: BTreeMap<QueueKey, Vec<RequestId>>,
     count: usize,
 }
 
-impl From<BTreeMap<Lane, Vec<RequestId>>> for Queue {
-    fn from(lanes: BTreeMap<Lane, Vec<RequestId>>) -> Self {
-        let count = lanes.values().map(Vec::len).sum();
-        Queue { lanes, count }
+impl From<BTreeMap<QueueKey, Vec<RequestId>>> for Queue {
+    fn from(requests: BTreeMap<QueueKey, Vec<RequestId>>) -> Self {
+        let count = requests.values().map(Vec::len).sum();
+        Queue { requests, count }
     }
 }
 
-impl From<Queue> for BTreeMap<Lane, Vec<RequestId>> {
+impl From<Queue> for BTreeMap<QueueKey, Vec<RequestId>> {
     fn from(queue: Queue) -> Self {
-        queue.lanes
+        queue.requests
     }
 }
 
 impl Queue {
-    pub fn push(&mut self, lane: Lane, id: RequestId) {
-        self.lanes.entry(lane).or_default().push(id);
+    pub fn push(&mut self, key: QueueKey, id: RequestId) {
+        self.requests.entry(key).or_default().push(id);
         self.count += 1;
     }
 
-    /// Takes a request out of its lane, if it is there.
-    pub fn remove(&mut self, lane: Lane, id: RequestId) {
-        let Some(requests) = self.lanes.get_mut(&lane) else { return };
-        let before = requests.len();
-        requests.retain(|other| *other != id);
-        self.count -= before - requests.len();
-        if requests.is_empty() {
-            self.lanes.remove(&lane);
+    /// Takes a request out of its key, if it is there.
+    pub fn remove(&mut self, key: QueueKey, id: RequestId) {
+        let Some(ids) = self.requests.get_mut(&key) else { return };
+        let before = ids.len();
+        ids.retain(|other| *other != id);
+        self.count -= before - ids.len();
+        if ids.is_empty() {
+            self.requests.remove(&key);
         }
     }
 
-    /// Requests queued in a lane.
-    pub fn lane(&self, lane: Lane) -> &[RequestId] {
-        self.lanes.get(&lane).map_or(&[], Vec::as_slice)
+    /// Requests queued in a key.
+    pub fn requests_for(&self, key: QueueKey) -> &[RequestId] {
+        self.requests.get(&key).map_or(&[], Vec::as_slice)
     }
 
-    /// The lanes with requests.
-    pub fn lanes(&self) -> impl Iterator<Item = (Lane, &[RequestId])> {
-        self.lanes.iter().map(|(lane, requests)| (*lane, requests.as_slice()))
+    /// The requests with requests.
+    pub fn by_key(&self) -> impl Iterator<Item = (QueueKey, &[RequestId])> {
+        self.requests.iter().map(|(key, ids)| (*key, ids.as_slice()))
     }
 
     /// The shards that requests wait for.
     pub fn shards(&self) -> impl Iterator<Item = u32> + '_ {
-        self.lanes.keys().filter_map(|lane| *lane)
+        self.requests.keys().filter_map(|key| *key)
     }
 
-    /// All queued requests, lane by lane.
+    /// All queued requests, key by key.
     pub fn iter(&self) -> impl Iterator<Item = RequestId> + '_ {
-        self.lanes.values().flatten().copied()
+        self.requests.values().flatten().copied()
     }
 
     pub fn is_empty(&self) -> bool {
--- a/src/rules/reconfigure.rs
+++ b/src/rules/reconfigure.rs
@@ -25,35 +25,35 @@
     /// the period of reported use), attempts, the wait that clients are asked for, and whether attempts are
     /// withdrawn. Nothing has changed then.
     pub fn reconfigure(&mut self, now: Duration, settings: Settings) -> Result<(), FixedSettings> {
-        if !keeps_what_is_fixed(&self.settings, &settings) {
+        if !differs_only_in_changeable(&self.settings, &settings) {
             return Err(FixedSettings);
         }
         let now = now.max(self.now);
         self.change_limits(now, &settings);
-        self.change_cold(now, &settings);
-        self.change_aims(&settings);
+        self.change_slow_start(now, &settings);
+        self.rescale_history(&settings);
         self.change_level(&settings);
         self.settings = settings;
-        self.look = look(&self.settings);
-        self.nodes.rebuild(tightest_aim(&self.settings), self.now);
-        self.volumes.values().for_each(|volume| volume.reckoned.set(None));
-        self.end_beyond_attempts(now);
+        self.check_interval = check_interval(&self.settings);
+        self.nodes.rebuild(min_latency_target(&self.settings), self.now);
+        self.volumes.values().for_each(|volume| volume.cached_demand.set(None));
+        self.expire_exhausted(now);
         Ok(())
     }
 
     /// A lowered burst caps at once. A limit that is new for a plan begins as that of a new volume.
     fn change_limits(&mut self, now: Duration, settings: &Settings) {
         for (id, volume) in &mut self.volumes {
-            let (terms, share) = (volume.terms, self.shares.get(id));
-            let before = limit_part(&self.settings, terms, share);
-            match (before, limit_part(settings, terms, share)) {
+            let (terms, share) = (volume.plan_and_initiators, self.limit_shares.get(id));
+            let before = limit_share(&self.settings, terms, share);
+            match (before, limit_share(settings, terms, share)) {
                 (Some(before), Some(after)) if before == after => {}
                 (Some((rate, burst)), after) => {
                     volume.limit.fill(now, rate, burst);
                     volume.limit.level = volume.limit.level.min(after.map_or(0.0, |(_, burst)| burst));
                 }
                 (None, _) => {
-                    let fresh = Volume::new(settings.plans.get(terms.0), terms.1, now, volume.place);
+                    let fresh = Volume::new(settings.plans.get(terms.0), terms.1, now, volume.position);
                     volume.limit = fresh.limit;
                 }
             }
@@ -62,20 +62,21 @@
 
     /// What a cold node was paid so far keeps its place in time: hosts take over a change together, and none
     /// may send because of it.
-    fn change_cold(&mut self, now: Duration, settings: &Settings) {
+    fn change_slow_start(&mut self, now: Duration, settings: &Settings) {
         if self.settings.units.slow_start_units == settings.units.slow_start_units {
             return;
         }
-        let rates: Vec<_> = self.nodes.iter().map(|node| (node.entry.node, self.cold_rate(node))).collect();
+        let rates: Vec<_> =
+            self.nodes.iter().map(|node| (node.entry.node, self.slow_start_rate(node))).collect();
         for (id, rate) in rates {
             self.nodes.change_figures(id, |node| {
-                node.cold.fill(now, rate, f64::INFINITY);
+                node.slow_start.fill(now, rate, f64::INFINITY);
             });
         }
     }
 
     /// Past performance is measured against the aim that is now in force.
-    fn change_aims(&mut self, settings: &Settings) {
+    fn rescale_history(&mut self, settings: &Settings) {
         let aims = self.settings.classes.iter().zip(&settings.classes);
         for (control, (old, new)) in
             self.classes.iter_mut().zip(aims).filter(|(_, (a, b))| a.latency_target != b.latency_target)
@@ -89,29 +90,29 @@
     fn change_level(&mut self, settings: &Settings) {
         let (old, new) = (top_level(&self.settings), top_level(settings));
         if old != new {
-            let below_top = (self.level - old).min(0.0);
-            self.level = (new + below_top).clamp(LEAST_LEVEL, new.max(LEAST_LEVEL));
+            let below_top = (self.admission_level - old).min(0.0);
+            self.admission_level = (new + below_top).clamp(MIN_LEVEL, new.max(MIN_LEVEL));
         }
     }
 
     /// Held requests that may have no further attempt now are answered at the next call, not at their
     /// deadline.
-    fn end_beyond_attempts(&mut self, now: Duration) {
+    fn expire_exhausted(&mut self, now: Duration) {
         let most = self.settings.limits.max_attempts;
-        for id in self.held.iter() {
+        for id in self.queue.iter() {
             let request = self.requests.get_mut(&id).filter(|request| request.attempts >= most);
-            request.into_iter().for_each(|request| request.new.deadline = request.new.deadline.min(now));
+            request.into_iter().for_each(|request| request.spec.deadline = request.spec.deadline.min(now));
         }
     }
 }
 
 /// Held requests are looked at again this often, and at each tick at the most.
-fn look(settings: &Settings) -> Duration {
-    tightest_aim(settings).div_f64(LOOKS_PER_AIM).max(settings.tick)
+fn check_interval(settings: &Settings) -> Duration {
+    min_latency_target(settings).div_f64(CHECKS_PER_TARGET).max(settings.tick)
 }
 
 /// Whether two settings differ only in what may change.
-fn keeps_what_is_fixed(old: &Settings, new: &Settings) -> bool {
+fn differs_only_in_changeable(old: &Settings, new: &Settings) -> bool {
     if old.classes.len() != new.classes.len() || old.plans.len() != new.plans.len() {
         return false;
     }
--- a/src/rules/reconfigure/tests.rs
+++ b/src/rules/reconfigure/tests.rs
@@ -331,7 +331,7 @@
         scheduler.nodes.change(NodeId(1), |node| node.blocked_until = blocked_until).unwrap();
         scheduler.handle(soon, &[failed], &mut Vec::new());
     }
-    assert_eq!(scheduler.held.iter().count(), 1);
+    assert_eq!(scheduler.queue.iter().count(), 1);
     let mut lowered = settings();
     lowered.limits.max_attempts = 1;
     scheduler.reconfigure(soon, lowered).unwrap();
@@ -348,41 +348,48 @@
     let mut scheduler = Scheduler::new(settings(), 1);
     scheduler.handle(START, &[list(Some(started))], &mut Vec::new());
     let mean = settings().units.mean;
-    let rate = scheduler.cold_rate(scheduler.nodes.get(NodeId(1)).unwrap());
+    let rate = scheduler.slow_start_rate(scheduler.nodes.get(NodeId(1)).unwrap());
     // Paid up, and past the place in time at which it was open last.
-    let paid_up = Store { level: mean - 1e-3, at: START };
-    scheduler.nodes.change(NodeId(1), |node| node.cold = paid_up).unwrap();
+    let paid_up = TokenBucket { level: mean - 1e-3, updated_at: START };
+    scheduler.nodes.change(NodeId(1), |node| node.slow_start = paid_up).unwrap();
     let mut changed = settings();
     changed.units.slow_start_units = 3.0;
     changed.rules.overload_window = settings().rules.overload_window;
     scheduler.reconfigure(START, changed).unwrap();
-    assert!(scheduler.nodes.get(NodeId(1)).unwrap().cold.level >= mean - 1e-3, "as it was, not capped");
-    let now = scheduler.cold_rate(scheduler.nodes.get(NodeId(1)).unwrap());
+    assert!(scheduler.nodes.get(NodeId(1)).unwrap().slow_start.level >= mean - 1e-3, "as it was, not capped");
+    let now = scheduler.slow_start_rate(scheduler.nodes.get(NodeId(1)).unwrap());
     assert!((rate - 10.0).abs() < 1e-9 && (now - 1.0).abs() < 1e-9, "{rate} then {now}");
     // What came in since it was looked at last came at the old rate.
     let earlier = START - Duration::from_millis(500);
-    scheduler.nodes.change(NodeId(1), |node| node.cold = Store { level: -3.0, at: earlier }).unwrap();
+    scheduler
+        .nodes
+        .change(NodeId(1), |node| node.slow_start = TokenBucket { level: -3.0, updated_at: earlier })
+        .unwrap();
     scheduler.reconfigure(START, settings()).unwrap();
-    let paid = scheduler.nodes.get(NodeId(1)).unwrap().cold.level;
+    let paid = scheduler.nodes.get(NodeId(1)).unwrap().slow_start.level;
     assert!((paid - (-3.0 + 0.5 * now)).abs() < 1e-9, "{paid}");
 }
 
 #[test]
 fn a_shifted_level_lets_what_is_worth_least_through_as_deep_as_before() {
     let mut scheduler = Scheduler::new(settings(), 1);
-    scheduler.level = 1.0;
+    scheduler.admission_level = 1.0;
     let mut halved = settings();
     halved.classes[0].worth /= 2.0;
     scheduler.reconfigure(START, halved.clone()).unwrap();
-    assert!((scheduler.level - 1.0 - 2f64.ln()).abs() < 1e-9, "{}", scheduler.level);
-    scheduler.level = top_level(&halved);
+    assert!((scheduler.admission_level - 1.0 - 2f64.ln()).abs() < 1e-9, "{}", scheduler.admission_level);
+    scheduler.admission_level = top_level(&halved);
     scheduler.reconfigure(START, settings()).unwrap();
-    assert!((scheduler.level - top_level(&settings())).abs() < 1e-9, "{}", scheduler.level);
-    scheduler.level = LEAST_LEVEL;
+    assert!(
+        (scheduler.admission_level - top_level(&settings())).abs() < 1e-9,
+        "{}",
+        scheduler.admission_level
+    );
+    scheduler.admission_level = MIN_LEVEL;
     let mut even = settings();
     even.classes[0].worth = 4.0;
     scheduler.reconfigure(START, even).unwrap();
-    assert_eq!(scheduler.level, LEAST_LEVEL);
+    assert_eq!(scheduler.admission_level, MIN_LEVEL);
 }
 
 #[test]
@@ -406,8 +413,8 @@
         volume.demand(start, scheduler.settings.units.largest)
     };
     let volume = scheduler.volumes.get_mut(&VolumeId(7)).unwrap();
-    volume.told = 20.0;
-    volume.reckoned.take();
+    volume.reported_rate = 20.0;
+    volume.cached_demand.take();
     let before = demand(&scheduler);
     let mut changed = settings();
     changed.units.largest = 4.0;
@@ -418,8 +425,8 @@
 #[test]
 fn a_lowered_burst_caps_at_once() {
     let (mut scheduler, start) = waiting(with_limit(Some(limit(20.0, 32.0, 0.0))), 0);
-    scheduler.volumes.insert(VolumeId(7), Volume { terms: (0, 1.0), ..Volume::default() });
-    scheduler.volumes.get_mut(&VolumeId(7)).unwrap().limit = Store { level: 30.0, at: start };
+    scheduler.volumes.insert(VolumeId(7), Volume { plan_and_initiators: (0, 1.0), ..Volume::default() });
+    scheduler.volumes.get_mut(&VolumeId(7)).unwrap().limit = TokenBucket { level: 30.0, updated_at: start };
     scheduler.reconfigure(start, with_limit(Some(limit(20.0, 9.0, 0.0)))).unwrap();
     assert_eq!(scheduler.volumes[&VolumeId(7)].limit.level, 9.0);
 }
--- a/src/rules/shard_rates.rs
+++ b/src/rules/shard_rates.rs
@@ -14,8 +14,8 @@
     /// Smoothed units a second, the intervals it is smoothed over, and units of this interval.
     rate: f64,
     intervals: f64,
-    served: f64,
-    at: Duration,
+    interval_units: f64,
+    listed_at: Duration,
 }
 
 /// The rates by shard, and their sum.
@@ -41,8 +41,8 @@
 
 impl ShardRates {
     /// A shard has served so many units, as a warm node would count them.
-    pub fn served(&mut self, shard: u32, units: f64) {
-        self.shards.entry(shard).or_default().served += units;
+    pub fn record(&mut self, shard: u32, units: f64) {
+        self.shards.entry(shard).or_default().interval_units += units;
     }
 
     /// Units a second of a shard, or of the mean one where that is more.
@@ -53,30 +53,30 @@
         self.shards.get(&shard).map_or(0.0, |shard| shard.rate).max(mean)
     }
 
-    /// An interval is over. What a node in slow start served is set against its warmth, and weighs less by
+    /// An interval is over. What a node in slow start served is set against its capacity_share, and weighs less by
     /// it: hosts' figures sum to what it serves. A figure stands while no node serves its shard.
     pub fn learn(&mut self, now: Duration, interval: Duration, nodes: &NodeTable, rules: &Rules) {
-        let mut warmths: FxHashMap<u32, f64> = FxHashMap::default();
+        let mut capacity_shares: FxHashMap<u32, f64> = FxHashMap::default();
         for node in nodes.iter() {
-            self.shards.entry(node.entry.shard).or_default().at = now;
+            self.shards.entry(node.entry.shard).or_default().listed_at = now;
             if node.is_ready() {
-                let warmest = warmths.entry(node.entry.shard).or_insert(f64::MIN);
-                *warmest = warmest.max(node.warmth(now, rules));
+                let warmest = capacity_shares.entry(node.entry.shard).or_insert(f64::MIN);
+                *warmest = warmest.max(node.capacity_share(now, rules));
             }
         }
         for (number, shard) in &mut self.shards {
-            let rate = std::mem::take(&mut shard.served) / interval.as_secs_f64();
-            if let Some(warmth) = warmths.get(number) {
-                shard.intervals = (shard.intervals + warmth).min(1.0 / SMOOTHING);
-                shard.rate += (rate - shard.rate) * warmth / shard.intervals;
+            let rate = std::mem::take(&mut shard.interval_units) / interval.as_secs_f64();
+            if let Some(capacity_share) = capacity_shares.get(number) {
+                shard.intervals = (shard.intervals + capacity_share).min(1.0 / SMOOTHING);
+                shard.rate += (rate - shard.rate) * capacity_share / shard.intervals;
             }
         }
         self.sum.set(None);
     }
 
     /// Forgets shards that no node was listed for since then.
-    pub fn forget_before(&mut self, oldest: Duration) {
-        self.shards.retain(|_, shard| shard.at > oldest);
+    pub fn prune(&mut self, oldest: Duration) {
+        self.shards.retain(|_, shard| shard.listed_at > oldest);
         self.sum.set(None);
     }
 
--- a/src/upgrade/tests.rs
+++ b/src/upgrade/tests.rs
@@ -133,5 +133,5 @@
     let digest = text
         .bytes()
         .fold(0xcbf29ce484222325u64, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x100000001b3));
-    assert_eq!((frame::SCHEMA, digest), (2, 2240926378307190713), "{text}");
+    assert_eq!((frame::SCHEMA, digest), (2, 5052447819864175174), "{text}");
 }
