--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,56 +1,56 @@
-//! What goes into the scheduler and what comes out of it: settings, events, actions and ids.
+//! Types at the scheduler's interface: its settings, the events that it handles, the actions that it returns, and ids.
 //!
-//! Times are what has passed since the origin of one clock that only moves forward. No type here decides anything.
+//! All times are durations since the origin of one monotonic clock. This module has no logic of its own.
 
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// One request of a client; never used twice while a scheduler lives.
+/// Identifies a client's request; not reused during a scheduler's lifetime.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestId(pub u64);
 
-/// One storage node. A machine that replaces it has another id, a restarted process the same.
+/// Identifies a storage node. A restarted process keeps its id; a replacement machine gets another one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct NodeId(pub u32);
 
-/// One volume, over all hosts.
+/// Identifies a volume, the same at all initiators.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct VolumeId(pub u64);
 
-/// Everything a scheduler is told at its start.
+/// The configuration of a scheduler.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Settings {
-    /// How many hosts work on these nodes, this one included.
+    /// Number of initiators that use these nodes, this one included.
     pub initiators: u32,
-    /// Shortest time between two calls of the scheduler.
+    /// Minimum time between two calls of the scheduler.
     pub tick: Duration,
-    /// The node list has to be asked for; otherwise its changes come by themselves.
+    /// The node list has to be requested; otherwise its changes are pushed.
     pub list_on_request: bool,
-    /// The request classes; requests name them by position.
+    /// The request classes; requests refer to them by index.
     pub classes: Vec<Class>,
-    /// The plans of volumes; requests name them by position.
+    /// The plans of volumes; requests refer to them by index.
     pub plans: Vec<Plan>,
-    /// How units count.
+    /// Size and worth of units.
     pub units: Units,
-    /// The figures of the rules.
+    /// Parameters of the rules that the scheduler keeps.
     pub rules: Rules,
-    /// What the deployment permits.
+    /// Limits set by the deployment.
     pub limits: Limits,
 }
 
 /// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Effect {
-    /// It may.
+    /// It may be repeated at any node.
     Safe,
-    /// Nodes of one group drop its repeats for a while.
+    /// It may be repeated within [`Class::dedup_window`], at nodes that drop each other's repeats.
     Keyed(DedupScope),
-    /// It may not.
+    /// It must not be repeated once it may have run.
     Unsafe,
 }
 
 impl Effect {
-    /// Whether a request may be refused, so that its client asks again, where it may or may not have run.
+    /// Whether a request may be refused, which lets its client retry it, given whether it may have run.
     pub fn allows_refusal(self, may_have_run: bool) -> bool {
         match self {
             Effect::Safe | Effect::Keyed(DedupScope::All) => true,
@@ -59,61 +59,61 @@
     }
 }
 
-/// The nodes that drop each other's repeats of a keyed request.
+/// The set of nodes that drop each other's repeats of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DedupScope {
     /// All nodes.
     All,
     /// The nodes of one zone.
     Zone,
-    /// The nodes that hold one shard.
+    /// The nodes that store one shard.
     Shard,
 }
 
-/// A class of requests.
+/// A class of requests, with its targets and its worth.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Class {
     /// An answer within this time has its full worth.
     pub latency_target: Duration,
-    /// The longest a client waits, over all its tries.
+    /// The longest time a client waits, over all its tries.
     pub deadline: Duration,
-    /// Worth of a mean request answered within the aim.
+    /// Worth of a mean request that is answered within the latency target.
     pub worth: f64,
-    /// Part of the worth that a later answer keeps.
+    /// Share of the worth that a later answer keeps.
     pub late_worth: f64,
-    /// Whether it may run again.
+    /// Whether its requests may run more than once.
     pub effect: Effect,
-    /// How long repeats of a keyed request are dropped.
+    /// How long nodes drop repeats of a keyed request, from its first attempt on.
     pub dedup_window: Duration,
-    /// Requests with one key run in turn.
+    /// Requests with the same key run one after another.
     pub in_order: bool,
 }
 
-/// A plan that volumes stand on; figures are per volume over all hosts and nodes.
+/// A service plan of volumes; its figures are per volume, over all initiators and nodes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Plan {
-    /// Units a second at full worth.
+    /// Units a second that count at full worth.
     pub reserve: f64,
-    /// The limit, where the plan has one.
+    /// The rate limit, if the plan has one.
     pub limit: Option<Limit>,
-    /// Weight in the sharing of what the reserves leave.
+    /// Weight in the weighted fair share of the capacity beyond all reserves.
     pub weight: f64,
-    /// Factor on the class worth.
+    /// Factor on the worth of a request's class.
     pub worth_factor: f64,
 }
 
-/// A limit on what all hosts send for a volume.
+/// A token bucket that limits what all initiators together send for a volume.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Limit {
     /// Units a second.
     pub rate: f64,
-    /// Units that may be sent at once.
+    /// Units that may be sent at once: the bucket's capacity.
     pub burst: f64,
-    /// Units by which the store may be overdrawn.
+    /// Units by which the bucket may be overdrawn.
     pub overdraft: f64,
 }
 
-/// How the units of requests count.
+/// Size and worth of units, in which the work of requests is counted.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Units {
     /// Units of a mean request.
@@ -124,146 +124,146 @@
     pub share_worth: f64,
     /// Worth of units beyond both.
     pub spare_worth: f64,
-    /// Units that a cold node bears from all hosts within [`Rules::overload_window`].
+    /// Units from all initiators that a node in slow start takes in any case within [`Rules::overload_window`].
     pub slow_start_units: f64,
-    /// Period of the use that answers report; 0: none is reported.
+    /// Period over which answers report a volume's usage; 0: not reported.
     pub usage_period: Duration,
-    /// Units a second that a volume is sized for, by plan: the unit of reported use.
+    /// Units a second that a volume is sized for, by plan: the unit of reported usage.
     pub base_rates: Vec<f64>,
 }
 
-/// The figures of the rules.
+/// Parameters of the rules that the scheduler keeps.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Rules {
-    /// How long after a deadline a final answer still counts.
+    /// How long after a deadline a final answer is still accepted.
     pub answer_grace: Duration,
-    /// Sends to a draining node must end this long after its drain was told.
+    /// Sends to a draining node must end this long after its drain was announced.
     pub drain_grace: Duration,
-    /// Part of its capacity that a cold node has at least.
+    /// Share of its full capacity that a node has at the begin of its slow start.
     pub slow_start_min_share: f64,
-    /// A cold node is warm after this time at the latest.
+    /// Time from a node's start until it has its full capacity.
     pub slow_start_time: Duration,
-    /// A cold node falls when sent more than this multiple of its present capacity ...
+    /// A node in slow start fails when it is sent more than this multiple of its present capacity ...
     pub overload_factor: f64,
-    /// ... for this long.
+    /// ... over this time.
     pub overload_window: Duration,
-    /// Rest of a key after an attempt that may still run.
+    /// How long a key's next request waits after an attempt that may still be running.
     pub key_settle_time: Duration,
-    /// Budget of further attempts, where one is stated.
+    /// The retry budget, if there is one.
     pub retry_budget: Option<RetryBudget>,
 }
 
-/// Budget of attempts beyond each request's first, per host.
+/// Limits retries, that is attempts after a request's first, per initiator.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RetryBudget {
-    /// Attempts allowed in any case.
+    /// Retries that are always allowed within a window.
     pub min_retries: f64,
-    /// Attempts allowed per request taken.
+    /// Further retries for each request accepted within the window.
     pub retry_ratio: f64,
-    /// Window over which both are counted.
+    /// The sliding window over which both are counted.
     pub window: Duration,
 }
 
-/// What the deployment permits.
+/// Limits set by the deployment.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Limits {
-    /// Attempts per request.
+    /// Maximum number of attempts per request.
     pub max_attempts: u32,
-    /// A connection not made within this time has failed.
+    /// A connection that is not established within this time has failed.
     pub connect_timeout: Duration,
-    /// The longest wait that a client can be asked for; 0: none.
+    /// The longest retry-after time that may be sent to a client; 0: none is sent.
     pub max_retry_after: Duration,
-    /// Attempts may be withdrawn.
+    /// Attempts in flight may be cancelled.
     pub allow_cancel: bool,
-    /// Requests that may wait here at a time, where that is limited.
+    /// Maximum number of queued requests, if limited.
     pub max_queued: Option<usize>,
 }
 
-/// State of a node in the list.
+/// State of a node in the node list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum NodeState {
-    /// Takes work.
+    /// It takes requests.
     #[default]
     Ready,
-    /// Finishes its work and is to get no more.
+    /// It finishes its requests and is to get no more.
     Draining,
-    /// Removed.
+    /// It was removed from the list.
     Gone,
 }
 
-/// One line of the node list.
+/// One entry of the node list.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct NodeEntry {
     /// The node.
     pub node: NodeId,
-    /// The shard it holds.
+    /// The shard that it stores.
     pub shard: u32,
-    /// The zone it is in.
+    /// The zone that it is in.
     pub zone: u32,
-    /// When its process started; none: long ago.
+    /// When its process started; `None`: before its slow start would matter.
     pub started: Option<Duration>,
     /// Its state.
     pub state: NodeState,
-    /// It gets no new objects, only what its shard holds.
+    /// It gets no new objects, only requests for its shard.
     pub no_new_objects: bool,
 }
 
-/// What a message of the node list holds.
+/// What a node-list message contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ListKind {
-    /// The whole list as it was when this host last had it.
+    /// The whole list as this initiator last received it.
     Cached,
     /// The whole list.
     Full,
-    /// Changed lines only.
+    /// Only the changed entries.
     Delta,
-    /// A call failed or a subscription broke; the old list stands.
+    /// A request for the list failed or a subscription ended; the previous list stays in use.
     Failed,
 }
 
-/// A request as it is taken.
+/// A client's request.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct NewRequest {
     /// Its id.
     pub id: RequestId,
-    /// Its class, by position in the settings.
+    /// Its class, as an index into the settings.
     pub class: usize,
-    /// Its volume's plan, by position in the settings.
+    /// Its volume's plan, as an index into the settings.
     pub plan: usize,
     /// Its volume.
     pub volume: VolumeId,
-    /// The piece of data; 0: none.
+    /// Identifies the object that it reads or writes; 0: none.
     pub key: u64,
     /// When its client stops waiting.
     pub deadline: Duration,
-    /// Its size.
+    /// Its size in units.
     pub units: f64,
-    /// The shard that holds its data; `None`: a new object, which any node may take.
+    /// The shard that stores its object; `None`: a new object, which any node may take.
     pub shard: Option<u32>,
-    /// How many hosts the volume's requests come through.
+    /// Number of initiators that the volume's requests arrive through.
     pub volume_initiators: f64,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// Served.
+    /// The node served it.
     Served,
-    /// The node gave an error; the request may have run.
+    /// The node answered with an error; the request may have run.
     Error,
-    /// Turned away unseen.
+    /// The node had no capacity and rejected it unprocessed.
     Rejected,
-    /// No answer in time; it may have run or still run.
+    /// There was no answer in time; it may have run or still be running.
     TimedOut,
-    /// No connection; it did not run.
+    /// There was no connection; it did not run.
     NotConnected,
     /// The connection broke; it may have run.
     Reset,
-    /// Withdrawn; it may have run.
+    /// It was cancelled; it may have run.
     Cancelled,
-    /// Never sent.
+    /// It was not sent, because the request had ended before.
     NotSent,
-    /// A code that is not known here; it may have run.
+    /// An unknown result code; it may have run.
     Unknown,
 }
 
@@ -272,98 +272,98 @@
 pub struct AttemptEnd {
     /// The request.
     pub id: RequestId,
-    /// The number of the attempt, from 0.
+    /// The number of the attempt, counted from 0.
     pub attempt: u32,
     /// The node it went to.
     pub node: NodeId,
     /// How it ended.
     pub outcome: Outcome,
-    /// The request is finished.
+    /// The request has its final answer.
     pub finished: bool,
     /// Time from the send to this outcome.
     pub latency: Duration,
-    /// Use of the volume over all hosts in a past period, as a multiple of its rate.
+    /// The volume's usage over all initiators in a past period, as a multiple of its plan's base rate.
     pub volume_usage: Option<f64>,
-    /// Units this shard served for the volume through other hosts since its last answer.
+    /// Units that the shard served for the volume through other initiators since its last answer to this one.
     pub served_elsewhere: f64,
 }
 
-/// What a host sees.
+/// What the scheduler is notified of.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Event {
-    /// News of the node list.
+    /// A node-list message.
     List {
-        /// What the message holds.
+        /// What the message contains.
         kind: ListKind,
-        /// Its lines.
+        /// Its entries.
         entries: Vec<NodeEntry>,
     },
-    /// A client's request.
+    /// A client's request arrived.
     Request(NewRequest),
     /// An attempt ended.
     AttemptEnded(AttemptEnd),
-    /// A streamed answer has begun; the attempt is the client's from here on.
+    /// A streamed answer has begun; the attempt stays bound to the client from here on.
     StreamStarted {
         /// The request.
         id: RequestId,
     },
-    /// The client no longer waits; the request is finished.
+    /// The client is gone; the request needs no answer.
     ClientGone {
         /// The request.
         id: RequestId,
     },
-    /// What this host may use of what hosts share, where that is not the even part.
+    /// This initiator's shares of limits, where planners assign others than equal ones.
     Shares {
-        /// Parts of volumes' limits; none: the even part again.
+        /// Shares of volumes' limits; `None`: the equal share again.
         limits: Vec<(VolumeId, Option<f64>)>,
-        /// Parts of what cold nodes bear, likewise.
+        /// Shares of what nodes in slow start may be sent, likewise.
         slow_start: Vec<(NodeId, Option<f64>)>,
     },
-    /// This host was kept from its work: for so long at most, what it learns now has waited here. Stands until the
-    /// next.
+    /// The event loop was delayed: events may have been waiting here for up to this time. Holds until the next such
+    /// event.
     LoopDelayed {
-        /// For how long.
+        /// Upper bound of the delay.
         by: Duration,
     },
-    /// A wake-up that was asked for.
+    /// A requested wake-up.
     Wake,
 }
 
-/// What a host is to do, in the order given.
+/// What the initiator is to do, in the order given.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Action {
     /// Start an attempt.
     Send {
         /// The request.
         id: RequestId,
-        /// Where to.
+        /// The node to send it to.
         node: NodeId,
-        /// When the attempt is given up.
+        /// When the attempt times out.
         give_up_at: Duration,
-        /// Its last byte goes out by then, or none does: the rules allow no later beginning.
+        /// The request must be written completely by then, or not at all: a later start would break a rule.
         begin_by: Duration,
     },
-    /// Final answer: no, and trying again does no harm.
+    /// Final answer: refused; the client may safely retry.
     Refuse {
         /// The request.
         id: RequestId,
-        /// How long the client should stay away; 0: not said.
+        /// How long the client should wait before it retries; 0: not stated.
         retry_after: Duration,
     },
-    /// Final answer: failed, with no promise as to its effect.
+    /// Final answer: failed; the request may or may not have run.
     Fail {
         /// The request.
         id: RequestId,
     },
-    /// Withdraw an attempt.
+    /// Cancel an attempt in flight.
     Cancel {
         /// The request.
         id: RequestId,
         /// The number of the attempt.
         attempt: u32,
     },
-    /// Call again at this time.
+    /// Call the scheduler again at this time.
     WakeAt(Duration),
-    /// Ask for the node list's changes from now on.
+    /// Request the node list and its changes from now on.
     Subscribe,
 }
