--- a/src/rules/dispatch.rs
+++ b/src/rules/dispatch.rs
@@ -1,6 +1,6 @@
-//! Which queued request goes to which node next.
+//! Dispatch: which queued request goes to which node next.
 
-use super::node::{InFlight, Node, EXCESS_ERROR_SHARE};
+use super::node::{InFlight, Node, EXCESS_ERRORS};
 use super::node_table::Wait;
 use super::{min_latency_target, Request, Scheduler};
 use crate::interface::*;
@@ -8,32 +8,33 @@
 use std::iter::Peekable;
 use std::vec::IntoIter;
 
-/// Nodes that new objects are offered to in one call, those with the shortest wait first. Bounds what a call
-/// costs in a large fleet: whoever refuses here is asked again at the next call.
+/// Maximum number of nodes that new objects are offered to in one call, the shortest expected wait first. It
+/// bounds the cost of a call in a large fleet; a node passed over is considered again in the next call.
 const MAX_OFFERED_NODES: usize = 256;
 
-/// The nodes that queued requests may go to, the shortest wait first, as of the beginning of a call.
+/// The nodes that queued requests may go to, by expected wait as of the beginning of a call, shortest first.
 struct Offers {
     /// Nodes with requests queued for their own shard.
     of_shards: Peekable<IntoIter<(Wait, NodeId)>>,
-    /// How far the others were gone through, for new objects.
+    /// Position in the iteration over the other nodes, which new objects may go to.
     position: Option<(Wait, NodeId)>,
-    /// Nodes that come up no more among the others.
+    /// Nodes that this iteration skips.
     visited: FxHashSet<NodeId>,
-    /// How many of the others may still be looked at.
+    /// Number of the other nodes that may still be visited.
     remaining: usize,
 }
 
 impl Scheduler {
-    /// Fills nodes with work, the shortest wait first, so that none waits behind one that is silent or slow.
+    /// Sends queued requests to nodes, the one with the shortest expected wait first, so that no node waits
+    /// behind a silent or slow one.
     pub(super) fn dispatch(&mut self, actions: &mut Vec<Action>) {
         if self.queue.is_empty() {
             return;
         }
-        let least = self.nodes.min_error_share().unwrap_or(1.0).min(1.0);
+        let min_errors = self.nodes.min_error_share().unwrap_or(1.0).min(1.0);
         let mut offers = self.offers();
         while let Some(id) = self.next_offer(&mut offers) {
-            while let Some(request) = self.choose(id, least) {
+            while let Some(request) = self.choose(id, min_errors) {
                 self.send(request, id, actions);
             }
         }
@@ -57,92 +58,95 @@
         }
     }
 
-    /// The node to fill next.
+    /// The node to send requests to next.
     fn next_offer(&self, offers: &mut Offers) -> Option<NodeId> {
-        let other = self.next_other(offers);
+        let other = self.next_for_new_objects(offers);
         let of_shard = offers.of_shards.peek().copied();
         match (of_shard, other) {
-            (Some(of_shard), Some(other)) if other < of_shard => self.pass(offers, other),
+            (Some(of_shard), Some(other)) if other < of_shard => self.visit(offers, other),
             (Some(_), _) => offers.of_shards.next().map(|(_, id)| id),
-            (None, Some(other)) => self.pass(offers, other),
+            (None, Some(other)) => self.visit(offers, other),
             (None, None) => None,
         }
     }
 
-    /// The next node that has no request queued for its shard, while new objects are queued.
-    fn next_other(&self, offers: &Offers) -> Option<(Wait, NodeId)> {
+    /// The next node without requests queued for its shard, while new objects are queued.
+    fn next_for_new_objects(&self, offers: &Offers) -> Option<(Wait, NodeId)> {
         if offers.remaining == 0 || self.queue.requests_for(None).is_empty() {
             return None;
         }
         self.nodes.by_wait_after(offers.position).find(|(_, id)| !offers.visited.contains(id))
     }
 
-    fn pass(&self, offers: &mut Offers, other: (Wait, NodeId)) -> Option<NodeId> {
+    fn visit(&self, offers: &mut Offers, other: (Wait, NodeId)) -> Option<NodeId> {
         offers.remaining -= 1;
         offers.position = Some(other);
-        // One that was sent a request comes up again further on.
+        // A node that was sent a request reappears later in the iteration, as its expected wait has grown.
         offers.visited.insert(other.1);
         Some(other.1)
     }
 
-    /// The request to send to a node next: by need, classes below their bound first (unused slots are lent).
-    fn choose(&self, id: NodeId, least: f64) -> Option<RequestId> {
+    /// The request to send to a node next: classes with free slots first (unused slots are lent to others),
+    /// then the lowest cost.
+    fn choose(&self, id: NodeId, min_errors: f64) -> Option<RequestId> {
         let node = self.nodes.get(id)?;
         if self.now < node.blocked_until || !self.has_capacity(node) {
             return None;
         }
-        let level = self.max_cost(node);
+        let max_cost = self.max_cost(node);
         let rank = |id: &RequestId| {
-            let (request, need) = (&self.requests[id], self.cost(&self.requests[id], node));
-            let waits_for_level = need > level && !(request.attempts > 0 && self.is_only_open_request());
-            if waits_for_level || !self.permitted(request, node) {
+            let (request, cost) = (&self.requests[id], self.cost(&self.requests[id], node));
+            let is_above_level = cost > max_cost && !(request.attempts > 0 && self.is_only_open_request());
+            if is_above_level || !self.permitted(request, node) {
                 return None;
             }
-            let out = node.in_flight.values().filter(|out| out.class == request.spec.class).count();
-            Some((out < node.slots[request.spec.class], -need, *id))
+            let in_flight =
+                node.in_flight.values().filter(|attempt| attempt.class == request.spec.class).count();
+            Some((in_flight < node.slots[request.spec.class], -cost, *id))
         };
-        // A node that leaves gets no new objects, nor does one that answers with errors, however quickly.
-        let fixed =
-            node.entry.no_new_objects || !node.is_ready() || node.error_share > least + EXCESS_ERROR_SHARE;
-        let lanes = [Some(node.entry.shard), None].into_iter().take(2 - usize::from(fixed));
-        let best = lanes.flat_map(|lane| self.queue.requests_for(lane)).filter_map(rank);
+        // Draining nodes get no new objects, nor do nodes with many errors, however quickly they answer.
+        let no_new_objects =
+            node.entry.no_new_objects || !node.is_ready() || node.error_share > min_errors + EXCESS_ERRORS;
+        let keys = [Some(node.entry.shard), None].into_iter().take(2 - usize::from(no_new_objects));
+        let best = keys.flat_map(|key| self.queue.requests_for(key)).filter_map(rank);
         best.max_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)).then(b.2.cmp(&a.2))).map(|best| best.2)
     }
 
-    /// Whether no attempt is out and a single request is queued. Levels move with answers alone: one that was
-    /// tried already, and whose answer was lost, would wait for all of its time beside an idle node.
+    /// Whether a single request is queued and no attempt is in flight. Levels change only with answers: a
+    /// request whose first answer was lost would otherwise wait until its deadline beside an idle node.
     fn is_only_open_request(&self) -> bool {
         self.queue.len() == 1 && self.nodes.busy().next().is_none()
     }
 
     fn send(&mut self, id: RequestId, node_id: NodeId, actions: &mut Vec<Action>) {
-        let Some(lane) = self.requests.get(&id).map(Request::queue_key) else { return };
+        let Some(key) = self.requests.get(&id).map(Request::queue_key) else { return };
         let Some(node) = self.nodes.get(node_id) else { return };
         let slow_start_rate = self.slow_start_rate(node);
-        self.queue.remove(lane, id);
+        self.queue.remove(key, id);
         let limit = self.limit_share(&self.requests[&id]);
         let Some(request) = self.requests.get_mut(&id) else { return };
-        let new = &request.spec;
-        let (class, ran) = (&self.settings.classes[new.class], request.may_have_run);
-        let window =
-            ran.filter(|_| matches!(class.effect, Effect::Keyed(_))).map(|ran| ran.2 + class.dedup_window);
-        let begin_by = window.map_or(new.deadline, |end| end.min(new.deadline));
-        if let (Some((rate, burst)), Some(volume)) = (limit, self.volumes.get_mut(&new.volume)) {
+        let spec = &request.spec;
+        let (class, may_have_run) = (&self.settings.classes[spec.class], request.may_have_run);
+        let window = may_have_run
+            .filter(|_| matches!(class.effect, Effect::Keyed(_)))
+            .map(|may_have_run| may_have_run.2 + class.dedup_window);
+        let begin_by = window.map_or(spec.deadline, |end| end.min(spec.deadline));
+        if let (Some((rate, burst)), Some(volume)) = (limit, self.volumes.get_mut(&spec.volume)) {
             volume.limit.fill(self.now, rate, burst);
-            volume.limit.level -= new.units;
+            volume.limit.level -= spec.units;
         }
         self.retry_times.extend((request.attempts > 0).then_some(self.now));
-        self.key_queues.entry(new.key).and_modify(|line| line.last_attempted = Some(id));
+        self.key_queues.entry(spec.key).and_modify(|queue| queue.last_attempted = Some(id));
         let (now, rules) = (self.now, &self.settings.rules);
         self.nodes.change(node_id, |node| {
             if node.slow_start_end(rules) > now {
                 node.slow_start.fill(now, slow_start_rate, 0.0);
-                node.slow_start.level -= new.units;
+                node.slow_start.level -= spec.units;
             }
-            node.in_flight.insert(id, InFlight { sent: now, class: new.class, units: new.units });
-            node.last_key = new.key;
+            node.in_flight.insert(id, InFlight { sent: now, class: spec.class, units: spec.units });
+            node.last_key = spec.key;
         });
-        let give_up_at = new.deadline;
+        let give_up_at = spec.deadline;
         (request.attempts, request.streaming) = (request.attempts + 1, false);
         request.in_flight = Some((node_id, now));
         actions.push(Action::Send { id, node: node_id, give_up_at, begin_by });
--- a/src/rules/final_answers.rs
+++ b/src/rules/final_answers.rs
@@ -1,5 +1,5 @@
-//! Final answers that no node gives: requests that no value would reach in time, that are too many, or that
-//! may not be tried again.
+//! Denials: final answers that the scheduler gives instead of a node, to requests that can no longer be
+//! served in time, that exceed the queue's limit, or that must not be sent again.
 
 use super::node::Node;
 use super::{Request, Scheduler};
@@ -7,29 +7,29 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Why a request is answered with no.
+/// Why a request is denied. The names appear in logs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Reason {
-    /// No value would reach its client in time any more.
+    /// It can no longer be served before its deadline.
     NoTimeLeft,
-    /// Half of its time has passed without an attempt.
+    /// Half of the time to its deadline has passed without an attempt.
     HalfOfItsTime,
-    /// More requests are queued than may be, and others are needed more.
+    /// The queue exceeds its limit, and the other requests have a lower cost.
     TooManyQueued,
-    /// It may have no further attempt.
+    /// It must not be sent again.
     NotRepeatable,
 }
 
-/// Answers with no so far, by reason.
+/// Number of denied requests so far, by reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Denials {
-    /// No value would have reached the client in time.
+    /// They could no longer be served before their deadline.
     pub no_time_left: u64,
-    /// Half of the client's time had passed without an attempt.
+    /// Half of the time to their deadline had passed without an attempt.
     pub half_of_time: u64,
-    /// More requests were queued than may be.
+    /// The queue exceeded its limit.
     pub too_many_queued: u64,
-    /// The request might have no further attempt.
+    /// They must not be sent again.
     pub not_repeatable: u64,
 }
 
@@ -45,17 +45,17 @@
 }
 
 impl Scheduler {
-    /// Final answers for queued requests that no value would reach in time, past half of theirs (ieb05fd), or
-    /// too many.
+    /// Denies queued requests that can no longer be served in time, that had no attempt in half of their time
+    /// (issue ieb05fd), or that exceed the queue's limit.
     pub(super) fn shed_requests(&mut self, actions: &mut Vec<Action>) {
         if self.queue.is_empty() {
             return;
         }
-        let mut over = self.expired();
-        let known: BTreeSet<RequestId> = over.iter().map(|(id, _)| *id).collect();
-        let too_many = self.excess().into_iter().filter(|id| !known.contains(id));
-        over.extend(too_many.map(|id| (id, Reason::TooManyQueued)));
-        for (id, reason) in over {
+        let mut denied = self.expired();
+        let expired: BTreeSet<RequestId> = denied.iter().map(|(id, _)| *id).collect();
+        let excess = self.excess().into_iter().filter(|id| !expired.contains(id));
+        denied.extend(excess.map(|id| (id, Reason::TooManyQueued)));
+        for (id, reason) in denied {
             let Some(request) = self.requests.remove(&id) else { continue };
             self.queue.remove(request.queue_key(), id);
             self.deny(&request, reason, actions);
@@ -65,61 +65,62 @@
 
     fn expired(&self) -> Vec<(RequestId, Reason)> {
         let margin = self.check_interval + self.settings.tick;
-        let mut over = Vec::new();
-        for (lane, requests) in self.queue.by_key() {
-            let quick = match lane {
+        let mut expired = Vec::new();
+        for (key, requests) in self.queue.by_key() {
+            let min_latency = match key {
                 Some(shard) => self.nodes.usable_of(shard).map(Node::optimistic_latency).min(),
                 None => self.nodes.min_optimistic_latency(),
             };
-            let quick = quick.unwrap_or_default().max(margin);
-            let due = requests
+            let min_latency = min_latency.unwrap_or_default().max(margin);
+            let denied = requests
                 .iter()
-                .filter_map(|id| Some((*id, self.denial_reason(&self.requests[id], quick, margin)?)));
-            over.extend(due);
+                .filter_map(|id| Some((*id, self.denial_reason(&self.requests[id], min_latency, margin)?)));
+            expired.extend(denied);
         }
-        over
+        expired
     }
 
-    /// Why a request is to be answered now, if it is.
-    fn denial_reason(&self, request: &Request, quick: Duration, margin: Duration) -> Option<Reason> {
+    /// Why a request has to be denied now, if at all.
+    fn denial_reason(&self, request: &Request, min_latency: Duration, margin: Duration) -> Option<Reason> {
         let Request { spec, accepted_at, attempts, .. } = request;
-        if spec.deadline <= self.now + quick {
+        if spec.deadline <= self.now + min_latency {
             return Some(Reason::NoTimeLeft);
         }
         let half = (*accepted_at + spec.deadline) / 2;
         (*attempts == 0 && half <= self.now + margin).then_some(Reason::HalfOfItsTime)
     }
 
-    /// The deepest in need of what is queued beyond the most (r7b0367: clients with no connection left).
+    /// The queued requests beyond the limit, those with the highest cost (issue r7b0367: clients had no
+    /// connection left).
     fn excess(&self) -> Vec<RequestId> {
-        let most = self.settings.limits.max_queued.unwrap_or(usize::MAX);
-        if self.queue.len() <= most {
+        let max_queued = self.settings.limits.max_queued.unwrap_or(usize::MAX);
+        if self.queue.len() <= max_queued {
             return Vec::new();
         }
         let node = |shard: Option<u32>| match shard {
             Some(shard) => self.nodes.usable_of(shard).next(),
             None => self.nodes.first_usable(),
         };
-        let need = |it: &Request| node(it.spec.shard).map_or(f64::MAX, |node| self.cost(it, node));
-        let mut held: Vec<RequestId> = self.queue.iter().collect();
-        held.sort_by_cached_key(|id| need(&self.requests[id]).to_bits());
-        held.split_off(most)
+        let cost = |it: &Request| node(it.spec.shard).map_or(f64::MAX, |node| self.cost(it, node));
+        let mut queued: Vec<RequestId> = self.queue.iter().collect();
+        queued.sort_by_cached_key(|id| cost(&self.requests[id]).to_bits());
+        queued.split_off(max_queued)
     }
 
-    /// Refuses a request where that is true to its effect, else fails it.
+    /// Refuses a request if it may safely be retried by its client, and fails it otherwise.
     pub(super) fn deny(&mut self, request: &Request, reason: Reason, actions: &mut Vec<Action>) {
         let id = request.spec.id;
         let effect = self.settings.classes[request.spec.class].effect;
-        let harmless = effect.allows_refusal(request.may_have_run.is_some());
+        let is_harmless = effect.allows_refusal(request.may_have_run.is_some());
         self.denials.count(reason);
         tracing::debug!(
             id = id.0,
             ?reason,
             attempts = request.attempts,
-            refused = harmless,
-            "answered with no"
+            refused = is_harmless,
+            "request denied"
         );
-        actions.push(match harmless {
+        actions.push(match is_harmless {
             true => Action::Refuse { id, retry_after: self.settings.limits.max_retry_after },
             false => Action::Fail { id },
         });
--- a/src/rules/node.rs
+++ b/src/rules/node.rs
@@ -7,40 +7,42 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Upper bound of a host's requests out at one node (the design's default of the host cap per node).
+/// Maximum number of requests that one initiator has in flight at a node, as in the design.
 pub(super) const MAX_NODE_DEPTH: f64 = 8.0;
-/// Hosts that may each begin with half of that bound; more hosts share what so many begin with.
+/// Up to this number of initiators, each starts with half of that depth; more of them share that total.
 const FULL_DEPTH_INITIATORS: f64 = 5.0;
-/// Part of the tightest aim that may pass inside a node; the rest is for waiting here, in a chosen order.
+/// Share of the tightest latency target that may be spent in a node; the rest is spent in this queue, where
+/// the order can still be chosen.
 const NODE_TIME_SHARE: f64 = 1.0 / 6.0;
-/// Above this share errors tell nothing of a node's speed; so far above the least, it gets no new objects.
-pub(super) const EXCESS_ERROR_SHARE: f64 = 0.25;
+/// Above this share of errors a node's latency is not learned; so far above the lowest share of all nodes, it
+/// gets no new objects.
+pub(super) const EXCESS_ERRORS: f64 = 0.25;
 
-/// A listed node, or one that is gone with attempts still in flight.
+/// A listed node, or a removed one with attempts still in flight.
 #[derive(Default, Clone, serde::Serialize, serde::Deserialize)]
 pub(super) struct Node {
     pub entry: NodeEntry,
-    /// While it drains: until when it still gets what no other node holds.
+    /// While it drains: until when it still gets requests for a shard that no other node stores.
     pub drain_end: Duration,
     pub in_flight: BTreeMap<RequestId, InFlight>,
-    /// Send time of the latest-sent attempt that was answered.
+    /// Send time of the most recently sent attempt that was served.
     pub newest_answered: Duration,
-    /// Depth that its latency allows this host.
+    /// Number of requests that this initiator may have in flight there, adapted to its latency.
     pub depth: f64,
-    /// Smoothed latency and its deviation, once there were answers.
+    /// Smoothed latency and its deviation; `None` before the first answer.
     pub latency: Option<(Duration, Duration)>,
-    /// Failures in a row, when the next attempt may be made, and the smoothed share of errors in answers.
+    /// Consecutive failures, when the next attempt may be made, and the smoothed share of errors in answers.
     pub failures: u32,
     pub blocked_until: Duration,
     pub error_share: f64,
-    /// Logarithm of its level against that of all nodes, as of when it last answered.
+    /// Its admission level relative to the common one (natural logarithm), as of its last answer.
     pub level_offset: Decaying,
-    /// While in slow start: what this host may send; a request may overdraw it. Its share, where planners say
-    /// so.
+    /// While in slow start: the units that this initiator may send, which a request may overdraw, and its
+    /// share where planners assign one.
     pub slow_start: TokenBucket,
     pub slow_start_share: Option<f64>,
     pub last_key: u64,
-    /// Per class: slots, and the integral over this interval of what was queued and in flight.
+    /// By class: slots, and the time integral over this interval of requests queued and in flight.
     pub slots: Vec<usize>,
     pub demand: Vec<f64>,
 }
@@ -54,7 +56,8 @@
 }
 
 impl Node {
-    /// Hosts together begin with as many requests out at a node as a handful of them do, but one each.
+    /// Initiators together start with at most as many requests in flight as `FULL_DEPTH_INITIATORS` of them,
+    /// but each with one at least.
     pub fn new(entry: NodeEntry, settings: &Settings) -> Self {
         let (slots, demand) = (vec![1; settings.classes.len()], vec![0.0; settings.classes.len()]);
         let depth =
@@ -62,12 +65,12 @@
         Node { entry, depth: depth.max(1.0), slots, demand, ..Node::default() }
     }
 
-    /// Takes a line of the node list. `debt` is what a node that has just started begins its slow start with.
+    /// Applies an entry of the node list. `debt` is the initial debt of a node that has just started.
     pub fn update(&mut self, entry: &NodeEntry, now: Duration, drain_end: Duration, debt: f64) {
         if entry.started > self.entry.started {
             (self.latency, self.failures, self.blocked_until) = (None, 0, Duration::ZERO);
             self.level_offset = Decaying::default();
-            // Hosts begin at a node with a debt each of its own: else all send at once while it is cold.
+            // Each initiator starts with a random debt; otherwise all would send to the new node at once.
             self.slow_start = TokenBucket { level: -debt, updated_at: now };
         }
         match (self.entry.state, entry.state) {
@@ -90,14 +93,14 @@
         self.entry.started.map_or(Duration::ZERO, |started| started + rules.slow_start_time)
     }
 
-    /// Present capacity, as a part of that of a warm node: it grows evenly.
+    /// Its present share of its full capacity, which grows linearly during slow start.
     pub fn capacity_share(&self, now: Duration, rules: &Rules) -> f64 {
         let age = self.entry.started.map_or(rules.slow_start_time, |started| now.saturating_sub(started));
         rules.slow_start_min_share
             + (1.0 - rules.slow_start_min_share) * age.div_duration_f64(rules.slow_start_time).min(1.0)
     }
 
-    /// How long a request waits that joins `queued` others of its shard, by the latency so far.
+    /// Expected wait, in seconds, of a request behind `queued` others of its shard, by the smoothed latency.
     pub fn expected_wait(&self, queued: usize, aim: Duration) -> f64 {
         let ahead = (queued + self.in_flight.len() + 1) as f64;
         ahead * self.latency.map_or(aim, |(mean, _)| mean).as_secs_f64()
@@ -107,12 +110,13 @@
     pub fn learn(&mut self, now: Duration, end: &AttemptEnd, settings: &Settings) {
         match end.outcome {
             Outcome::Served | Outcome::Error => self.learn_answer(end, settings),
-            Outcome::Rejected if end.attempt > 0 => {} // It may lie elsewhere: that tells nothing of the node.
+            // A retry may be rejected for a reason outside the node.
+            Outcome::Rejected if end.attempt > 0 => {}
             Outcome::Rejected | Outcome::NotConnected | Outcome::Reset => {
                 let reset = end.outcome == Outcome::Reset;
-                // Those that were out together are reset for one reason, and count once.
-                let again = reset && now.saturating_sub(end.latency) < self.blocked_until;
-                self.failures += u32::from(!again) + u32::from(end.outcome == Outcome::Rejected);
+                // Attempts that were in flight together are reset by the same cause, and count once.
+                let same_cause = reset && now.saturating_sub(end.latency) < self.blocked_until;
+                self.failures += u32::from(!same_cause) + u32::from(end.outcome == Outcome::Rejected);
                 self.depth = if reset { self.depth } else { (self.depth / 2.0).max(1.0) };
                 let pause = settings.limits.connect_timeout * ((1 << self.failures.clamp(1, 6)) - 2) / 8;
                 self.blocked_until = self.blocked_until.max(now + pause.min(INTERVAL));
@@ -120,7 +124,8 @@
             Outcome::TimedOut if now.saturating_sub(end.latency) >= self.newest_answered => {
                 self.failures += 2
             }
-            _ => {} // A time-out that later answers have overtaken is its connection's fault.
+            // A time-out is blamed on its connection if a later attempt was answered meanwhile.
+            _ => {}
         }
     }
 
@@ -128,14 +133,14 @@
         (self.failures, self.blocked_until) = (0, Duration::ZERO);
         self.error_share +=
             SMOOTHING * (f64::from(u8::from(end.outcome == Outcome::Error)) - self.error_share);
-        if end.outcome == Outcome::Error && self.error_share > EXCESS_ERROR_SHARE {
+        if end.outcome == Outcome::Error && self.error_share > EXCESS_ERRORS {
             return;
         }
         let (mean, deviation) = self.latency.unwrap_or((end.latency, end.latency / 2));
         let smooth = |a: Duration, b: Duration| a.mul_f64(1.0 - SMOOTHING) + b.mul_f64(SMOOTHING);
         let mean_now = smooth(mean, end.latency);
         self.latency = Some((mean_now, smooth(deviation, end.latency.abs_diff(mean))));
-        // The hosts together keep one request more there, so that a freed slot finds work.
+        // Initiators together keep one more request there, so that a free slot finds work at once.
         let target = min_latency_target(settings).mul_f64(NODE_TIME_SHARE);
         let wanted =
             self.depth * target.div_duration_f64(mean_now) + 1.0 / f64::from(settings.initiators.max(1));
--- a/src/rules/node_table.rs
+++ b/src/rules/node_table.rs
@@ -1,8 +1,8 @@
-//! All nodes, with what decisions ask of them kept as indexes: a look-up costs what its shard costs, and a
-//! change what it changes, whatever the size of the fleet.
+//! The table of all nodes, with an index for each question that decisions ask. The cost of a look-up depends
+//! on the size of a shard, that of a change on what it changes; neither grows with the fleet.
 //!
-//! The table is the one owner of its nodes. What an index is made of is changed through [`NodeTable::change`]
-//! alone; debug builds check the indexes of small tables against a walk over all nodes.
+//! The table owns its nodes. Fields that an index is built from are changed only by [`NodeTable::change`];
+//! debug builds compare the indexes of small tables with a scan of all nodes.
 
 use super::node::Node;
 use crate::interface::{NodeId, NodeState};
@@ -12,15 +12,15 @@
 use std::ops::Bound;
 use std::time::Duration;
 
-/// Tables up to this size are checked after each call in debug builds.
+/// Debug builds check tables up to this size after each call.
 #[cfg(debug_assertions)]
 const MAX_CHECKED_NODES: usize = 32;
 
-/// A floating-point number not below zero: its bits are in the order of its value.
+/// A non-negative floating-point number. Ordered by its bits, which have the order of its value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Ordered(u64);
 
-/// How long a request would wait at a node, in seconds.
+/// Expected wait of a request at a node, in seconds.
 pub(super) type Wait = Ordered;
 
 impl Ordered {
@@ -33,24 +33,24 @@
     }
 }
 
-/// Where a usable node stands in the indexes.
+/// The keys of a usable node in the indexes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Keys {
-    /// How long a request would wait there that is alone in its shard's queue.
+    /// Expected wait of a request that is alone in its shard's queue.
     wait: Ordered,
     optimistic_latency: Duration,
     errors: Ordered,
 }
 
-/// What a node was indexed by last.
+/// The state that a node was last indexed by.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct Indexed {
     shard: u32,
     ready: bool,
-    /// The end of its drain, while that lies ahead.
+    /// The end of its drain, while that is in the future.
     drain_end: Option<Duration>,
     busy: bool,
-    /// None while it may get nothing.
+    /// `None` while it may get no requests.
     keys: Option<Keys>,
 }
 
@@ -61,23 +61,24 @@
     ready: usize,
 }
 
-/// The nodes and their indexes.
+/// The nodes and the indexes over them.
 #[derive(Clone, Default, serde::Serialize, serde::Deserialize)]
 #[serde(from = "BTreeMap<NodeId, Node>", into = "BTreeMap<NodeId, Node>")]
 pub(super) struct NodeTable {
     nodes: BTreeMap<NodeId, Node>,
     indexed: FxHashMap<NodeId, Indexed>,
     shards: FxHashMap<u32, Shard>,
-    /// Nodes that may get requests: ready ones, and the last of a shard in the grace of its drain.
+    /// Nodes that may get requests: ready ones, and draining ones within their grace if their shard has no
+    /// ready node.
     usable: BTreeSet<NodeId>,
     by_wait: BTreeSet<(Ordered, NodeId)>,
     by_optimistic_latency: BTreeSet<(Duration, NodeId)>,
     by_errors: BTreeSet<(Ordered, NodeId)>,
     /// Nodes with attempts in flight.
     busy: BTreeSet<NodeId>,
-    /// Ends of drains that lie ahead.
+    /// Ends of drains, those in the future.
     drains: BTreeSet<(Duration, NodeId)>,
-    /// The tightest latency_target: what a node that never answered is taken to need.
+    /// The tightest latency target: the assumed latency of a node that has not answered yet.
     latency_target: Duration,
     now: Duration,
     visits: Cell<u64>,
@@ -98,12 +99,12 @@
 }
 
 impl NodeTable {
-    /// An empty table; `latency_target` is the tightest one.
+    /// An empty table, given the tightest latency target.
     pub fn new(latency_target: Duration) -> Self {
         NodeTable { latency_target, ..NodeTable::default() }
     }
 
-    /// Makes all indexes anew: for another latency_target, or nodes that came from elsewhere.
+    /// Rebuilds all indexes, for another latency target or deserialized nodes.
     pub fn rebuild(&mut self, latency_target: Duration, now: Duration) {
         let nodes = std::mem::take(&mut self.nodes);
         let visits = self.visits.clone();
@@ -113,7 +114,7 @@
         ids.into_iter().for_each(|id| self.index(id));
     }
 
-    /// Time goes on to `now`: drains whose grace is over get nothing more.
+    /// Advances the time to `now`: draining nodes whose grace is over stop being usable.
     pub fn advance(&mut self, now: Duration) {
         self.now = now;
         while let Some((_, id)) = self.drains.first().copied().filter(|(end, _)| *end <= now) {
@@ -125,12 +126,12 @@
         self.nodes.get(&id)
     }
 
-    /// All nodes in the order of their ids. A walk over the fleet: for periodic work alone.
+    /// All nodes in the order of their ids. Scans the whole fleet: for periodic work only.
     pub fn iter(&self) -> impl Iterator<Item = &Node> {
         self.nodes.values().inspect(|_| self.visit())
     }
 
-    /// Changes a node and its place in the indexes.
+    /// Changes a node and updates the indexes.
     pub fn change<T>(&mut self, id: NodeId, change: impl FnOnce(&mut Node) -> T) -> Option<T> {
         let result = change(self.nodes.get_mut(&id)?);
         self.index(id);
@@ -143,7 +144,7 @@
         self.index(id);
     }
 
-    /// Changes what no index is made of: demand, slots and what slow start allows.
+    /// Changes fields that no index is built from: demand, slots and the slow-start bucket.
     pub fn change_figures(&mut self, id: NodeId, change: impl FnOnce(&mut Node)) {
         self.visit();
         if let Some(node) = self.nodes.get_mut(&id) {
@@ -151,25 +152,24 @@
         }
     }
 
-    /// The same of all nodes: for periodic work alone.
+    /// The same for all nodes: for periodic work only.
     pub fn change_all_figures(&mut self, change: impl FnMut(&mut Node)) {
         self.visits.set(self.visits.get() + self.nodes.len() as u64);
         self.nodes.values_mut().for_each(change);
     }
 
-    /// Removes the nodes that are gone and have nothing in flight.
+    /// Drops nodes that were removed from the list and have nothing in flight.
     pub fn remove_gone(&mut self) {
-        let is_over = |node: &Node| node.entry.state == NodeState::Gone && node.in_flight.is_empty();
-        let over: Vec<NodeId> =
-            self.iter().filter(|node| is_over(node)).map(|node| node.entry.node).collect();
-        for id in over {
+        let is_unused = |node: &Node| node.entry.state == NodeState::Gone && node.in_flight.is_empty();
+        let unused: Vec<NodeId> =
+            self.iter().filter(|node| is_unused(node)).map(|node| node.entry.node).collect();
+        for id in unused {
             self.nodes.remove(&id);
             self.index(id);
         }
     }
 
-    /// Nodes that may get requests, in the order of their ids. A walk over the fleet: for periodic work
-    /// alone.
+    /// Nodes that may get requests, in the order of their ids. Scans the whole fleet: for periodic work only.
     pub fn usable(&self) -> impl Iterator<Item = &Node> {
         self.usable.iter().map(|id| self.visited(id))
     }
@@ -190,22 +190,22 @@
         self.usable.first().map(|id| self.visited(id))
     }
 
-    /// Nodes that may get requests beyond one that was reached, that with the shortest wait first: the wait
-    /// of a request that is alone in its shard's queue.
+    /// Nodes that may get requests, after the given position, by the expected wait of a request that is alone
+    /// in its shard's queue, the shortest first.
     pub fn by_wait_after(
         &self,
-        reached: Option<(Wait, NodeId)>,
+        position: Option<(Wait, NodeId)>,
     ) -> impl Iterator<Item = (Wait, NodeId)> + '_ {
-        let start = reached.map_or(Bound::Unbounded, Bound::Excluded);
+        let start = position.map_or(Bound::Unbounded, Bound::Excluded);
         self.by_wait.range((start, Bound::Unbounded)).copied().inspect(|_| self.visit())
     }
 
-    /// The quickest answer that any usable node is likely to give.
+    /// The lowest optimistic latency of all usable nodes.
     pub fn min_optimistic_latency(&self) -> Option<Duration> {
         self.by_optimistic_latency.first().map(|(answer, _)| *answer)
     }
 
-    /// The least share of errors of any usable node.
+    /// The lowest share of errors of all usable nodes.
     pub fn min_error_share(&self) -> Option<f64> {
         self.by_errors.first().map(|(errors, _)| errors.value())
     }
@@ -220,7 +220,7 @@
         self.busy.iter().copied().collect()
     }
 
-    /// Nodes looked at so far: what decisions cost, whatever machine they run on.
+    /// Nodes visited so far: the cost of decisions, independent of the machine.
     pub fn visits(&self) -> u64 {
         self.visits.get()
     }
@@ -234,8 +234,8 @@
         &self.nodes[id]
     }
 
-    /// Brings the indexes up to date with a node, and with the others of its shard where it was the last that
-    /// was ready.
+    /// Updates the indexes for a node, and for the others of its shard if the shard lost its last ready node
+    /// or gained its first.
     fn index(&mut self, id: NodeId) {
         self.visit();
         let before = self.indexed.get(&id).copied();
@@ -247,7 +247,7 @@
             touched.extend(self.join_shard(id, shard, ready));
         }
         self.reindex(id);
-        // The drains of a shard depend on whether another node of it is ready.
+        // Whether a draining node is usable depends on the ready nodes of its shard.
         touched.sort_unstable();
         touched.dedup();
         for shard in touched {
@@ -256,7 +256,7 @@
         }
     }
 
-    /// Takes a node out of its shard; the shard if no node of it is ready any more.
+    /// Removes a node from its shard; returns the shard if it has just lost its last ready node.
     fn leave_shard(&mut self, id: NodeId, before: Indexed) -> Option<u32> {
         let shard = self.shards.get_mut(&before.shard)?;
         shard.nodes.remove(&id);
@@ -268,7 +268,7 @@
         has_lost_all.then_some(before.shard)
     }
 
-    /// Adds a node to its shard; the shard if this is the first of it that is ready.
+    /// Adds a node to its shard; returns the shard if this is its first ready node.
     fn join_shard(&mut self, id: NodeId, number: u32, ready: bool) -> Option<u32> {
         let shard = self.shards.entry(number).or_default();
         shard.nodes.insert(id);
@@ -276,7 +276,7 @@
         (ready && shard.ready == 1).then_some(number)
     }
 
-    /// Where a node belongs now.
+    /// The state that a node has to be indexed by now.
     fn wanted(&self, node: &Node) -> Indexed {
         let drain_end =
             (node.entry.state == NodeState::Draining && self.now < node.drain_end).then_some(node.drain_end);
@@ -291,7 +291,7 @@
         Indexed { shard, ready, drain_end, busy: !node.in_flight.is_empty(), keys }
     }
 
-    /// Puts a node where it belongs in all indexes but its shard's.
+    /// Updates a node in all indexes but that of shards.
     fn reindex(&mut self, id: NodeId) {
         let wanted = self.nodes.get(&id).map(|node| self.wanted(node));
         let before = self.indexed.get(&id).copied();
@@ -342,7 +342,7 @@
         }
     }
 
-    /// In debug builds: whether small tables' indexes are what a walk over all nodes finds.
+    /// In debug builds, compares the indexes of a small table with a scan of all nodes.
     pub fn check(&self) {
         #[cfg(debug_assertions)]
         if self.nodes.len() <= MAX_CHECKED_NODES {
@@ -352,7 +352,7 @@
 
     /// # Panics
     ///
-    /// An index differs from what a walk over all nodes finds.
+    /// Panics if an index differs from a scan of all nodes.
     #[cfg(any(debug_assertions, test))]
     fn check_all(&self) {
         let is_ready_of = |shard| self.nodes.values().any(|it| it.is_ready() && it.entry.shard == shard);
@@ -364,17 +364,17 @@
         };
         let usable: Vec<&Node> = self.nodes.values().filter(is_usable).collect();
         let ids: Vec<NodeId> = usable.iter().map(|node| node.entry.node).collect();
-        assert!(self.usable.iter().eq(&ids), "usable: {:?}, {ids:?} by a walk", self.usable);
-        let quickest = usable.iter().map(|node| node.optimistic_latency()).min();
-        assert_eq!(self.min_optimistic_latency(), quickest, "the quickest answer");
-        let least = usable.iter().map(|node| node.error_share).reduce(f64::min);
-        assert_eq!(self.min_error_share(), least, "the least share of errors");
+        assert!(self.usable.iter().eq(&ids), "usable: {:?}, {ids:?} by a scan", self.usable);
+        let min_latency = usable.iter().map(|node| node.optimistic_latency()).min();
+        assert_eq!(self.min_optimistic_latency(), min_latency, "lowest optimistic latency");
+        let min_errors = usable.iter().map(|node| node.error_share).reduce(f64::min);
+        assert_eq!(self.min_error_share(), min_errors, "lowest share of errors");
         let mut waits: Vec<(Wait, NodeId)> = usable
             .iter()
             .map(|node| (Wait::of(node.expected_wait(0, self.latency_target)), node.entry.node))
             .collect();
         waits.sort_unstable();
-        assert!(self.by_wait.iter().eq(&waits), "by wait: {:?}, {waits:?} by a walk", self.by_wait);
+        assert!(self.by_wait.iter().eq(&waits), "by wait: {:?}, {waits:?} by a scan", self.by_wait);
         let busy = self.nodes.iter().filter(|(_, node)| !node.in_flight.is_empty()).map(|(id, _)| id);
         assert!(self.busy.iter().eq(busy), "busy: {:?}", self.busy);
         for (id, node) in &self.nodes {
--- a/src/rules/queue.rs
+++ b/src/rules/queue.rs
@@ -1,16 +1,16 @@
-//! Requests that wait for an attempt, by the shard that they wait for.
+//! Queued requests, by the shard that they wait for.
 
 use crate::interface::RequestId;
 use std::collections::BTreeMap;
 
-/// What a request waits for: the nodes of a shard, or for a new object any node.
+/// What a request waits for: a node of this shard, or with `None` (a new object) any node.
 pub(super) type QueueKey = Option<u32>;
 
-/// Queued requests, in the order they came into each key.
+/// Queued requests by key, each key's in the order in which they were queued.
 #[derive(Default, Clone, serde::Serialize, serde::Deserialize)]
 #[serde(from = "BTreeMap<QueueKey, Vec<RequestId>>", into = "BTreeMap<QueueKey, Vec<RequestId>>")]
 pub(super) struct Queue {
-    /// No key is empty.
+    /// Holds no empty lists.
     requests: BTreeMap<QueueKey, Vec<RequestId>>,
     count: usize,
 }
@@ -34,7 +34,7 @@
         self.count += 1;
     }
 
-    /// Takes a request out of its key, if it is there.
+    /// Removes a request, if it is queued under this key.
     pub fn remove(&mut self, key: QueueKey, id: RequestId) {
         let Some(ids) = self.requests.get_mut(&key) else { return };
         let before = ids.len();
@@ -45,22 +45,22 @@
         }
     }
 
-    /// Requests queued in a key.
+    /// The requests queued under a key.
     pub fn requests_for(&self, key: QueueKey) -> &[RequestId] {
         self.requests.get(&key).map_or(&[], Vec::as_slice)
     }
 
-    /// The requests with requests.
+    /// The keys that have queued requests, with these.
     pub fn by_key(&self) -> impl Iterator<Item = (QueueKey, &[RequestId])> {
         self.requests.iter().map(|(key, ids)| (*key, ids.as_slice()))
     }
 
-    /// The shards that requests wait for.
+    /// The shards that have queued requests.
     pub fn shards(&self) -> impl Iterator<Item = u32> + '_ {
         self.requests.keys().filter_map(|key| *key)
     }
 
-    /// All queued requests, key by key.
+    /// All queued requests, by key.
     pub fn iter(&self) -> impl Iterator<Item = RequestId> + '_ {
         self.requests.values().flatten().copied()
     }
--- a/src/rules/reconfigure.rs
+++ b/src/rules/reconfigure.rs
@@ -1,10 +1,10 @@
-//! Takes over changed figures between two calls of [`Scheduler::handle`], whole. What was learned and what is
-//! open goes on.
+//! Changes the settings between two calls of [`Scheduler::handle`], all at once or not at all. Learned state
+//! and open requests are kept.
 
 use super::*;
 use std::fmt;
 
-/// Settings that differ from those in force in more than may change while a scheduler lives.
+/// The new settings differ in fields that must not change during a scheduler's lifetime.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FixedSettings;
 
@@ -17,13 +17,13 @@
 impl std::error::Error for FixedSettings {}
 
 impl Scheduler {
-    /// Works by these settings from `now` on. What came into stores up to then came at the old rates.
+    /// Applies new settings from `now` on. Token buckets are filled up to `now` at the old rates.
     ///
     /// # Errors
     ///
-    /// They differ in more than a class's aim, worth and late worth, plans' figures, how units count (but for
-    /// the period of reported use), attempts, the wait that clients are asked for, and whether attempts are
-    /// withdrawn. Nothing has changed then.
+    /// Fails, without any change, if the settings differ in more than classes' latency target, worth and late
+    /// worth, plans, units (except the usage period), the maximum number of attempts, the retry-after time,
+    /// and whether attempts may be cancelled.
     pub fn reconfigure(&mut self, now: Duration, settings: Settings) -> Result<(), FixedSettings> {
         if !differs_only_in_changeable(&self.settings, &settings) {
             return Err(FixedSettings);
@@ -41,7 +41,8 @@
         Ok(())
     }
 
-    /// A lowered burst caps at once. A limit that is new for a plan begins as that of a new volume.
+    /// A lowered burst caps buckets at once. If a plan gains a limit, its volumes' buckets start as those of
+    /// new volumes.
     fn change_limits(&mut self, now: Duration, settings: &Settings) {
         for (id, volume) in &mut self.volumes {
             let (terms, share) = (volume.plan_and_initiators, self.limit_shares.get(id));
@@ -60,8 +61,8 @@
         }
     }
 
-    /// What a cold node was paid so far keeps its place in time: hosts take over a change together, and none
-    /// may send because of it.
+    /// Fills the buckets of nodes in slow start at the old rates, and does not cap them: initiators apply a
+    /// change at the same time, and none may send because of it.
     fn change_slow_start(&mut self, now: Duration, settings: &Settings) {
         if self.settings.units.slow_start_units == settings.units.slow_start_units {
             return;
@@ -75,18 +76,19 @@
         }
     }
 
-    /// Past performance is measured against the aim that is now in force.
+    /// Rescales past performance to the new latency target.
     fn rescale_history(&mut self, settings: &Settings) {
-        let aims = self.settings.classes.iter().zip(&settings.classes);
+        let classes = self.settings.classes.iter().zip(&settings.classes);
         for (control, (old, new)) in
-            self.classes.iter_mut().zip(aims).filter(|(_, (a, b))| a.latency_target != b.latency_target)
+            self.classes.iter_mut().zip(classes).filter(|(_, (a, b))| a.latency_target != b.latency_target)
         {
             let ratio = new.latency_target.div_duration_f64(old.latency_target);
             control.history.iter_mut().for_each(|(performance, _)| *performance *= ratio);
         }
     }
 
-    /// The level keeps its distance from the top: what is worth least is let through as deep as before.
+    /// The level keeps its distance from the highest one, so that the least valuable requests are admitted to
+    /// the same depth as before.
     fn change_level(&mut self, settings: &Settings) {
         let (old, new) = (top_level(&self.settings), top_level(settings));
         if old != new {
@@ -95,23 +97,23 @@
         }
     }
 
-    /// Held requests that may have no further attempt now are answered at the next call, not at their
-    /// deadline.
+    /// Queued requests that must not be sent again under the new settings are denied at the next call instead
+    /// of at their deadline.
     fn expire_exhausted(&mut self, now: Duration) {
-        let most = self.settings.limits.max_attempts;
+        let max_attempts = self.settings.limits.max_attempts;
         for id in self.queue.iter() {
-            let request = self.requests.get_mut(&id).filter(|request| request.attempts >= most);
+            let request = self.requests.get_mut(&id).filter(|request| request.attempts >= max_attempts);
             request.into_iter().for_each(|request| request.spec.deadline = request.spec.deadline.min(now));
         }
     }
 }
 
-/// Held requests are looked at again this often, and at each tick at the most.
+/// Interval of the periodic check of queued requests, at least a tick.
 fn check_interval(settings: &Settings) -> Duration {
     min_latency_target(settings).div_f64(CHECKS_PER_TARGET).max(settings.tick)
 }
 
-/// Whether two settings differ only in what may change.
+/// Whether two settings differ only in fields that may change.
 fn differs_only_in_changeable(old: &Settings, new: &Settings) -> bool {
     if old.classes.len() != new.classes.len() || old.plans.len() != new.plans.len() {
         return false;
@@ -123,7 +125,7 @@
         ..new.clone()
     };
     let limits = &old.limits;
-    let fixed = Settings {
+    let unchangeable = Settings {
         classes: old.classes.iter().zip(&new.classes).map(class).collect(),
         plans: old.plans.clone(),
         units: Units { usage_period: new.units.usage_period, ..old.units.clone() },
@@ -135,7 +137,7 @@
         },
         ..new.clone()
     };
-    fixed == *old
+    unchangeable == *old
 }
 
 #[cfg(test)]
--- a/src/rules/shard_rates.rs
+++ b/src/rules/shard_rates.rs
@@ -1,4 +1,5 @@
-//! What each shard serves this host when warm, learned over the nodes that hold it one after another.
+//! The rate at which each shard serves this initiator at full capacity, learned across the nodes that store
+//! the shard one after another.
 
 use super::node_table::NodeTable;
 use super::SMOOTHING;
@@ -8,10 +9,10 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Rates are set to nothing by whoever hands them over.
+/// A rate is set to 0 when it is handed over to another process.
 #[derive(Default, Clone, serde::Serialize, serde::Deserialize)]
 struct ShardRate {
-    /// Smoothed units a second, the intervals it is smoothed over, and units of this interval.
+    /// Smoothed units a second, the number of intervals it is smoothed over, and the units of this interval.
     rate: f64,
     intervals: f64,
     interval_units: f64,
@@ -23,7 +24,7 @@
 #[serde(from = "BTreeMap<u32, ShardRate>", into = "BTreeMap<u32, ShardRate>")]
 pub(super) struct ShardRates {
     shards: BTreeMap<u32, ShardRate>,
-    /// The sum of all rates, until one changes.
+    /// The cached sum of all rates; `None` after a change.
     sum: Cell<Option<f64>>,
 }
 
@@ -40,12 +41,12 @@
 }
 
 impl ShardRates {
-    /// A shard has served so many units, as a warm node would count them.
+    /// Records units that a shard has served, scaled to a node's full capacity.
     pub fn record(&mut self, shard: u32, units: f64) {
         self.shards.entry(shard).or_default().interval_units += units;
     }
 
-    /// Units a second of a shard, or of the mean one where that is more.
+    /// The rate of a shard in units a second, at least the mean of all shards.
     pub fn at_least_mean(&self, shard: u32) -> f64 {
         let sum = self.sum.get().unwrap_or_else(|| self.shards.values().map(|shard| shard.rate).sum());
         self.sum.set(Some(sum));
@@ -53,15 +54,16 @@
         self.shards.get(&shard).map_or(0.0, |shard| shard.rate).max(mean)
     }
 
-    /// An interval is over. What a node in slow start served is set against its capacity_share, and weighs less by
-    /// it: hosts' figures sum to what it serves. A figure stands while no node serves its shard.
+    /// Ends an interval. What a node in slow start served is weighted by its share of its full capacity, so
+    /// that the rates of all initiators sum to what it serves. A shard's rate is kept while it has no ready
+    /// node.
     pub fn learn(&mut self, now: Duration, interval: Duration, nodes: &NodeTable, rules: &Rules) {
         let mut capacity_shares: FxHashMap<u32, f64> = FxHashMap::default();
         for node in nodes.iter() {
             self.shards.entry(node.entry.shard).or_default().listed_at = now;
             if node.is_ready() {
-                let warmest = capacity_shares.entry(node.entry.shard).or_insert(f64::MIN);
-                *warmest = warmest.max(node.capacity_share(now, rules));
+                let highest = capacity_shares.entry(node.entry.shard).or_insert(f64::MIN);
+                *highest = highest.max(node.capacity_share(now, rules));
             }
         }
         for (number, shard) in &mut self.shards {
@@ -74,13 +76,13 @@
         self.sum.set(None);
     }
 
-    /// Forgets shards that no node was listed for since then.
+    /// Drops shards that have had no listed node since `oldest`.
     pub fn prune(&mut self, oldest: Duration) {
         self.shards.retain(|_, shard| shard.listed_at > oldest);
         self.sum.set(None);
     }
 
-    /// Another process has these rates now.
+    /// Sets all rates to 0, after they were handed over to another process.
     pub fn clear_rates(&mut self) {
         self.shards.values_mut().for_each(|shard| shard.rate = 0.0);
         self.sum.set(None);
--- a/src/rules/volume.rs
+++ b/src/rules/volume.rs
@@ -1,4 +1,4 @@
-//! One volume as this initiator sees it: its limit, what is asked for and what is served.
+//! One volume as this initiator sees it: its limit, and the rates at which it is requested and served.
 
 use super::INTERVAL;
 use crate::interface::*;
@@ -9,21 +9,23 @@
 #[derive(Default, Clone, serde::Serialize, serde::Deserialize)]
 pub(super) struct Volume {
     pub limit: TokenBucket,
-    /// Plan and initiators, as its last request said.
+    /// Index of its plan and number of its initiators, as of its last request.
     pub plan_and_initiators: (usize, f64),
-    /// Asked of and served by this host, served through others where answers tell.
+    /// Units a second requested from and served through this initiator, and through others where answers
+    /// report it.
     pub asked: Decaying,
     pub served: Decaying,
     pub served_elsewhere: Decaying,
-    /// Use over all initiators as last told, units a second.
+    /// Last reported usage over all initiators, in units a second.
     pub reported_rate: f64,
     pub position: f64,
-    /// What it asks for over all initiators, as reckoned last, and when: many held requests are ranked by it.
+    /// The demand over all initiators, with the time it was computed for: many queued requests are ranked by
+    /// it.
     #[serde(skip)]
     pub cached_demand: Cell<Option<(Duration, f64)>>,
 }
 
-/// A host's part of the limit of a volume with this plan and so many initiators: the even one unless told.
+/// This initiator's share of a volume's limit, as rate and burst: the equal share unless planners assign one.
 pub(super) fn limit_share(
     settings: &Settings,
     (plan, initiators): (usize, f64),
@@ -35,7 +37,8 @@
 }
 
 impl Volume {
-    /// The limit's store starts at this host's part of the slack, which bears that all initiators restart at once.
+    /// The limit's bucket starts with this initiator's share of the overdraft, which covers a restart of all
+    /// initiators at once.
     pub fn new(plan: Option<&Plan>, initiators: f64, now: Duration, position: f64) -> Self {
         let start = plan.and_then(|plan| plan.limit).map_or(0.0, |limit| limit.overdraft.min(limit.burst));
         Volume {
@@ -55,13 +58,14 @@
             end.volume_usage.filter(|used| used.is_finite()).map_or(self.reported_rate, |used| used * base);
     }
 
-    /// Units a second asked for over all initiators: told or seen served, raised as much as this host lacks.
-    pub fn demand(&self, now: Duration, some: f64) -> f64 {
-        let known = self.cached_demand.get().filter(|(at, _)| *at == now).map(|(_, demand)| demand);
-        let demand = known.unwrap_or_else(|| {
+    /// Demand over all initiators in units a second: the usage reported or seen, scaled by this initiator's
+    /// ratio of requested to served units. `units` damps that ratio while both are small.
+    pub fn demand(&self, now: Duration, units: f64) -> f64 {
+        let cached = self.cached_demand.get().filter(|(at, _)| *at == now).map(|(_, demand)| demand);
+        let demand = cached.unwrap_or_else(|| {
             let [asked, served, elsewhere] =
                 [self.asked, self.served, self.served_elsewhere].map(|flow| flow.value_at(now, INTERVAL));
-            (self.reported_rate.max(served + elsewhere) * (asked + some) / (served + some)).max(asked)
+            (self.reported_rate.max(served + elsewhere) * (asked + units) / (served + units)).max(asked)
         });
         self.cached_demand.set(Some((now, demand)));
         demand
