--- a/src/bin/topazpath-wirehost/frames.rs
+++ b/src/bin/topazpath-wirehost/frames.rs
@@ -1,9 +1,9 @@
-//! The binary frames of the wire, both ways.
+//! The simulator's binary protocol: parses batches of records into events, and writes actions as records of a reply.
 
 use std::time::Duration;
 use topazpath::interface::*;
 
-/// A record of a batch.
+/// A record of an incoming batch.
 #[derive(Debug, PartialEq)]
 pub enum Record {
     Select(u32),
@@ -13,7 +13,7 @@
     Ignored,
 }
 
-/// The header of a batch.
+/// The header of an incoming batch.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BatchHeader {
     pub sequence: u32,
@@ -27,7 +27,7 @@
 
 type Parsed<T> = Result<T, String>;
 
-/// Reads little-endian fields one after another.
+/// Reads little-endian fields in sequence.
 struct Reader<'a> {
     bytes: &'a [u8],
 }
@@ -66,10 +66,10 @@
         finite(self.array().map(f32::from_le_bytes)?.into())
     }
 
-    /// A time or span in milliseconds; below zero it is zero.
+    /// A time or duration in milliseconds; negative ones become zero.
     fn time(&mut self) -> Parsed<Duration> {
         let millis = self.f64()?.max(0.0);
-        Duration::try_from_secs_f64(millis / 1000.0).map_err(|_| format!("{millis} ms is no time"))
+        Duration::try_from_secs_f64(millis / 1000.0).map_err(|_| format!("{millis} ms is out of range"))
     }
 
     fn f64(&mut self) -> Parsed<f64> {
@@ -169,7 +169,7 @@
     let mut entries = Vec::new();
     for _ in 0..count {
         let shard = fields.u16()?.into();
-        // 0, or before the clock's origin: long ago.
+        // Zero or a time before the clock's origin: the node is past its slow start.
         let started = Some(fields.time()?).filter(|started| !started.is_zero());
         fields.f32()?;
         let zone = fields.u8()?.into();
@@ -234,7 +234,7 @@
     }))
 }
 
-/// A time or span as the wire has it.
+/// Encodes a time or duration as milliseconds.
 fn millis(time: Duration) -> [u8; 8] {
     (time.as_secs_f64() * 1000.0).to_le_bytes()
 }
@@ -253,12 +253,12 @@
         parts.iter().for_each(|part| self.body.extend(*part));
     }
 
-    /// The actions after this belong to the instance.
+    /// Selects the instance that the following actions belong to.
     pub fn select(&mut self, instance: u32) {
         self.record(13, &[&instance.to_le_bytes()]);
     }
 
-    /// One action of the selected instance.
+    /// Adds an action of the selected instance.
     pub fn action(&mut self, action: &Action) {
         match *action {
             Action::Send { id, node, give_up_at, .. } => {
@@ -274,13 +274,13 @@
         }
     }
 
-    /// The decisions of the selected instance broke down.
+    /// Reports that the scheduler of the selected instance panicked.
     pub fn internal_error(&mut self, text: &str) {
         let text = &text.as_bytes()[..text.len().min(u16::MAX.into())];
         self.record(10, &[&(text.len() as u16).to_le_bytes(), text]);
     }
 
-    /// The whole frame.
+    /// The complete frame of the reply.
     pub fn into_frame(self, sequence: u32) -> Vec<u8> {
         let mut frame = sequence.to_le_bytes().to_vec();
         frame.extend((self.body.len() as u32).to_le_bytes());
--- a/src/bin/topazpath-wirehost/main.rs
+++ b/src/bin/topazpath-wirehost/main.rs
@@ -1,4 +1,5 @@
-//! Speaks the bench's wire on standard input and output for any number of schedulers. It decides nothing.
+//! Adapter for the simulator: runs any number of schedulers and speaks the simulator's protocol on standard input and
+//! output. It makes no decisions of its own.
 
 mod frames;
 
@@ -11,7 +12,7 @@
 use topazpath::interface::{Action, Event};
 use topazpath::{settings, Scheduler};
 
-/// The instances of this process, each with what the running batch brought it.
+/// The schedulers by instance, and the events for each from the current batch.
 #[derive(Default)]
 struct Instances {
     schedulers: BTreeMap<u32, Scheduler>,
@@ -39,7 +40,7 @@
         let length = u64::from(header.length);
         input.by_ref().take(length).read_to_end(&mut body).map_err(|error| error.to_string())?;
         if body.len() as u64 != length {
-            return Err(format!("batch {} is cut short", header.sequence));
+            return Err(format!("batch {} is truncated", header.sequence));
         }
         let records = frames::read_records(&header, &body)
             .map_err(|why| format!("batch {} is malformed: {why}", header.sequence))?;
@@ -49,7 +50,7 @@
     Ok(())
 }
 
-/// Reads a header, or nothing at the end of the input.
+/// Reads a header; `None` at the end of the input.
 fn read_head(input: &mut impl Read) -> Result<Option<[u8; frames::HEADER_BYTES]>, String> {
     let mut head = [0; frames::HEADER_BYTES];
     let mut filled = 0;
--- a/src/rules/carry/tests.rs
+++ b/src/rules/carry/tests.rs
@@ -47,20 +47,20 @@
     Event::List { kind: ListKind::Full, entries: vec![node] }
 }
 
-/// A scheduler with requests that answers come back to at once.
-struct Host {
+/// A scheduler whose requests are answered at once.
+struct Initiator {
     scheduler: Scheduler,
     sent: Vec<(Duration, f64)>,
     units: BTreeMap<RequestId, f64>,
     next: u64,
 }
 
-impl Host {
-    fn step(&mut self, now: Duration, mut events: Vec<Event>, ask: f64) {
-        if ask > 0.0 {
+impl Initiator {
+    fn step(&mut self, now: Duration, mut events: Vec<Event>, request_units: f64) {
+        if request_units > 0.0 {
             self.next += 1;
             let id = RequestId(self.next);
-            self.units.insert(id, ask);
+            self.units.insert(id, request_units);
             let (deadline, shard) = (now + Duration::from_secs(4), Some(0));
             let (volume, volume_initiators) = (VolumeId(7), 1.0);
             let new = NewRequest {
@@ -68,7 +68,7 @@
                 volume,
                 volume_initiators,
                 deadline,
-                units: ask,
+                units: request_units,
                 shard,
                 ..Default::default()
             };
@@ -96,31 +96,35 @@
 }
 
 proptest! {
-    /// Both go on being asked at once, as in the seconds of an upgrade; then only the newer one.
+    /// Both processes receive requests for a time, as during an upgrade; then only the newer one does.
     #[test]
-    fn two_processes_together_keep_a_limit_as_one(asks in prop::collection::vec(1u8..9, 200), handed in 10usize..80, apart in 1usize..60) {
+    fn two_processes_together_keep_a_limit_as_one_process_does(
+        requests in prop::collection::vec(1u8..9, 200),
+        handed_over_at in 10usize..80,
+        overlap in 1usize..60
+    ) {
         let start = Duration::from_secs(1000);
-        let host = |seed| Host {
+        let initiator = |seed| Initiator {
             scheduler: Scheduler::new(settings(), seed),
             sent: Vec::new(),
             units: BTreeMap::new(),
             next: seed << 32,
         };
-        let (mut old, mut new) = (host(1), host(2));
+        let (mut old, mut new) = (initiator(1), initiator(2));
         old.step(start, vec![list(None)], 0.0);
-        for (at, ask) in asks.iter().enumerate() {
+        for (at, units) in requests.iter().enumerate() {
             let now = start + Duration::from_millis(50) * at as u32;
-            if at == handed {
+            if at == handed_over_at {
                 prop_assert!(new.scheduler.take_over(old.scheduler.hand_over(now)));
             }
-            if at == handed + apart {
+            if at == handed_over_at + overlap {
                 new.scheduler.reclaim_limits(now);
             }
-            if at >= handed {
-                new.step(now, vec![], f64::from(*ask));
+            if at >= handed_over_at {
+                new.step(now, vec![], f64::from(*units));
             }
-            if at < handed + apart {
-                old.step(now, vec![], f64::from(*ask));
+            if at < handed_over_at + overlap {
+                old.step(now, vec![], f64::from(*units));
             }
         }
         let mut sent = [old.sent, new.sent].concat();
@@ -136,11 +140,11 @@
 }
 
 #[test]
-fn a_cold_node_gets_nothing_more_from_the_older_one_and_goes_on_from_its_debt_at_the_newer() {
+fn a_slow_starting_node_gets_nothing_from_the_old_process_and_keeps_its_debt_at_the_new_one() {
     let now = Duration::from_secs(1000);
     let (mut old, mut new) = (Scheduler::new(settings(), 1), Scheduler::new(settings(), 2));
-    let cold = list(Some(now - Duration::from_secs(3)));
-    old.handle(now, &[cold], &mut Vec::new());
+    let slow_starting = list(Some(now - Duration::from_secs(3)));
+    old.handle(now, &[slow_starting], &mut Vec::new());
     old.nodes
         .change(NodeId(1), |node| node.slow_start = TokenBucket { level: -20.0, updated_at: now })
         .unwrap();
@@ -151,12 +155,12 @@
         node.slow_start.clone().fill(now, scheduler.slow_start_rate(node), 0.0)
     };
     let later = now + Duration::from_secs(5);
-    assert!(at(&old, later) < 0.0, "nothing for as long as it lives");
+    assert!(at(&old, later) < 0.0, "nothing until it ends");
     assert_eq!(at(&new, later), 0.0);
 }
 
 #[test]
-fn what_other_settings_mean_is_not_taken_over() {
+fn state_under_other_settings_is_not_taken_over() {
     let mut old = Scheduler::new(settings(), 1);
     let mut new = Scheduler::new(Settings { initiators: 2, ..settings() }, 2);
     assert!(!new.take_over(old.hand_over(Duration::from_secs(1000))));
--- a/src/rules/node_table/tests.rs
+++ b/src/rules/node_table/tests.rs
@@ -1,11 +1,11 @@
-//! Drawn operations: after each of them the indexes are what a walk over all nodes finds.
+//! Random operations; after each of them the indexes are compared with a scan of all nodes.
 
 use super::*;
 use crate::interface::{NodeEntry, RequestId};
 use crate::rules::node::InFlight;
 use proptest::prelude::*;
 
-const AIM: Duration = Duration::from_millis(400);
+const LATENCY_TARGET: Duration = Duration::from_millis(400);
 const NODES: u32 = 12;
 const SHARDS: u32 = 4;
 
@@ -42,8 +42,8 @@
             table.change_or_add(NodeId(node), new, |node| node.update(&entry, *now, drain_end, 0.0));
         }
         Operation::Send { node, request } => {
-            let out = InFlight { sent: *now, class: 0, units: 1.0 };
-            table.change(NodeId(node), |node| node.in_flight.insert(RequestId(request), out));
+            let attempt = InFlight { sent: *now, class: 0, units: 1.0 };
+            table.change(NodeId(node), |node| node.in_flight.insert(RequestId(request), attempt));
         }
         Operation::Answer { node, request, latency_ms, errors } => {
             table.change(NodeId(node), |node| {
@@ -57,14 +57,14 @@
             table.advance(*now);
         }
         Operation::RemoveGone => table.remove_gone(),
-        Operation::Rebuild => table.rebuild(AIM, *now),
+        Operation::Rebuild => table.rebuild(LATENCY_TARGET, *now),
     }
 }
 
 proptest! {
     #[test]
-    fn indexes_are_what_a_walk_finds(operations in prop::collection::vec(operation(), 1..120)) {
-        let (mut table, mut now) = (NodeTable::new(AIM), Duration::from_secs(100));
+    fn indexes_equal_a_scan_of_all_nodes(operations in prop::collection::vec(operation(), 1..120)) {
+        let (mut table, mut now) = (NodeTable::new(LATENCY_TARGET), Duration::from_secs(100));
         table.advance(now);
         for operation in operations {
             apply(&mut table, &mut now, operation);
@@ -74,8 +74,8 @@
 }
 
 #[test]
-fn a_node_that_moves_to_another_shard_is_found_there_alone() {
-    let mut table = NodeTable::new(AIM);
+fn a_node_that_moves_to_another_shard_is_found_only_there() {
+    let mut table = NodeTable::new(LATENCY_TARGET);
     let mut now = Duration::from_secs(100);
     for shard in [1, 2] {
         let list = Operation::List { node: 7, shard, state: NodeState::Ready, drain_ms: 1 };
--- a/src/rules/overdue.rs
+++ b/src/rules/overdue.rs
@@ -57,9 +57,9 @@
             let first = it.attempts == 1 && !it.cancelled && !it.finished && !it.streaming;
             (first && self.repeatable(it, Some(attempt.sent)) && self.budget_permits(it)).then_some(*id)
         };
-        let attempt =
+        let attempts =
             self.nodes.busy().flat_map(|node| node.in_flight.iter().map(move |attempt| (node, attempt)));
-        for id in attempt.filter_map(to_cancel).collect::<Vec<_>>() {
+        for id in attempts.filter_map(to_cancel).collect::<Vec<_>>() {
             actions.push(Action::Cancel { id, attempt: 0 });
             self.requests.entry(id).and_modify(|it| it.cancelled = true);
         }
--- a/src/rules/reconfigure/tests.rs
+++ b/src/rules/reconfigure/tests.rs
@@ -76,21 +76,21 @@
     AttemptEnd { id, attempt: 0, node, outcome, finished, latency, volume_usage: None, served_elsewhere: 0.0 }
 }
 
-/// A scheduler whose attempts are answered at the next step, and what became of its requests.
-struct Host {
+/// A scheduler whose attempts are answered at the next step, and a record of its requests.
+struct Initiator {
     scheduler: Scheduler,
     asked: u64,
     units: BTreeMap<RequestId, f64>,
     sent: Vec<(Duration, f64)>,
     out: Vec<AttemptEnd>,
-    /// Final answers by request, whether served or not.
+    /// Number of final answers by request, served or not.
     answers: BTreeMap<RequestId, usize>,
     all_actions: Vec<Action>,
 }
 
-impl Host {
+impl Initiator {
     fn new(settings: Settings) -> Self {
-        let mut host = Host {
+        let mut initiator = Initiator {
             scheduler: Scheduler::new(settings, 1),
             asked: 0,
             units: BTreeMap::new(),
@@ -99,15 +99,15 @@
             answers: BTreeMap::new(),
             all_actions: Vec::new(),
         };
-        host.scheduler.handle(START, &[list(None)], &mut Vec::new());
-        host
+        initiator.scheduler.handle(START, &[list(None)], &mut Vec::new());
+        initiator
     }
 
-    fn step(&mut self, now: Duration, asks: &[u8]) {
+    fn step(&mut self, now: Duration, requests: &[u8]) {
         let ended = std::mem::take(&mut self.out);
         ended.iter().for_each(|end| *self.answers.entry(end.id).or_default() += 1);
         let mut events: Vec<Event> = ended.into_iter().map(Event::AttemptEnded).collect();
-        for units in asks {
+        for units in requests {
             self.asked += 1;
             self.units.insert(RequestId(self.asked), f64::from(*units));
             events.push(Event::Request(request(self.asked, now, f64::from(*units))));
@@ -128,7 +128,7 @@
     }
 }
 
-/// What a limit lets through at most, as changes of it say.
+/// The token bucket that a limit and its changes specify.
 struct Bound {
     limit: Option<Limit>,
     level: f64,
@@ -159,55 +159,55 @@
 }
 
 proptest! {
-    /// Each request has one final answer, and a limit bounds what is sent: by its old figures before a change, by the new
-    /// ones from then on. A change comes between two steps, at any time.
+    /// Each request has one final answer, and the limit bounds what is sent, with its old values before a
+    /// change and the new ones after it. A change may happen at any time between two steps.
     #[test]
-    fn a_changed_limit_is_kept_and_nothing_is_lost(
-        asks in prop::collection::vec(prop::collection::vec(1u8..9, 0..3), 200),
+    fn a_changed_limit_is_kept_and_no_request_is_lost(
+        requests in prop::collection::vec(prop::collection::vec(1u8..9, 0..3), 200),
         changes in prop::collection::btree_map(0usize..200, (any_limit(), 0u32..50), 0..8),
         first in any_limit(),
     ) {
-        let mut host = Host::new(with_limit(first));
+        let mut initiator = Initiator::new(with_limit(first));
         let level = first.map_or(0.0, |limit| limit.overdraft.min(limit.burst));
         let mut bound = Bound { limit: first, level, at: START };
         let mut now = START;
-        let mut looked_at = 0;
-        // At the end all that still waits is answered within its deadline.
+        let mut checked = 0;
+        // Finally, all requests still queued are answered within their deadline.
         let rest = DEADLINE.div_duration_f64(STEP) as usize + 2;
-        for (at, asks) in asks.iter().chain(std::iter::repeat_n(&Vec::new(), rest)).enumerate() {
+        for (at, requests) in requests.iter().chain(std::iter::repeat_n(&Vec::new(), rest)).enumerate() {
             now = START + STEP * at as u32;
-            // Until the first request there is no volume, and nothing fills.
-            if host.asked == 0 {
+            // The volume and its bucket exist from the first request on.
+            if initiator.asked == 0 {
                 (bound.at, bound.level) = (now, bound.limit.map_or(0.0, |limit| limit.overdraft.min(limit.burst)));
             }
-            host.step(now, asks);
-            for (at, units) in &host.sent[looked_at..] {
+            initiator.step(now, requests);
+            for (at, units) in &initiator.sent[checked..] {
                 bound.fill(*at);
                 bound.level -= units;
                 prop_assert!(bound.limit.is_none() || bound.level > -1e-6, "{} at {at:?}", bound.level);
             }
-            looked_at = host.sent.len();
+            checked = initiator.sent.len();
             if let Some((new, after_ms)) = changes.get(&at) {
                 let at = now + Duration::from_millis((*after_ms).into());
-                host.scheduler.reconfigure(at, with_limit(*new)).unwrap();
+                initiator.scheduler.reconfigure(at, with_limit(*new)).unwrap();
                 bound.change(at, *new);
             }
         }
         prop_assert!(now > START);
-        let unanswered = (1..=host.asked).filter(|id| host.answers.get(&RequestId(*id)) != Some(&1)).count();
+        let unanswered = (1..=initiator.asked).filter(|id| initiator.answers.get(&RequestId(*id)) != Some(&1)).count();
         prop_assert_eq!(unanswered, 0, "each request has one final answer");
     }
 
     #[test]
-    fn the_same_figures_again_change_nothing(
-        asks in prop::collection::vec(prop::collection::vec(1u8..9, 0..3), 100),
+    fn the_same_settings_again_change_nothing(
+        requests in prop::collection::vec(prop::collection::vec(1u8..9, 0..3), 100),
         again in prop::collection::btree_set(0usize..100, 1..10),
     ) {
-        let (mut one, mut other) = (Host::new(settings()), Host::new(settings()));
-        for (at, asks) in asks.iter().enumerate() {
+        let (mut one, mut other) = (Initiator::new(settings()), Initiator::new(settings()));
+        for (at, requests) in requests.iter().enumerate() {
             let now = START + STEP * at as u32;
-            one.step(now, asks);
-            other.step(now, asks);
+            one.step(now, requests);
+            other.step(now, requests);
             if again.contains(&at) {
                 let between = now + STEP / 3;
                 other.scheduler.reconfigure(between, settings()).unwrap();
@@ -216,33 +216,34 @@
         prop_assert_eq!(one.all_actions, other.all_actions);
     }
 
-    /// A change of what does not limit anything here neither sends, refuses nor delays anything.
+    /// A change of settings that limit nothing here must not send, refuse or delay any request.
     #[test]
-    fn other_figures_leave_the_limit_and_what_waits_as_they_are(
-        asks in prop::collection::vec(prop::collection::vec(1u8..9, 0..3), 100),
+    fn changes_of_other_settings_leave_the_limit_and_queued_requests_unchanged(
+        requests in prop::collection::vec(prop::collection::vec(1u8..9, 0..3), 100),
         at_step in 0usize..100,
     ) {
         let mut changed = settings();
         changed.limits.max_attempts = 7;
         changed.limits.max_retry_after = Duration::from_millis(900);
         changed.plans[1].limit = Some(limit(1.0, 8.0, 1.0));
-        let (mut one, mut other) = (Host::new(settings()), Host::new(settings()));
-        for (at, asks) in asks.iter().enumerate() {
+        let (mut one, mut other) = (Initiator::new(settings()), Initiator::new(settings()));
+        for (at, requests) in requests.iter().enumerate() {
             let now = START + STEP * at as u32;
-            one.step(now, asks);
-            other.step(now, asks);
+            one.step(now, requests);
+            other.step(now, requests);
             if at == at_step {
                 other.scheduler.reconfigure(now + STEP / 3, changed.clone()).unwrap();
             }
         }
-        let answered = |host: &Host| (host.sent.len(), host.answers.clone());
+        let answered = |initiator: &Initiator| (initiator.sent.len(), initiator.answers.clone());
         prop_assert_eq!(answered(&one), answered(&other));
     }
 }
 
-/// All that a start reckons from settings is as if it had begun with these.
+/// All values that are derived from settings at the start are the same as after a start with the new
+/// settings.
 #[test]
-fn a_scheduler_that_has_learned_nothing_is_as_one_that_begins_with_the_new_settings() {
+fn a_scheduler_without_learned_state_equals_one_started_with_the_new_settings() {
     let mut changed = settings();
     changed.classes[0].latency_target = Duration::from_millis(150);
     changed.classes[1].worth = 9.0;
@@ -257,7 +258,7 @@
 }
 
 #[test]
-fn what_can_not_change_is_refused_whole() {
+fn changes_of_fixed_settings_are_refused_as_a_whole() {
     let refused = |change: fn(&mut Settings)| {
         let mut changed = settings();
         changed.units.mean = 1.0;
@@ -281,7 +282,7 @@
     refused(|it| it.limits.max_queued = Some(5));
 }
 
-/// Requests that wait for their limit, with none of it left; in time for their aim for 400 ms.
+/// A scheduler with requests that wait for their exhausted limit, within their latency target for 400 ms.
 fn waiting(settings: Settings, count: u64) -> (Scheduler, Duration) {
     let mut scheduler = Scheduler::new(settings, 1);
     let mut events = vec![list(None)];
@@ -297,34 +298,34 @@
 }
 
 #[test]
-fn what_waits_goes_by_the_new_rate_from_the_takeover_on() {
+fn queued_requests_are_sent_at_the_new_rate_after_the_change() {
     let slow = with_limit(Some(limit(5.0, 8.0, 0.0)));
     let (mut scheduler, start) = waiting(slow, 3);
     let later = start + Duration::from_millis(200);
     scheduler.reconfigure(later, with_limit(Some(limit(30.0, 8.0, 0.0)))).unwrap();
-    // One unit of four came at the old rate, and three come in a tenth of a second at the new one.
+    // One unit of four was added at the old rate, and three are added in a tenth of a second at the new one.
     assert_eq!(sends(&mut scheduler, later + Duration::from_millis(90)), 0);
     assert_eq!(sends(&mut scheduler, later + Duration::from_millis(110)), 1);
 }
 
 #[test]
-fn what_waits_for_a_limit_that_is_taken_away_goes_at_once() {
+fn requests_that_wait_for_a_removed_limit_are_sent_at_once() {
     let (mut scheduler, start) = waiting(with_limit(Some(limit(1.0, 8.0, 0.0))), 3);
     scheduler.reconfigure(start, with_limit(None)).unwrap();
     assert_eq!(sends(&mut scheduler, start + Duration::from_millis(10)), 3);
 }
 
 #[test]
-fn a_request_beyond_a_lowered_number_of_attempts_is_answered_at_the_next_call() {
+fn a_request_beyond_a_lowered_maximum_of_attempts_is_denied_at_the_next_call() {
     let mut scheduler = Scheduler::new(settings(), 1);
     let first = [list(None), Event::Request(request(1, START, 4.0))];
     scheduler.handle(START, &first, &mut Vec::new());
     let failed = Event::AttemptEnded(end(RequestId(1), NodeId(1), Outcome::NotConnected));
     let soon = START + Duration::from_millis(10);
     let mut actions = Vec::new();
-    // The node rests after its failure, and the request waits for it.
-    let rests = Event::AttemptEnded(end(RequestId(9), NodeId(1), Outcome::NotConnected));
-    scheduler.handle(soon, &[failed, rests], &mut actions);
+    // The node is blocked after its failures, and the request waits for it.
+    let blocks = Event::AttemptEnded(end(RequestId(9), NodeId(1), Outcome::NotConnected));
+    scheduler.handle(soon, &[failed, blocks], &mut actions);
     if actions.iter().any(|action| matches!(action, Action::Send { .. })) {
         let failed = Event::AttemptEnded(end(RequestId(1), NodeId(1), Outcome::NotConnected));
         let blocked_until = soon + Duration::from_secs(1);
@@ -341,37 +342,41 @@
     assert!(actions.contains(&Action::Refuse { id: RequestId(1), retry_after }), "{actions:?}");
 }
 
-/// Hosts take a change over together: were a cold node's store brought up to its top, each would send at once.
+/// Initiators apply a change at the same time: if the bucket of a node in slow start was filled, all would
+/// send at once.
 #[test]
-fn a_change_of_what_cold_nodes_bear_lets_nothing_through_by_itself() {
+fn a_change_of_the_slow_start_units_permits_no_send_by_itself() {
     let started = START - Duration::from_secs(3);
     let mut scheduler = Scheduler::new(settings(), 1);
     scheduler.handle(START, &[list(Some(started))], &mut Vec::new());
     let mean = settings().units.mean;
     let rate = scheduler.slow_start_rate(scheduler.nodes.get(NodeId(1)).unwrap());
-    // Paid up, and past the place in time at which it was open last.
-    let paid_up = TokenBucket { level: mean - 1e-3, updated_at: START };
-    scheduler.nodes.change(NodeId(1), |node| node.slow_start = paid_up).unwrap();
+    // The bucket is nearly full, after the time at which a send was last permitted.
+    let nearly_full = TokenBucket { level: mean - 1e-3, updated_at: START };
+    scheduler.nodes.change(NodeId(1), |node| node.slow_start = nearly_full).unwrap();
     let mut changed = settings();
     changed.units.slow_start_units = 3.0;
     changed.rules.overload_window = settings().rules.overload_window;
     scheduler.reconfigure(START, changed).unwrap();
-    assert!(scheduler.nodes.get(NodeId(1)).unwrap().slow_start.level >= mean - 1e-3, "as it was, not capped");
+    assert!(
+        scheduler.nodes.get(NodeId(1)).unwrap().slow_start.level >= mean - 1e-3,
+        "unchanged and not capped"
+    );
     let now = scheduler.slow_start_rate(scheduler.nodes.get(NodeId(1)).unwrap());
     assert!((rate - 10.0).abs() < 1e-9 && (now - 1.0).abs() < 1e-9, "{rate} then {now}");
-    // What came in since it was looked at last came at the old rate.
+    // Since its last update the bucket was filled at the old rate.
     let earlier = START - Duration::from_millis(500);
     scheduler
         .nodes
         .change(NodeId(1), |node| node.slow_start = TokenBucket { level: -3.0, updated_at: earlier })
         .unwrap();
     scheduler.reconfigure(START, settings()).unwrap();
-    let paid = scheduler.nodes.get(NodeId(1)).unwrap().slow_start.level;
-    assert!((paid - (-3.0 + 0.5 * now)).abs() < 1e-9, "{paid}");
+    let level = scheduler.nodes.get(NodeId(1)).unwrap().slow_start.level;
+    assert!((level - (-3.0 + 0.5 * now)).abs() < 1e-9, "{level}");
 }
 
 #[test]
-fn a_shifted_level_lets_what_is_worth_least_through_as_deep_as_before() {
+fn a_shifted_level_admits_the_least_valuable_requests_as_deep_as_before() {
     let mut scheduler = Scheduler::new(settings(), 1);
     scheduler.admission_level = 1.0;
     let mut halved = settings();
@@ -393,7 +398,7 @@
 }
 
 #[test]
-fn past_performance_is_measured_by_the_new_aim() {
+fn past_performance_is_rescaled_to_the_new_latency_target() {
     let mut scheduler = Scheduler::new(settings(), 1);
     scheduler.classes[0].history.push_back((1.2, 4.0));
     scheduler.classes[1].history.push_back((1.2, 4.0));
@@ -404,9 +409,9 @@
     assert_eq!((history(0), history(1)), ((0.6, 4.0), (1.2, 4.0)));
 }
 
-/// What many held requests are ranked by is reckoned once at a time, with the units of the largest request.
+/// The demand that queued requests are ranked by is cached, and depends on the units of the largest request.
 #[test]
-fn what_was_reckoned_with_old_figures_is_reckoned_again() {
+fn values_cached_under_old_settings_are_computed_again() {
     let (mut scheduler, start) = waiting(settings(), 1);
     let demand = |scheduler: &Scheduler| {
         let volume = &scheduler.volumes[&VolumeId(7)];
@@ -423,7 +428,7 @@
 }
 
 #[test]
-fn a_lowered_burst_caps_at_once() {
+fn a_lowered_burst_caps_the_bucket_at_once() {
     let (mut scheduler, start) = waiting(with_limit(Some(limit(20.0, 32.0, 0.0))), 0);
     scheduler.volumes.insert(VolumeId(7), Volume { plan_and_initiators: (0, 1.0), ..Volume::default() });
     scheduler.volumes.get_mut(&VolumeId(7)).unwrap().limit = TokenBucket { level: 30.0, updated_at: start };
--- a/tests/cold_fleet.rs
+++ b/tests/cold_fleet.rs
@@ -1,51 +1,52 @@
-//! Rule 4 at the size that operators expect: 460 hosts before a node of the size that 640,000 requests a second over 730
-//! nodes need. Requests come at random times whether or not earlier ones were answered, so hosts hold many at a time.
+//! Rule 4 at the size that operators expect: 460 initiators send to a node of the capacity that 640,000 requests a
+//! second over 730 nodes need. Requests arrive at random times, independent of earlier answers, so initiators queue
+//! many.
 
 mod common;
 
-use common::cold::{capacity, warmth, worst};
+use common::cold::{capacity, capacity_share, worst};
 use common::*;
 use proptest::prelude::RngExt;
 use proptest::test_runner::{RngAlgorithm, TestRng};
 use std::collections::{BTreeMap, VecDeque};
 use topazpath::interface::*;
 
-const HOSTS: usize = 460;
-/// Requests a second of the fleet for each node.
+const INITIATORS: usize = 460;
+/// Requests a second of the fleet to each node.
 const RATE: f64 = 640_000.0 / 730.0;
 /// Units of a request, in turn; the mean is what the settings state.
 const SIZES: [f64; 4] = [1.0, 2.0, 1.0, 4.0];
 const STEP: Duration = ms(10);
-/// A node whose queue would take longer than this turns requests away, which count as sent to it.
-const LONGEST_QUEUE: Duration = ms(300);
+/// A node whose queue would take longer than this rejects requests; these count as sent to it.
+const MAX_QUEUE_TIME: Duration = ms(300);
 const SHARD: u32 = 0;
 const OLD: NodeId = NodeId(1);
-const COLD: NodeId = NodeId(2);
+const NEW: NodeId = NodeId(2);
 
-/// Who has the requests, and what hosts know of the shard when its node is replaced by a cold one.
+/// The distribution of requests, and what initiators have learned of the shard when its node is replaced by a new one.
 #[derive(Clone, Copy, Debug)]
-struct Scene {
-    /// Requests come so many times as often as a warm node can serve.
+struct Scenario {
+    /// Rate of requests, as a multiple of what a node at full capacity serves.
     demand: f64,
-    /// This part of all requests comes to a tenth of the hosts.
+    /// Share of requests that arrive at a tenth of the initiators.
     skew: f64,
-    /// So long a warm node served the shard before.
+    /// How long a node at full capacity served the shard before.
     before: Duration,
-    /// All hosts start again as the node does.
+    /// All initiators restart at the same time as the node.
     restart: bool,
 }
 
-/// What a node that takes requests in turn at its present capacity has to do.
+/// A node that serves one request at a time, at its present capacity.
 struct Node {
     started: Option<Duration>,
     free: Duration,
     answers: VecDeque<(Duration, Answer)>,
 }
 
-/// The end of an attempt, on its way to a host.
+/// The end of an attempt, before it has arrived at its initiator.
 #[derive(Clone, Copy)]
 struct Answer {
-    host: usize,
+    initiator: usize,
     id: RequestId,
     attempt: u32,
     node: NodeId,
@@ -68,27 +69,27 @@
     }
 }
 
-/// Hosts, their requests and the nodes of one shard.
-struct World {
+/// Initiators, their requests and the nodes of one shard.
+struct Simulation {
     settings: Settings,
-    scene: Scene,
+    scenario: Scenario,
     random: TestRng,
     now: Duration,
-    hosts: Vec<Host>,
-    /// When each host wants to be called.
+    initiators: Vec<Initiator>,
+    /// When each initiator has asked to be called.
     wakes: Vec<Option<Duration>>,
-    /// What each open request weighs, and its attempts so far.
+    /// Units of each open request, and its attempts so far.
     open: BTreeMap<(usize, RequestId), (f64, u32)>,
     nodes: BTreeMap<NodeId, Node>,
     requests: usize,
-    /// Units that each attempt on the cold node weighs, by its time.
+    /// Time and units of each attempt at the node in slow start.
     sent: Vec<(Duration, f64)>,
 }
 
-/// Settings under which a warm node serves [`RATE`].
+/// Settings under which a node at full capacity serves [`RATE`].
 fn fleet_settings() -> Settings {
     let mut settings = settings(vec![Class { deadline: ms(2000), ..class(Effect::Safe) }]);
-    settings.initiators = HOSTS as u32;
+    settings.initiators = INITIATORS as u32;
     let rules = &mut settings.rules;
     (rules.slow_start_min_share, rules.overload_factor) = (0.16, 3.0);
     (rules.overload_window, rules.slow_start_time) = (ms(3000), ms(18_000));
@@ -97,72 +98,75 @@
     settings
 }
 
-impl World {
-    fn new(scene: Scene, seed: u8) -> World {
+impl Simulation {
+    fn new(scenario: Scenario, seed: u8) -> Simulation {
         let settings = fleet_settings();
-        let now = START - scene.before;
-        let mut world = World {
+        let now = START - scenario.before;
+        let mut simulation = Simulation {
             settings,
-            scene,
+            scenario,
             random: TestRng::from_seed(RngAlgorithm::ChaCha, &[seed; 32]),
             now,
-            hosts: Vec::new(),
-            wakes: vec![None; HOSTS],
+            initiators: Vec::new(),
+            wakes: vec![None; INITIATORS],
             open: BTreeMap::new(),
             nodes: BTreeMap::new(),
             requests: 0,
             sent: Vec::new(),
         };
-        world.start_hosts(0);
-        world
+        simulation.start_initiators(0);
+        simulation
     }
 
-    fn start_hosts(&mut self, generation: u64) {
-        let seed = |host: usize| (host as u64 + 1 + (generation << 32)).wrapping_mul(0x9E37_79B9_7F4A_7C15);
-        self.hosts =
-            (0..HOSTS).map(|host| Host::started(self.settings.clone(), &[], seed(host), self.now)).collect();
+    fn start_initiators(&mut self, generation: u64) {
+        let seed = |initiator: usize| {
+            (initiator as u64 + 1 + (generation << 32)).wrapping_mul(0x9E37_79B9_7F4A_7C15)
+        };
+        self.initiators = (0..INITIATORS)
+            .map(|initiator| Initiator::started(self.settings.clone(), &[], seed(initiator), self.now))
+            .collect();
         self.open.clear();
-        self.wakes = vec![None; HOSTS];
+        self.wakes = vec![None; INITIATORS];
     }
 
-    /// All hosts hear that the shard has this node, and no other.
+    /// Sends all initiators a node list with this node alone.
     fn list(&mut self, node: NodeId, started: Option<Duration>) {
         let entry = NodeEntry { started, ..common::node(node.0, SHARD) };
         self.nodes.insert(node, Node { started, free: self.now, answers: VecDeque::new() });
-        for host in 0..HOSTS {
-            self.hosts[host].now = self.now;
-            let actions = self.hosts[host].list(ListKind::Full, std::slice::from_ref(&entry));
-            self.carry_out(host, &actions);
+        for initiator in 0..INITIATORS {
+            self.initiators[initiator].now = self.now;
+            let actions = self.initiators[initiator].list(ListKind::Full, std::slice::from_ref(&entry));
+            self.execute(initiator, &actions);
         }
     }
 
-    /// A number from 0 up to 1.
+    /// A uniformly distributed number in [0, 1).
     fn draw(&mut self) -> f64 {
         self.random.random()
     }
 
-    /// The host that the next request comes to.
-    fn draw_host(&mut self) -> usize {
-        let busy = HOSTS / 10;
-        if self.draw() < self.scene.skew {
+    /// The initiator that the next request arrives at.
+    fn draw_initiator(&mut self) -> usize {
+        let busy = INITIATORS / 10;
+        if self.draw() < self.scenario.skew {
             self.random.random_range(0..busy)
         } else {
-            self.random.random_range(busy..HOSTS)
+            self.random.random_range(busy..INITIATORS)
         }
     }
 
-    /// Requests that come within a step: a Poisson process, by counting exponential gaps.
+    /// Requests that arrive within a step: a Poisson process, by exponentially distributed gaps.
     fn arrivals(&mut self, events: &mut BTreeMap<usize, Vec<Event>>) {
-        let mean = RATE * self.scene.demand * STEP.as_secs_f64();
+        let mean = RATE * self.scenario.demand * STEP.as_secs_f64();
         let mut gaps = -(1.0 - self.draw()).ln();
         while gaps < mean {
-            let host = self.draw_host();
-            self.hosts[host].now = self.now;
-            let mut new = self.hosts[host].new_request(0, SHARD, self.requests as u64);
+            let initiator = self.draw_initiator();
+            self.initiators[initiator].now = self.now;
+            let mut new = self.initiators[initiator].new_request(0, SHARD, self.requests as u64);
             new.units = SIZES[self.requests % SIZES.len()];
             self.requests += 1;
-            self.open.insert((host, new.id), (new.units, 0));
-            events.entry(host).or_default().push(Event::Request(new));
+            self.open.insert((initiator, new.id), (new.units, 0));
+            events.entry(initiator).or_default().push(Event::Request(new));
             gaps -= (1.0 - self.draw()).ln();
         }
     }
@@ -170,108 +174,114 @@
     fn answers(&mut self, events: &mut BTreeMap<usize, Vec<Event>>) {
         for node in self.nodes.values_mut() {
             while let Some((_, answer)) = node.answers.pop_front_if(|(at, _)| *at <= self.now) {
-                events.entry(answer.host).or_default().push(answer.event(self.now));
+                events.entry(answer.initiator).or_default().push(answer.event(self.now));
             }
         }
     }
 
-    fn play(&mut self, time: Duration) {
+    fn run(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
             self.now += STEP;
             let mut events = BTreeMap::new();
             self.answers(&mut events);
             self.arrivals(&mut events);
-            for host in 0..HOSTS {
-                if self.wakes[host].is_some_and(|at| at <= self.now) {
-                    events.entry(host).or_default().push(Event::Wake);
+            for initiator in 0..INITIATORS {
+                if self.wakes[initiator].is_some_and(|at| at <= self.now) {
+                    events.entry(initiator).or_default().push(Event::Wake);
                 }
             }
-            for (host, events) in events {
-                self.wakes[host] = None;
-                self.hosts[host].now = self.now;
-                let actions = self.hosts[host].handle(&events);
-                self.carry_out(host, &actions);
+            for (initiator, events) in events {
+                self.wakes[initiator] = None;
+                self.initiators[initiator].now = self.now;
+                let actions = self.initiators[initiator].handle(&events);
+                self.execute(initiator, &actions);
             }
         }
     }
 
-    fn carry_out(&mut self, host: usize, actions: &[Action]) {
+    fn execute(&mut self, initiator: usize, actions: &[Action]) {
         for action in actions {
             match action {
-                Action::Send { id, node, .. } => self.send(host, *id, *node),
+                Action::Send { id, node, .. } => self.send(initiator, *id, *node),
                 Action::Refuse { id, .. } | Action::Fail { id } => {
-                    self.open.remove(&(host, *id));
+                    self.open.remove(&(initiator, *id));
                 }
-                Action::WakeAt(at) => self.wakes[host] = Some(*at),
+                Action::WakeAt(at) => self.wakes[initiator] = Some(*at),
                 Action::Cancel { .. } | Action::Subscribe => {}
             }
         }
     }
 
-    fn send(&mut self, host: usize, id: RequestId, to: NodeId) {
-        let Some((units, attempts)) = self.open.get_mut(&(host, id)) else { return };
+    fn send(&mut self, initiator: usize, id: RequestId, to: NodeId) {
+        let Some((units, attempts)) = self.open.get_mut(&(initiator, id)) else { return };
         let (units, attempt) = (*units, *attempts);
         *attempts += 1;
-        if to == COLD {
+        if to == NEW {
             self.sent.push((self.now, units));
         }
         let Some(node) = self.nodes.get_mut(&to) else { return };
-        let warm = node.started.map_or(1.0, |started| warmth(&self.settings, self.now - started));
-        let answer = Answer { host, id, attempt, node: to, sent: self.now, outcome: Outcome::Served };
-        if node.free > self.now + LONGEST_QUEUE {
+        let present_share =
+            node.started.map_or(1.0, |started| capacity_share(&self.settings, self.now - started));
+        let answer = Answer { initiator, id, attempt, node: to, sent: self.now, outcome: Outcome::Served };
+        if node.free > self.now + MAX_QUEUE_TIME {
             node.answers.push_front((self.now, Answer { outcome: Outcome::Rejected, ..answer }));
             return;
         }
-        let work = Duration::from_secs_f64(units / capacity(&self.settings) / warm);
+        let work = Duration::from_secs_f64(units / capacity(&self.settings) / present_share);
         node.free = node.free.max(self.now) + work;
         node.answers.push_back((node.free, answer));
     }
 }
 
-/// Plays a scene until the node is warm: the fullest window as a part of what is allowed, and what was sent in all.
-fn play(scene: Scene, seed: u8) -> (f64, f64) {
-    let mut world = World::new(scene, seed);
-    if scene.before > Duration::ZERO {
-        world.list(OLD, None);
-        world.play(scene.before);
+/// Runs a scenario until the node's slow start is over. Returns the fullest window relative to what is allowed, and the
+/// total of units sent.
+fn run(scenario: Scenario, seed: u8) -> (f64, f64) {
+    let mut simulation = Simulation::new(scenario, seed);
+    if scenario.before > Duration::ZERO {
+        simulation.list(OLD, None);
+        simulation.run(scenario.before);
     }
-    if scene.restart {
-        world.start_hosts(1);
+    if scenario.restart {
+        simulation.start_initiators(1);
     }
-    world.nodes.clear();
-    world.list(COLD, Some(START));
-    world.play(world.settings.rules.slow_start_time);
-    let sum: f64 = world.sent.iter().map(|(_, units)| units).sum();
-    (worst(&world.settings, &world.sent), sum)
+    simulation.nodes.clear();
+    simulation.list(NEW, Some(START));
+    simulation.run(simulation.settings.rules.slow_start_time);
+    let sum: f64 = simulation.sent.iter().map(|(_, units)| units).sum();
+    (worst(&simulation.settings, &simulation.sent), sum)
 }
 
-const SCENES: [(&str, Scene); 5] = [
-    ("replaced", Scene { demand: 1.0, skew: 0.1, before: ms(20_000), restart: false }),
-    ("replaced under a crowd", Scene { demand: 2.0, skew: 0.1, before: ms(20_000), restart: false }),
-    ("replaced, few hosts busy", Scene { demand: 1.0, skew: 0.7, before: ms(20_000), restart: false }),
-    ("all start again", Scene { demand: 1.0, skew: 0.1, before: ms(20_000), restart: true }),
-    ("new, under a crowd", Scene { demand: 2.0, skew: 0.7, before: ms(0), restart: false }),
+const SCENARIOS: [(&str, Scenario); 5] = [
+    ("replaced", Scenario { demand: 1.0, skew: 0.1, before: ms(20_000), restart: false }),
+    ("replaced under double load", Scenario { demand: 2.0, skew: 0.1, before: ms(20_000), restart: false }),
+    (
+        "replaced, few initiators busy",
+        Scenario { demand: 1.0, skew: 0.7, before: ms(20_000), restart: false },
+    ),
+    ("all restart", Scenario { demand: 1.0, skew: 0.1, before: ms(20_000), restart: true }),
+    ("new, under double load", Scenario { demand: 2.0, skew: 0.7, before: ms(0), restart: false }),
 ];
 
 #[test]
-fn a_cold_node_of_the_expected_size_is_not_pushed_over_by_460_hosts() {
-    let mut told = Vec::new();
+fn a_slow_starting_node_of_the_expected_size_is_not_overloaded_by_460_initiators() {
+    let mut results = Vec::new();
     let mut holds = true;
-    for (name, scene) in SCENES {
-        let (worst, units) = play(scene, 1);
-        told.push(format!("{name}: {worst:.2} of what is allowed, {units:.0} units sent"));
+    for (name, scenario) in SCENARIOS {
+        let (worst, units) = run(scenario, 1);
+        results.push(format!("{name}: {worst:.2} of what is allowed, {units:.0} units sent"));
         holds &= worst <= 1.0;
     }
-    assert!(holds, "{}", told.join("; "));
+    assert!(holds, "{}", results.join("; "));
 }
 
-/// What a node can serve while it warms up, against what is sent to it: the fleet does not leave it idle either.
+/// The fleet uses at least 0.6 of what a node can serve during its slow start.
 #[test]
-fn a_cold_node_of_the_expected_size_gets_much_of_what_it_can_serve() {
+fn a_slow_starting_node_of_the_expected_size_gets_most_of_what_it_can_serve() {
     let settings = fleet_settings();
-    let mean_warmth = (settings.rules.slow_start_min_share + 1.0) / 2.0;
-    let can = capacity(&settings) * mean_warmth * settings.rules.slow_start_time.as_secs_f64();
-    let (_, units) = play(SCENES[0].1, 2);
-    assert!(units >= 0.6 * can, "{units:.0} units sent of {can:.0}");
+    let mean_capacity_share = (settings.rules.slow_start_min_share + 1.0) / 2.0;
+    let serviceable =
+        capacity(&settings) * mean_capacity_share * settings.rules.slow_start_time.as_secs_f64();
+    let (_, units) = run(SCENARIOS[0].1, 2);
+    assert!(units >= 0.6 * serviceable, "{units:.0} units sent of {serviceable:.0}");
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A host whose events are scripted by the test; nothing here answers by itself.
+//! A scheduler whose events are scripted by the test; nothing answers on its own.
 #![allow(dead_code)]
 
 pub mod cold;
@@ -8,15 +8,15 @@
 
 pub use std::time::Duration;
 
-/// Time between two looks of a run, and the start of every script.
-pub const LOOK: Duration = ms(5);
+/// Time between two calls of the scheduler in [`Initiator::run`], and the start of every script.
+pub const CHECK_INTERVAL: Duration = ms(5);
 pub const START: Duration = ms(100_000);
 
 pub const fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
 }
 
-pub struct Host {
+pub struct Initiator {
     scheduler: Scheduler,
     pub now: Duration,
     /// Every action so far with its time.
@@ -83,24 +83,24 @@
     }
 }
 
-impl Host {
+impl Initiator {
     pub fn new(settings: Settings, nodes: &[NodeEntry]) -> Self {
-        Host::seeded(settings, nodes, 1)
+        Initiator::seeded(settings, nodes, 1)
     }
 
     pub fn seeded(settings: Settings, nodes: &[NodeEntry], seed: u64) -> Self {
-        Host::started(settings, nodes, seed, START)
+        Initiator::started(settings, nodes, seed, START)
     }
 
-    /// One that starts at another time: its clock never goes back.
+    /// One that starts at another time.
     pub fn started(settings: Settings, nodes: &[NodeEntry], seed: u64, now: Duration) -> Self {
         let scheduler = Scheduler::new(settings, seed);
-        let mut host = Host { scheduler, now, log: Vec::new(), next_id: 0 };
-        host.list(ListKind::Cached, nodes);
-        host
+        let mut initiator = Initiator { scheduler, now, log: Vec::new(), next_id: 0 };
+        initiator.list(ListKind::Cached, nodes);
+        initiator
     }
 
-    /// Nodes that its scheduler has looked at so far.
+    /// Nodes that its scheduler has visited so far.
     pub fn nodes_visited(&self) -> u64 {
         self.scheduler.nodes_visited()
     }
@@ -144,7 +144,7 @@
             .iter()
             .rev()
             .find(|(_, action)| matches!(action, Action::Send { id: s, .. } if *s == id));
-        let latency = self.now - sent.expect("only what was sent can end").0;
+        let latency = self.now - sent.expect("only sent requests can end").0;
         let finished = outcome == Outcome::Served;
         let node = NodeId(node);
         let end = AttemptEnd {
@@ -160,12 +160,12 @@
         self.handle(&[Event::AttemptEnded(end)])
     }
 
-    /// Lets time pass with a look every few milliseconds.
+    /// Advances the time, with a call of the scheduler every [`CHECK_INTERVAL`].
     pub fn run(&mut self, span: Duration) -> Vec<Action> {
         let until = self.now + span;
         let mut actions = Vec::new();
         while self.now < until {
-            self.now += LOOK;
+            self.now += CHECK_INTERVAL;
             actions.extend(self.handle(&[Event::Wake]));
         }
         actions
@@ -180,7 +180,7 @@
         self.log.iter().filter_map(sent).collect()
     }
 
-    /// Final answers for a request, with their times.
+    /// Final answers to a request, with their times.
     pub fn answers(&self, wanted: RequestId) -> Vec<(Duration, Action)> {
         let is_answer = |action: &Action| match action {
             Action::Refuse { id, .. } | Action::Fail { id } => *id == wanted,
@@ -190,7 +190,7 @@
     }
 }
 
-/// How many of the actions are sends.
+/// Number of sends among the actions.
 pub fn sends(actions: &[Action]) -> usize {
     actions.iter().filter(|action| matches!(action, Action::Send { .. })).count()
 }
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -16,7 +16,7 @@
     let mut seed = 0;
     let mut hosts = settings.map(|settings| {
         seed += 1;
-        Host::seeded(settings, nodes, seed)
+        Initiator::seeded(settings, nodes, seed)
     });
     let mut sent = Vec::new();
     for step in 0..steps {
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The adapter's frames: what it reads, what it writes, and how it ends on what is malformed.
+//! The frames of the simulator's adapter: what it reads and writes, and how it exits on malformed input.
 
 #[path = "../src/bin/topazpath-wirehost/frames.rs"]
 mod frames;
@@ -32,7 +32,7 @@
     record(7, &[&instance.to_le_bytes()])
 }
 
-fn born(settings: &str) -> Vec<u8> {
+fn start_record(settings: &str) -> Vec<u8> {
     record(10, &[&7u64.to_le_bytes(), &(settings.len() as u32).to_le_bytes(), settings.as_bytes()])
 }
 
@@ -49,7 +49,7 @@
     record(1, &[&[kind], &1u64.to_le_bytes(), &1u32.to_le_bytes(), &entry.concat()])
 }
 
-fn inbound(id: u64, deadline: f64, shard: f32) -> Vec<u8> {
+fn request_record(id: u64, deadline: f64, shard: f32) -> Vec<u8> {
     let head =
         [&id.to_le_bytes()[..], &[0], &0u32.to_le_bytes(), &5u64.to_le_bytes(), &deadline.to_le_bytes()];
     let tail =
@@ -57,14 +57,14 @@
     record(5, &[&head.concat(), &tail.concat()])
 }
 
-fn resolved(id: u64, code: u16) -> Vec<u8> {
+fn outcome_record(id: u64, code: u16) -> Vec<u8> {
     let head =
         [&id.to_le_bytes()[..], &3u16.to_le_bytes(), &code.to_le_bytes(), &[1, 0], &251u16.to_le_bytes()];
     let tail = [&4u32.to_le_bytes()[..], &12.5f64.to_le_bytes(), &[1], &0.5f32.to_le_bytes()];
     record(11, &[&head.concat(), &tail.concat()])
 }
 
-fn drill(input: &[u8]) -> Output {
+fn run(input: &[u8]) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_topazpath-wirehost"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
@@ -76,8 +76,8 @@
     child.wait_with_output().expect("the adapter ends")
 }
 
-fn refused(input: &[u8]) {
-    let output = drill(input);
+fn assert_exits_with_one_message(input: &[u8]) {
+    let output = run(input);
     assert!(!output.status.success());
     let text = String::from_utf8(output.stderr).expect("plain text");
     assert_eq!(text.lines().count(), 1, "{text}");
@@ -90,9 +90,9 @@
 }
 
 #[test]
-fn a_request_is_sent_and_an_empty_batch_answered() {
-    let start = [select(3), born(SETTINGS), list(1, 4), inbound(77, 2500.0, 0.0)];
-    let output = drill(&[batch(1, 500.0, &[]), batch(2, 501.0, &start)].concat());
+fn a_request_is_sent_and_an_empty_batch_gets_an_empty_reply() {
+    let start = [select(3), start_record(SETTINGS), list(1, 4), request_record(77, 2500.0, 0.0)];
+    let output = run(&[batch(1, 500.0, &[]), batch(2, 501.0, &start)].concat());
     assert!(output.status.success() && output.stderr.is_empty());
     assert_eq!(output.stdout[..8], [1, 0, 0, 0, 0, 0, 0, 0]);
     let send = record(1, &[&77u64.to_le_bytes(), &4u32.to_le_bytes(), &2500f64.to_le_bytes()]);
@@ -103,33 +103,37 @@
 }
 
 #[test]
-fn an_instance_that_starts_anew_or_stops_has_forgotten() {
-    let start = [select(0), born(SETTINGS), list(1, 4)];
-    let again = [select(0), record(9, &[]), born(SETTINGS), list(1, 4), resolved(77, 200)];
-    let stop = [select(0), record(9, &[]), resolved(77, 200)];
+fn a_restarted_or_stopped_instance_ignores_earlier_requests() {
+    let start = [select(0), start_record(SETTINGS), list(1, 4)];
+    let again = [select(0), record(9, &[]), start_record(SETTINGS), list(1, 4), outcome_record(77, 200)];
+    let stop = [select(0), record(9, &[]), outcome_record(77, 200)];
     let input = [batch(1, 1.0, &start), batch(2, 2.0, &again), batch(3, 3.0, &stop)].concat();
-    let output = drill(&input);
+    let output = run(&input);
     assert!(output.status.success());
     assert!(output.stdout.ends_with(&[3, 0, 0, 0, 0, 0, 0, 0]), "nothing is done for a stopped instance");
 }
 
 #[test]
-fn malformed_input_ends_with_one_message() {
-    let good = batch(1, 5.0, &[select(0), born(SETTINGS)]);
-    refused(&good[..good.len() - 3]);
-    refused(&good[..HEADER_BYTES - 5]);
-    refused(&batch(1, 5.0, &[born(SETTINGS)]));
-    refused(&batch(1, 5.0, &[select(0), record(99, &[&[1, 2]])]));
-    refused(&batch(1, 5.0, &[record(7, &[&[1, 2]])]));
-    refused(&batch(1, 5.0, &[record(7, &[&[1, 2, 3, 4, 5]])]));
-    refused(&batch(1, 5.0, &[select(0), born("{}")]));
-    refused(&batch(1, 5.0, &[select(0), born("not json")]));
-    refused(&batch(1, 5.0, &[select(0), born(&SETTINGS.replace("read_like", "whatever"))]));
-    refused(&batch(1, 5.0, &[select(0), born(SETTINGS), list(9, 4)]));
+fn malformed_input_ends_the_adapter_with_one_message() {
+    let good = batch(1, 5.0, &[select(0), start_record(SETTINGS)]);
+    assert_exits_with_one_message(&good[..good.len() - 3]);
+    assert_exits_with_one_message(&good[..HEADER_BYTES - 5]);
+    assert_exits_with_one_message(&batch(1, 5.0, &[start_record(SETTINGS)]));
+    assert_exits_with_one_message(&batch(1, 5.0, &[select(0), record(99, &[&[1, 2]])]));
+    assert_exits_with_one_message(&batch(1, 5.0, &[record(7, &[&[1, 2]])]));
+    assert_exits_with_one_message(&batch(1, 5.0, &[record(7, &[&[1, 2, 3, 4, 5]])]));
+    assert_exits_with_one_message(&batch(1, 5.0, &[select(0), start_record("{}")]));
+    assert_exits_with_one_message(&batch(1, 5.0, &[select(0), start_record("not json")]));
+    assert_exits_with_one_message(&batch(
+        1,
+        5.0,
+        &[select(0), start_record(&SETTINGS.replace("read_like", "whatever"))],
+    ));
+    assert_exits_with_one_message(&batch(1, 5.0, &[select(0), start_record(SETTINGS), list(9, 4)]));
 }
 
 #[test]
-fn outcomes_are_read_and_unknown_codes_may_have_run() {
+fn outcome_codes_are_read_and_other_codes_are_unknown() {
     for (code, outcome) in [
         (200, Outcome::Served),
         (500, Outcome::Error),
@@ -151,13 +155,13 @@
             volume_usage: Some(2.5),
             served_elsewhere: 3.0,
         };
-        let records = parse(&batch(1, 1.0, &[resolved(77, code)])).expect("well formed");
+        let records = parse(&batch(1, 1.0, &[outcome_record(77, code)])).expect("well formed");
         assert_eq!(records, [Record::Event(Event::AttemptEnded(end))]);
     }
 }
 
 #[test]
-fn every_action_has_its_bytes() {
+fn every_action_is_written_as_specified() {
     let mut reply = Reply::default();
     reply.select(5);
     reply.internal_error("why");
@@ -190,7 +194,7 @@
 
     #[test]
     fn requests_are_read_as_they_were_written(id in 0u64..1 << 52, deadline in 0u32.., shard in -1i32..65536) {
-        let records = parse(&batch(1, 1.0, &[inbound(id, deadline.into(), shard as f32)])).expect("well formed");
+        let records = parse(&batch(1, 1.0, &[request_record(id, deadline.into(), shard as f32)])).expect("well formed");
         let expected = NewRequest {
             id: RequestId(id),
             class: 0,
