--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,6 +1,6 @@
 //! Types at the scheduler's interface: its settings, the events that it handles, the actions that it returns, and ids.
 //!
-//! All times are durations since the origin of one monotonic clock. This module has no logic of its own.
+//! All times are durations since the origin of one monotonic clock. This module makes no decisions.
 
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
@@ -316,7 +316,7 @@
     Shares {
         /// Shares of volumes' limits; `None`: the equal share again.
         limits: Vec<(VolumeId, Option<f64>)>,
-        /// Shares of what nodes in slow start may be sent, likewise.
+        /// Shares of what nodes in slow start may be sent; `None`: the equal share again.
         slow_start: Vec<(NodeId, Option<f64>)>,
     },
     /// The event loop was delayed: events may have been waiting here for up to this time. Holds until the next such
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -221,8 +221,8 @@
     fn apply_shares(&mut self, limits: &[(VolumeId, Option<f64>)], slow_start: &[(NodeId, Option<f64>)]) {
         for (id, share) in limits {
             if let Some(volume) = self.volumes.get_mut(id) {
-                let part = limit_share(&self.settings, volume.plan_and_initiators, self.limit_shares.get(id));
-                part.map(|(rate, burst)| volume.limit.fill(self.now, rate, burst));
+                let old = limit_share(&self.settings, volume.plan_and_initiators, self.limit_shares.get(id));
+                old.map(|(rate, burst)| volume.limit.fill(self.now, rate, burst));
             }
             match share {
                 Some(share) => self.limit_shares.insert(*id, *share),
--- a/src/rules/classes.rs
+++ b/src/rules/classes.rs
@@ -34,12 +34,12 @@
 
     /// Requirement estimator: requests the bound that meets the latency target, within one step of the
     /// present one. Without a slope or answers the last request stays.
-    pub fn update_request(&mut self, total: f64, aim: Duration) {
+    pub fn update_request(&mut self, total: f64, target: Duration) {
         let (sum, answers) = std::mem::take(&mut self.latency);
         if answers == 0.0 {
             return;
         }
-        let performance = aim.as_secs_f64() * answers / sum.as_secs_f64().max(f64::MIN_POSITIVE);
+        let performance = target.as_secs_f64() * answers / sum.as_secs_f64().max(f64::MIN_POSITIVE);
         self.history.push_back((performance, self.bound * total));
         self.history.drain(..self.history.len().saturating_sub(FIT_INTERVALS + 1));
         if let Some(slope) = self.refit() {
--- a/src/rules/dispatch.rs
+++ b/src/rules/dispatch.rs
@@ -40,11 +40,13 @@
         }
     }
 
+    /// The candidates of a call: nodes with requests queued for their shard, and the iteration over the
+    /// others.
     fn offers(&self) -> Offers {
-        let aim = min_latency_target(&self.settings);
+        let target = min_latency_target(&self.settings);
         let wait = |node: &Node| {
             let queued = self.queue.requests_for(Some(node.entry.shard)).len();
-            (Wait::of(node.expected_wait(queued, aim)), node.entry.node)
+            (Wait::of(node.expected_wait(queued, target)), node.entry.node)
         };
         let of_shards = self.queue.shards().flat_map(|shard| self.nodes.usable_of(shard));
         let mut of_shards: Vec<(Wait, NodeId)> = of_shards.map(wait).collect();
@@ -78,6 +80,7 @@
         self.nodes.by_wait_after(offers.position).find(|(_, id)| !offers.visited.contains(id))
     }
 
+    /// Marks a node as visited and returns its id.
     fn visit(&self, offers: &mut Offers, other: (Wait, NodeId)) -> Option<NodeId> {
         offers.remaining -= 1;
         offers.position = Some(other);
@@ -118,6 +121,7 @@
         self.queue.len() == 1 && self.nodes.busy().next().is_none()
     }
 
+    /// Starts an attempt and accounts for it.
     fn send(&mut self, id: RequestId, node_id: NodeId, actions: &mut Vec<Action>) {
         let Some(key) = self.requests.get(&id).map(Request::queue_key) else { return };
         let Some(node) = self.nodes.get(node_id) else { return };
--- a/src/rules/guards.rs
+++ b/src/rules/guards.rs
@@ -55,6 +55,7 @@
         first && (self.now >= queue.settle_until || queue.last_attempted == Some(request.spec.id))
     }
 
+    /// Removes a finished request from the queue of its key.
     pub(super) fn leave_key_queue(&mut self, spec: &NewRequest) {
         self.key_queues.entry(spec.key).and_modify(|queue| queue.waiting.retain(|id| *id != spec.id));
     }
@@ -100,6 +101,7 @@
         node.slow_start_end(rules) <= self.now || is_open(self.slow_start_rate(node))
     }
 
+    /// Units a second that this initiator may send a node in slow start.
     pub(super) fn slow_start_rate(&self, node: &Node) -> f64 {
         let rules = &self.settings.rules;
         let equal_share = 1.0 / f64::from(self.settings.initiators.max(1));
--- a/src/rules/need.rs
+++ b/src/rules/need.rs
@@ -46,6 +46,7 @@
         depth / size.max(f64::MIN_POSITIVE) / (worth * units.share_worth)
     }
 
+    /// The level of a node: the highest cost that is admitted there now.
     pub(super) fn max_cost(&self, node: &Node) -> f64 {
         (self.admission_level + node.level_offset.value_at(self.now, LEVEL_MEMORY)).max(MIN_LEVEL).exp()
     }
@@ -79,6 +80,7 @@
         self.nodes.change_figures(node, |node| node.level_offset = level);
     }
 
+    /// Whether even a fast answer would miss the latency target of the request's class.
     fn is_past_target(&self, request: &Request, node: &Node) -> bool {
         self.now + node.optimistic_latency()
             > request.first_asked_at + self.settings.classes[request.spec.class].latency_target
--- a/src/rules/node.rs
+++ b/src/rules/node.rs
@@ -11,8 +11,8 @@
 pub(super) const MAX_NODE_DEPTH: f64 = 8.0;
 /// Up to this number of initiators, each starts with half of that depth; more of them share that total.
 const FULL_DEPTH_INITIATORS: f64 = 5.0;
-/// Share of the tightest latency target that may be spent in a node; the rest is spent in this queue, where
-/// the order can still be chosen.
+/// Share of the tightest latency target that may be spent in a node; the rest is spent in the queue here,
+/// where the order can still be chosen.
 const NODE_TIME_SHARE: f64 = 1.0 / 6.0;
 /// Above this share of errors a node's latency is not learned; so far above the lowest share of all nodes, it
 /// gets no new objects.
@@ -85,10 +85,12 @@
         self.entry.state == NodeState::Ready
     }
 
+    /// Smoothed latency less its deviation; zero before the first answer.
     pub fn optimistic_latency(&self) -> Duration {
         self.latency.map_or(Duration::ZERO, |(mean, deviation)| mean.saturating_sub(deviation))
     }
 
+    /// When its slow start ends; zero for a node whose start is not known.
     pub fn slow_start_end(&self, rules: &Rules) -> Duration {
         self.entry.started.map_or(Duration::ZERO, |started| started + rules.slow_start_time)
     }
@@ -101,9 +103,9 @@
     }
 
     /// Expected wait, in seconds, of a request behind `queued` others of its shard, by the smoothed latency.
-    pub fn expected_wait(&self, queued: usize, aim: Duration) -> f64 {
+    pub fn expected_wait(&self, queued: usize, default_latency: Duration) -> f64 {
         let ahead = (queued + self.in_flight.len() + 1) as f64;
-        ahead * self.latency.map_or(aim, |(mean, _)| mean).as_secs_f64()
+        ahead * self.latency.map_or(default_latency, |(mean, _)| mean).as_secs_f64()
     }
 
     /// Learns from the end of an attempt.
@@ -129,6 +131,7 @@
         }
     }
 
+    /// Updates latency, errors and depth by an answer.
     fn learn_answer(&mut self, end: &AttemptEnd, settings: &Settings) {
         (self.failures, self.blocked_until) = (0, Duration::ZERO);
         self.error_share +=
--- a/src/rules/reconfigure/tests.rs
+++ b/src/rules/reconfigure/tests.rs
@@ -82,7 +82,7 @@
     asked: u64,
     units: BTreeMap<RequestId, f64>,
     sent: Vec<(Duration, f64)>,
-    out: Vec<AttemptEnd>,
+    ended: Vec<AttemptEnd>,
     /// Number of final answers by request, served or not.
     answers: BTreeMap<RequestId, usize>,
     all_actions: Vec<Action>,
@@ -95,7 +95,7 @@
             asked: 0,
             units: BTreeMap::new(),
             sent: Vec::new(),
-            out: Vec::new(),
+            ended: Vec::new(),
             answers: BTreeMap::new(),
             all_actions: Vec::new(),
         };
@@ -104,7 +104,7 @@
     }
 
     fn step(&mut self, now: Duration, requests: &[u8]) {
-        let ended = std::mem::take(&mut self.out);
+        let ended = std::mem::take(&mut self.ended);
         ended.iter().for_each(|end| *self.answers.entry(end.id).or_default() += 1);
         let mut events: Vec<Event> = ended.into_iter().map(Event::AttemptEnded).collect();
         for units in requests {
@@ -118,7 +118,7 @@
             match action {
                 Action::Send { id, node, .. } => {
                     self.sent.push((now, self.units[id]));
-                    self.out.push(end(*id, *node, Outcome::Served));
+                    self.ended.push(end(*id, *node, Outcome::Served));
                 }
                 Action::Refuse { id, .. } | Action::Fail { id } => *self.answers.entry(*id).or_default() += 1,
                 _ => {}
@@ -391,9 +391,9 @@
         scheduler.admission_level
     );
     scheduler.admission_level = MIN_LEVEL;
-    let mut even = settings();
-    even.classes[0].worth = 4.0;
-    scheduler.reconfigure(START, even).unwrap();
+    let mut equal_worth = settings();
+    equal_worth.classes[0].worth = 4.0;
+    scheduler.reconfigure(START, equal_worth).unwrap();
     assert_eq!(scheduler.admission_level, MIN_LEVEL);
 }
 
--- a/src/rules/volume.rs
+++ b/src/rules/volume.rs
@@ -48,6 +48,7 @@
         }
     }
 
+    /// Learns from the end of an attempt; `base` is the plan's base rate.
     pub fn learn(&mut self, now: Duration, end: &AttemptEnd, units: f64, base: f64) {
         self.cached_demand.take();
         if end.outcome == Outcome::Served {
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -62,13 +62,13 @@
 
 fn sends_to(case: &Case, kind: Node) -> Vec<(Duration, f64)> {
     let settings = case_settings(case);
-    let cold = [NodeEntry { started: Some(START), ..node(1, 0) }];
+    let entries = [NodeEntry { started: Some(START), ..node(1, 0) }];
     let seed = |number: u32, generation: u64| {
         (u64::from(number) + 1 + (generation << 32)).wrapping_mul(0x9E37_79B9_7F4A_7C15)
     };
     let initiator = |number, generation, now| {
         let mut initiator = Initiator::started(settings.clone(), &[], seed(number, generation), now);
-        initiator.list(ListKind::Full, &cold);
+        initiator.list(ListKind::Full, &entries);
         initiator
     };
     let mut initiators: Vec<Initiator> =
@@ -78,7 +78,7 @@
             .map(|number| initiator_after_serving(&settings, seed(number, 0), case, kind))
             .collect();
         initiators.iter_mut().for_each(|initiator| {
-            initiator.list(ListKind::Full, &cold);
+            initiator.list(ListKind::Full, &entries);
         });
     }
     let tenth = |tenths: u32| START + ms(case.slow_start_ms) * tenths / 10;
@@ -226,13 +226,13 @@
     let case =
         Case { initiators: 30, always_taken: 17, window_ms: 3000, slow_start_ms: 9000, load: Load::Constant };
     let settings = case_settings(&case);
-    let sound = worst(&settings, &sends(&case));
+    let divided = worst(&settings, &sends(&case));
     let alone: Vec<_> = sends(&Case { initiators: 1, ..case })
         .into_iter()
         .flat_map(|(at, units)| std::iter::repeat_n((at, units), 30))
         .collect();
-    let broken = worst(&settings, &alone);
-    assert!(sound <= 1.0 && broken > 1.0, "{sound:.2} and {broken:.2}");
+    let undivided = worst(&settings, &alone);
+    assert!(divided <= 1.0 && undivided > 1.0, "{divided:.2} and {undivided:.2}");
 }
 
 /// A fleet sends at least half of the mean requests that the node takes in any case during slow start.
--- a/tests/cold_fleet.rs
+++ b/tests/cold_fleet.rs
@@ -266,13 +266,13 @@
 #[test]
 fn a_slow_starting_node_of_the_expected_size_is_not_overloaded_by_460_initiators() {
     let mut results = Vec::new();
-    let mut holds = true;
+    let mut all_within = true;
     for (name, scenario) in SCENARIOS {
         let (worst, units) = run(scenario, 1);
         results.push(format!("{name}: {worst:.2} of what is allowed, {units:.0} units sent"));
-        holds &= worst <= 1.0;
+        all_within &= worst <= 1.0;
     }
-    assert!(holds, "{}", results.join("; "));
+    assert!(all_within, "{}", results.join("; "));
 }
 
 /// The fleet uses at least 0.6 of what a node can serve during its slow start.
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -471,10 +471,10 @@
     settings.units.base_rates = vec![20.0];
     let mut initiator = Initiator::new(settings, &[node(1, 0), node(2, 1)]);
     for _ in 0..20 {
-        let (slow, sound) = (initiator.request(0, 0, 0), initiator.request(0, 1, 0));
+        let (slow, healthy) = (initiator.request(0, 0, 0), initiator.request(0, 1, 0));
         initiator.run(ms(50));
-        if initiator.sent().contains(&sound) {
-            initiator.end(sound, 0, 2, Outcome::Served);
+        if initiator.sent().contains(&healthy) {
+            initiator.end(healthy, 0, 2, Outcome::Served);
         }
         initiator.run(ms(900));
         if initiator.sent().contains(&slow) {
