--- a/tests/net/acceptance.rs
+++ b/tests/net/acceptance.rs
@@ -10,7 +10,7 @@
 use topazpath::resp::{self, Value};
 
 fn list(name: &str, address: SocketAddr) -> String {
-    format!(r#"{{"index":1,"snapshot":true,"endpoints":[{}]}}"#, line(name, address, 3, "active"))
+    format!(r#"{{"index":1,"snapshot":true,"endpoints":[{}]}}"#, endpoint_json(name, address, 3, "active"))
 }
 
 /// Reads the head of a call, or nothing at the end of the connection.
@@ -42,7 +42,7 @@
 }
 
 fn read_piece(client: &mut Client, piece: u64) -> Value {
-    client.ask(piece, 3, "", None);
+    client.request(piece, 3, "", None);
     client.receive()
 }
 
@@ -85,7 +85,7 @@
             let _ = stream.read_to_end(&mut Vec::new());
         });
         let changes = if mode == "pushed" { vec![] } else { vec![(r#""pushed""#, r#""on_request""#)] };
-        let _program = Program::spawn(&discovery, Setup { hosts: 300, changes, ..Setup::default() });
+        let _program = Program::spawn(&discovery, Setup { initiators: 300, changes, ..Setup::default() });
         let calls = || heads.lock().unwrap().len();
         eventually("the first list", || (calls() == 1).then_some(()));
         let start = Instant::now();
@@ -99,7 +99,7 @@
     let gate = Gate::default();
     let held = gate.clone();
     let node = Node::start(move |_, words| {
-        held.pass();
+        held.wait_until_open();
         Reply::Value(words[1].clone())
     });
     let quick = Node::echo();
@@ -111,7 +111,7 @@
         // More than is read of one connection while its first requests wait for their answers, and less than the
         // system takes besides: an end behind that cannot be seen.
         let mut gone = Client::connect(program.resp);
-        (0..700).for_each(|number| gone.ask(number, 3, ",d=18000", None));
+        (0..700).for_each(|number| gone.request(number, 3, ",d=18000", None));
         eventually("the node has some", || (node.count() >= 4).then_some(()));
         // Its connection is closed here, and what it had said last was not read yet.
     }
@@ -120,7 +120,7 @@
     assert!(start.elapsed() < Duration::from_secs(5), "{:?}", start.elapsed());
     let before = node.count();
     gate.open();
-    other.ask(2, 4, ",d=18000", None);
+    other.request(2, 4, ",d=18000", None);
     assert_eq!(other.receive(), piece(2));
     assert_eq!(node.count(), before);
     assert!(other.info().contains("requests_open:0\r\n"));
@@ -131,7 +131,7 @@
     let discovery = Discovery::start(&[]);
     let program = Program::start(&discovery, Setup::default());
     let mut stream = TcpStream::connect(program.resp).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(WAIT_LIMIT)).unwrap();
     // More than is read of a command, less than is let go of behind it.
     let flood = [&b"*1\r\nnonsense\r\n"[..], &vec![b'x'; 1 << 20]].concat();
     stream.write_all(&flood).unwrap();
@@ -158,14 +158,14 @@
     let discovery = Discovery::start(&[("s-1", node.address, 3)]);
     let program = Program::start(&discovery, Setup::default());
     let mut stream = TcpStream::connect(program.resp).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(WAIT_LIMIT)).unwrap();
     stream.write_all(&resp::command(&[b"PING"])).unwrap();
     let mut all = Vec::new();
     // Ended for being idle.
     stream.read_to_end(&mut all).unwrap();
     assert_eq!(all, b"+PONG\r\n");
-    let mut late = Client::of(stream);
-    late.ask(1, 3, "", None);
+    let mut late = Client::from_stream(stream);
+    late.request(1, 3, "", None);
     assert!(late.try_receive().is_none());
     let mut other = Client::connect(program.resp);
     assert_eq!(read_piece(&mut other, 2), piece(2));
@@ -180,7 +180,7 @@
     let gate = Gate::default();
     let (list, held) = (list("s-1", node.address), gate.clone());
     let (discovery, heads) = calls(move |number, mut stream| {
-        held.pass();
+        held.wait_until_open();
         if number < AGAIN {
             return;
         }
@@ -199,7 +199,7 @@
     let (ping, address) = (resp::command(&[b"PING"]), program.resp);
     let pinging = std::thread::spawn(move || {
         let start = Instant::now();
-        while !stop.load(Ordering::SeqCst) && start.elapsed() < 2 * PATIENCE {
+        while !stop.load(Ordering::SeqCst) && start.elapsed() < 2 * WAIT_LIMIT {
             for client in &mut clients {
                 if client.try_write(&ping).is_err() && again.load(Ordering::SeqCst) {
                     *client = Client::connect(address);
@@ -227,7 +227,7 @@
 fn a_new_configuration_counts_in_time_though_its_discovery_is_silent_at_first() {
     let (old, new) = (Node::echo(), Node::echo());
     let before = Discovery::start(&[("s-1", old.address, 3)]);
-    let program = Program::start(&before, Setup { hosts: 300, ..Setup::default() });
+    let program = Program::start(&before, Setup { initiators: 300, ..Setup::default() });
     let list = list("s-2", new.address);
     let (after, heads) = calls(move |number, mut stream| {
         // Two calls are never answered, and their connections stay open.
@@ -256,15 +256,15 @@
     let discovery = Discovery::start(&[("s-1", node.address, 3)]);
     let mut program = Program::start(&discovery, Setup { deadline_ms: 300, ..Setup::default() });
     let mut stream = TcpStream::connect(program.resp).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(WAIT_LIMIT)).unwrap();
     stream.write_all(&resp::command(&[b"PING"])).unwrap();
     program.terminate();
     let mut all = Vec::new();
     // To the last before the kill; then an end, and no reset.
     stream.read_to_end(&mut all).unwrap();
     assert_eq!(all, b"+PONG\r\n");
-    let mut late = Client::of(stream);
-    late.ask(1, 3, "", None);
+    let mut late = Client::from_stream(stream);
+    late.request(1, 3, "", None);
     assert!(late.try_receive().is_none());
     assert!(program.wait().success());
     assert_eq!(node.count(), 0);
@@ -274,9 +274,9 @@
 fn a_process_is_ready_at_once_while_discovery_is_silent_and_a_hundred_clients_knock() {
     let node = Node::echo();
     let (discovery, _) = calls(|_, mut stream| drop(stream.read_to_end(&mut Vec::new())));
-    let known = list("s-1", node.address);
+    let initial_list = list("s-1", node.address);
     let start = Instant::now();
-    let program = Program::spawn(&discovery, Setup { hosts: 300, known, ..Setup::default() });
+    let program = Program::spawn(&discovery, Setup { initiators: 300, initial_list, ..Setup::default() });
     let mut clients: Vec<Client> = (0..100).map(|_| Client::connect(program.resp)).collect();
     clients.iter_mut().for_each(|client| client.send(&[b"PING"]));
     for client in &mut clients {
--- a/tests/net/configuration.rs
+++ b/tests/net/configuration.rs
@@ -61,8 +61,8 @@
         let addresses: Vec<SocketAddr> = listeners.iter().map(|it| it.local_addr().unwrap()).collect();
         let vrrp: Vec<SocketAddr> = sockets.iter().map(|it| it.local_addr().unwrap()).collect();
         drop((listeners, sockets));
-        let cluster = Cluster { processes: (0..COUNT).map(|_| None).collect(), addresses, files: folder() };
-        let setup = Setup { limit: LIMIT, hosts: 3, ..Setup::default() };
+        let cluster = Cluster { processes: (0..COUNT).map(|_| None).collect(), addresses, files: test_dir() };
+        let setup = Setup { limit: LIMIT, initiators: 3, ..Setup::default() };
         let listen = SocketAddr::from(([127, 0, 0, 1], 0));
         let initiator = Program::config("any", listen, "null", "127.0.0.1:1", &setup);
         std::fs::write(cluster.files.join("initiator.json"), initiator).unwrap();
@@ -80,7 +80,7 @@
             self.addresses[number],
             names[number],
             vrrp[number],
-            strings(&peers),
+            to_strings(&peers),
             self.files.join(format!("store-{number}")),
             self.files.join("initiator.json"),
         );
@@ -113,7 +113,7 @@
     }
 
     fn planners(&self) -> String {
-        strings(&self.addresses).join(",")
+        to_strings(&self.addresses).join(",")
     }
 
     /// A command of `configuration`, to all planners.
@@ -171,9 +171,9 @@
         let setup = Setup {
             name: name.into(),
             planners: self.addresses.clone(),
-            planners_more: "configuration = true\n",
+            planners_extra: "configuration = true\n",
             limit: LIMIT,
-            hosts: 3,
+            initiators: 3,
             aim_ms: 4000,
             changes,
             ..Setup::default()
@@ -469,7 +469,7 @@
     let mut client = Client::connect(program.resp);
     let mut ask = |count: u64| {
         for piece in 0..count {
-            client.ask(piece, 3, "", None);
+            client.request(piece, 3, "", None);
             assert_eq!(client.receive(), Value::Bulk(Some(format!("{piece:016x}").into_bytes())));
         }
     };
@@ -520,7 +520,7 @@
     cluster.settle(1);
     let connect = || {
         let stream = TcpStream::connect(cluster.addresses[0]).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(WAIT_LIMIT)).unwrap();
         stream
     };
     let said = |bytes: &[u8]| {
--- a/tests/net/fleet.rs
+++ b/tests/net/fleet.rs
@@ -49,7 +49,7 @@
     wait(&second, &["m0", "m1"]);
     first.wait_for_info("fleet_members:2");
     let mut client = Client::connect(first.resp);
-    client.ask(1, 3, "", None);
+    client.request(1, 3, "", None);
     assert_eq!(bytes(client.receive()), b"0000000000000001");
 }
 
@@ -81,7 +81,7 @@
 fn an_upgrade_keeps_the_member_and_a_crashed_successor_returns_it_as_a_later_generation() {
     let node = Node::echo();
     let discovery = Discovery::start(&[("s-1", node.address, 3)]);
-    let (addresses, shared, listen) = (free_addresses(3), folder(), free_address());
+    let (addresses, shared, listen) = (free_addresses(3), test_dir(), free_address());
     let others: Vec<Program> = (1..3)
         .map(|own| Program::start(&discovery, Setup { fleet: file(&addresses, own), ..Setup::default() }))
         .collect();
--- a/tests/net/helper.rs
+++ b/tests/net/helper.rs
@@ -11,12 +11,12 @@
 use topazpath::resp::{self, Value};
 
 /// Longer than anything here takes on a loaded machine.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const WAIT_LIMIT: Duration = Duration::from_secs(20);
 
 /// Less than a connection of the program rests after an answer.
-const COPY_WITHIN: Duration = Duration::from_millis(8);
+const DUPLICATE_WITHIN: Duration = Duration::from_millis(8);
 
-const SETTINGS: &str = r#"{"siblings":HOSTS,"tick_ms":2.0,"discovery":"pushed","zones":["z"],
+const SETTINGS: &str = r#"{"siblings":INITIATORS,"tick_ms":2.0,"discovery":"pushed","zones":["z"],
  "classes":[
   {"name":"read","aim_ms":400,"hard_limit_ms":DEADLINE,"worth":2,"late_worth":0.2,"effect":"read_like"},
   {"name":"write","aim_ms":600,"hard_limit_ms":DEADLINE,"worth":3,"effect":"idempotency_key",
@@ -45,16 +45,16 @@
     pub vrrp: String,
     /// The file of its fleet.
     pub fleet: String,
-    /// The settings forbid talk between initiators.
+    /// The settings forbid communication between initiators.
     pub no_peers: bool,
     /// How many initiators there are, if more than one.
-    pub hosts: u32,
+    pub initiators: u32,
     /// The node list it knows at the start, as discovery words it.
-    pub known: String,
+    pub initial_list: String,
     /// Remote planners, by address.
     pub planners: Vec<SocketAddr>,
     /// More lines for the file that names them.
-    pub planners_more: &'static str,
+    pub planners_extra: &'static str,
     /// An aim for all classes, where a busy machine must not make answers late.
     pub aim_ms: u64,
     /// Descriptors that the system lets it have, if that is to be told.
@@ -75,7 +75,7 @@
     pub resp: SocketAddr,
     pub iscsi: Option<SocketAddr>,
     control: Option<SocketAddr>,
-    files: std::path::PathBuf,
+    dir: std::path::PathBuf,
     /// Its configuration, less the address of discovery.
     config: String,
 }
@@ -85,7 +85,7 @@
         // It may have ended already.
         let _ = self.child.kill();
         let _ = self.child.wait();
-        let _ = std::fs::remove_dir_all(&self.files);
+        let _ = std::fs::remove_dir_all(&self.dir);
     }
 }
 
@@ -95,30 +95,30 @@
 }
 
 /// A folder for one test's files.
-pub fn folder() -> std::path::PathBuf {
+pub fn test_dir() -> std::path::PathBuf {
     static COUNT: Mutex<u32> = Mutex::new(0);
     let mut count = COUNT.lock().unwrap();
     *count += 1;
-    let files = std::env::temp_dir().join(format!("topazpath-test-{}-{count}", std::process::id()));
-    std::fs::create_dir_all(&files).unwrap();
-    files
+    let dir = std::env::temp_dir().join(format!("topazpath-test-{}-{count}", std::process::id()));
+    std::fs::create_dir_all(&dir).unwrap();
+    dir
 }
 
 /// A command that would start the program with these files.
 pub fn command(config: &str, iscsi: &str) -> (Command, std::path::PathBuf) {
-    let files = folder();
-    std::fs::write(files.join("config.json"), config).unwrap();
+    let dir = test_dir();
+    std::fs::write(dir.join("config.json"), config).unwrap();
     if !iscsi.is_empty() {
-        std::fs::write(files.join("iscsi.toml"), iscsi).unwrap();
+        std::fs::write(dir.join("iscsi.toml"), iscsi).unwrap();
     }
     let mut command = Command::new(env!("CARGO_BIN_EXE_topazpath"));
-    command.env("NODE_CONFIG", files.join("config.json")).env("TOPAZPATH_ISCSI", files.join("iscsi.toml"));
-    command.env("TOPAZPATH_PLANNERS", files.join("planners.toml"));
-    command.env("TOPAZPATH_VRRP", files.join("vrrp.toml"));
-    command.env("TOPAZPATH_FLEET", files.join("fleet.toml"));
-    command.env("TMPDIR", &files);
+    command.env("NODE_CONFIG", dir.join("config.json")).env("TOPAZPATH_ISCSI", dir.join("iscsi.toml"));
+    command.env("TOPAZPATH_PLANNERS", dir.join("planners.toml"));
+    command.env("TOPAZPATH_VRRP", dir.join("vrrp.toml"));
+    command.env("TOPAZPATH_FLEET", dir.join("fleet.toml"));
+    command.env("TMPDIR", &dir);
     command.env("TOPAZPATH_LOG", "info").stderr(Stdio::piped());
-    (command, files)
+    (command, dir)
 }
 
 impl Program {
@@ -135,17 +135,17 @@
         let control = if setup.control { "\"127.0.0.1:0\"" } else { "null" };
         let config = Program::config(name, listen, control, "DISCOVERY", &setup);
         let text = config.replace("DISCOVERY", &discovery.address.to_string());
-        let (mut command, files) = command(&text, &setup.iscsi);
+        let (mut command, dir) = command(&text, &setup.iscsi);
         if !setup.planners.is_empty() {
-            let (planners, more) = (strings(&setup.planners), setup.planners_more);
+            let (planners, more) = (to_strings(&setup.planners), setup.planners_extra);
             let text = format!("enabled = true\nplanners = {planners:?}\n{more}");
-            std::fs::write(files.join("planners.toml"), text).unwrap();
+            std::fs::write(dir.join("planners.toml"), text).unwrap();
         }
         if !setup.vrrp.is_empty() {
-            std::fs::write(files.join("vrrp.toml"), &setup.vrrp).unwrap();
+            std::fs::write(dir.join("vrrp.toml"), &setup.vrrp).unwrap();
         }
         if !setup.fleet.is_empty() {
-            std::fs::write(files.join("fleet.toml"), &setup.fleet).unwrap();
+            std::fs::write(dir.join("fleet.toml"), &setup.fleet).unwrap();
         }
         if let Some(shared) = &setup.shared {
             command.env("TMPDIR", shared);
@@ -170,17 +170,17 @@
             text.parse().ok()
         };
         let resp = address("resp").expect("its address");
-        Program { child, resp, iscsi: address("iscsi"), control: address("control"), files, config }
+        Program { child, resp, iscsi: address("iscsi"), control: address("control"), dir, config }
     }
 
     /// Its door for operators.
-    pub fn door(&self) -> SocketAddr {
+    pub fn admin_endpoint(&self) -> SocketAddr {
         self.control.expect("a door")
     }
 
     /// What an operator is answered.
-    pub fn call(&self, line: &str) -> String {
-        ask(self.door(), format!("{line}\n").as_bytes())
+    pub fn admin_command(&self, command: &str) -> String {
+        exchange(self.admin_endpoint(), format!("{command}\n").as_bytes())
     }
 
     /// A configuration.
@@ -188,7 +188,7 @@
         let deadline = if setup.deadline_ms == 0 { 5000 } else { setup.deadline_ms };
         let settings = SETTINGS.replace("DEADLINE", &deadline.to_string());
         let settings = settings.replace("LIMIT", &setup.limit.to_string());
-        let settings = settings.replace("HOSTS", &setup.hosts.max(1).to_string());
+        let settings = settings.replace("INITIATORS", &setup.initiators.max(1).to_string());
         let settings = match setup.no_peers {
             true => settings.replace("\"may_cancel\":true", "\"may_cancel\":true,\"peers\":false"),
             false => settings,
@@ -204,16 +204,16 @@
             settings.replace(usual, other)
         });
         let memory = if setup.memory_mb == 0 { 192 } else { setup.memory_mb };
-        let known = if setup.known.is_empty() { "null" } else { &setup.known };
+        let initial_list = if setup.initial_list.is_empty() { "null" } else { &setup.initial_list };
         format!(
             r#"{{"name":"{name}","listen":"{listen}","control":{control},"discovery":"{discovery}",
-             "seed":"8c1f30d27a5be964","limits":{{"cores":1.0,"memory_mb":{memory},"sockets":256}},"known":{known},
+             "seed":"8c1f30d27a5be964","limits":{{"cores":1.0,"memory_mb":{memory},"sockets":256}},"known":{initial_list},
              "settings":{settings}}}"#
         )
     }
 
     /// Where the next process of it would find it.
-    pub fn meeting_place(&self, shared: &std::path::Path) -> std::path::PathBuf {
+    pub fn upgrade_socket(&self, shared: &std::path::Path) -> std::path::PathBuf {
         shared.join(format!("topazpath-{}-{}.sock", self.resp.ip(), self.resp.port()))
     }
 
@@ -231,8 +231,8 @@
 
     /// Replaces the file of its addresses that move, and tells it so.
     pub fn reload_vrrp(&self, text: &str) {
-        std::fs::write(self.files.join("new.toml"), text).unwrap();
-        std::fs::rename(self.files.join("new.toml"), self.files.join("vrrp.toml")).unwrap();
+        std::fs::write(self.dir.join("new.toml"), text).unwrap();
+        std::fs::rename(self.dir.join("new.toml"), self.dir.join("vrrp.toml")).unwrap();
         signal(&self.child, "HUP");
     }
 
@@ -252,8 +252,8 @@
 
     /// Replaces its configuration with one that names this address of discovery, and tells it so.
     pub fn reload(&self, discovery: &str) {
-        std::fs::write(self.files.join("new.json"), self.config.replace("DISCOVERY", discovery)).unwrap();
-        std::fs::rename(self.files.join("new.json"), self.files.join("config.json")).unwrap();
+        std::fs::write(self.dir.join("new.json"), self.config.replace("DISCOVERY", discovery)).unwrap();
+        std::fs::rename(self.dir.join("new.json"), self.dir.join("config.json")).unwrap();
         signal(&self.child, "HUP");
     }
 
@@ -269,9 +269,9 @@
 }
 
 /// Says something on a connection of its own, and returns all that is said back.
-pub fn ask(address: SocketAddr, bytes: &[u8]) -> String {
+pub fn exchange(address: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(address).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(WAIT_LIMIT)).unwrap();
     stream.write_all(bytes).unwrap();
     let mut answer = String::new();
     stream.read_to_string(&mut answer).unwrap();
@@ -283,7 +283,7 @@
     Command::new("kill").args([&format!("-{name}"), &child.id().to_string()]).status().unwrap();
 }
 
-pub fn strings(addresses: &[SocketAddr]) -> Vec<String> {
+pub fn to_strings(addresses: &[SocketAddr]) -> Vec<String> {
     addresses.iter().map(SocketAddr::to_string).collect()
 }
 
@@ -294,21 +294,21 @@
         if let Some(found) = check() {
             return found;
         }
-        assert!(start.elapsed() < PATIENCE, "never came true: {what}");
+        assert!(start.elapsed() < WAIT_LIMIT, "never came true: {what}");
         thread::sleep(Duration::from_millis(2));
     }
 }
 
 /// Serves each connection of a listener on a thread of its own; returns its address.
-pub fn serve(talk: impl Fn(TcpStream) + Send + Sync + 'static) -> SocketAddr {
+pub fn serve(handle: impl Fn(TcpStream) + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let talk = Arc::new(talk);
+    let handle = Arc::new(handle);
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             stream.set_nodelay(true).unwrap();
-            let talk = talk.clone();
-            thread::spawn(move || talk(stream));
+            let handle = handle.clone();
+            thread::spawn(move || handle(stream));
         }
     });
     address
@@ -325,15 +325,15 @@
     index: u64,
     body: String,
     /// Version after which the last watch asked.
-    watched: Option<u64>,
+    watched_index: Option<u64>,
     /// Connections that are to get no answer.
-    silent: u32,
+    silent_connections: u32,
     /// Calls that are to be turned away.
-    overbooked: u32,
+    calls_to_reject: u32,
     /// No call is answered any more.
-    fell_silent: bool,
+    unresponsive: bool,
     /// How often the whole list was asked for.
-    fetched: u32,
+    snapshot_requests: u32,
 }
 
 impl Discovery {
@@ -344,22 +344,24 @@
 
     /// With nodes as (name, address, shard), all active.
     pub fn start(nodes: &[(&str, SocketAddr, u32)]) -> Discovery {
-        Discovery::silent_at_first(0, nodes)
+        Discovery::with_silent_connections(0, nodes)
     }
 
     /// The same, but the first connections get no answer.
-    pub fn silent_at_first(silent: u32, nodes: &[(&str, SocketAddr, u32)]) -> Discovery {
-        let lines: Vec<String> =
-            nodes.iter().map(|(name, address, shard)| line(name, *address, *shard, "active")).collect();
-        let state = Arc::new(Mutex::new(State { silent, ..State::default() }));
+    pub fn with_silent_connections(silent_connections: u32, nodes: &[(&str, SocketAddr, u32)]) -> Discovery {
+        let lines: Vec<String> = nodes
+            .iter()
+            .map(|(name, address, shard)| endpoint_json(name, *address, *shard, "active"))
+            .collect();
+        let state = Arc::new(Mutex::new(State { silent_connections, ..State::default() }));
         let shared = state.clone();
         let address = serve(move |stream| {
             let mut reader = BufReader::new(stream.try_clone().unwrap());
             let mut stream = stream;
             let is_silent = {
                 let mut state = shared.lock().unwrap();
-                let before = state.silent;
-                state.silent = before.saturating_sub(1);
+                let before = state.silent_connections;
+                state.silent_connections = before.saturating_sub(1);
                 before > 0
             };
             if is_silent {
@@ -376,14 +378,14 @@
                 }
                 let after: Option<u64> =
                     head.split_once("after=").and_then(|(_, rest)| rest.split('&').next()?.parse().ok());
-                let turned_away = {
+                let rejected = {
                     let mut state = shared.lock().unwrap();
-                    state.fetched += u32::from(after.is_none());
-                    let before = state.overbooked;
-                    state.overbooked = before.saturating_sub(1);
+                    state.snapshot_requests += u32::from(after.is_none());
+                    let before = state.calls_to_reject;
+                    state.calls_to_reject = before.saturating_sub(1);
                     before > 0
                 };
-                if turned_away {
+                if rejected {
                     if write!(stream, "HTTP/1.1 503 Overbooked\r\nContent-Length: 0\r\n\r\n").is_err() {
                         return;
                     }
@@ -392,11 +394,11 @@
                 let wait: u64 = head
                     .split_once("wait_ms=")
                     .map_or(0, |(_, rest)| rest.split(' ').next().unwrap().parse().unwrap());
-                let asked = Instant::now();
+                let received_at = Instant::now();
                 let body = loop {
                     let mut state = shared.lock().unwrap();
-                    state.watched = state.watched.max(after);
-                    if state.fell_silent {
+                    state.watched_index = state.watched_index.max(after);
+                    if state.unresponsive {
                         drop(state);
                         let _ = reader.read_to_end(&mut Vec::new());
                         return;
@@ -404,7 +406,7 @@
                     if after.is_none_or(|after| state.index > after) {
                         break state.body.clone();
                     }
-                    if asked.elapsed() >= Duration::from_millis(wait) {
+                    if received_at.elapsed() >= Duration::from_millis(wait) {
                         break format!(r#"{{"index":{},"snapshot":false,"endpoints":[]}}"#, state.index);
                     }
                     drop(state);
@@ -417,22 +419,22 @@
             }
         });
         let discovery = Discovery { address, state };
-        discovery.tell(true, &lines);
+        discovery.publish(true, &lines);
         discovery
     }
 
     /// No call is answered any more, those that wait included.
-    pub fn fall_silent(&self) {
-        self.state.lock().unwrap().fell_silent = true;
+    pub fn stop_answering(&self) {
+        self.state.lock().unwrap().unresponsive = true;
     }
 
     /// The next calls are turned away.
-    pub fn overbook(&self, calls: u32) {
-        self.state.lock().unwrap().overbooked = calls;
+    pub fn reject_calls(&self, calls: u32) {
+        self.state.lock().unwrap().calls_to_reject = calls;
     }
 
     /// Tells lines: the whole list or changes.
-    pub fn tell(&self, snapshot: bool, lines: &[String]) {
+    pub fn publish(&self, snapshot: bool, lines: &[String]) {
         let mut state = self.state.lock().unwrap();
         state.index += 1;
         let (index, lines) = (state.index, lines.join(","));
@@ -440,28 +442,28 @@
     }
 
     /// Tells something that is no list, and waits until the program has asked again.
-    pub fn tell_nonsense(&self) {
+    pub fn publish_invalid(&self) {
         let before = {
             let mut state = self.state.lock().unwrap();
             state.index += 1;
             state.body = "{\"index\":".into();
-            state.fetched
+            state.snapshot_requests
         };
         eventually("the whole list is asked for", || {
-            (self.state.lock().unwrap().fetched > before).then_some(())
+            (self.state.lock().unwrap().snapshot_requests > before).then_some(())
         });
     }
 
     /// How often the whole list was asked for.
-    pub fn fetched(&self) -> u32 {
-        self.state.lock().unwrap().fetched
+    pub fn snapshot_requests(&self) -> u32 {
+        self.state.lock().unwrap().snapshot_requests
     }
 
     /// Waits until the program has heard of the present version.
     pub fn wait_for_watch(&self) {
         eventually("the list is taken", || {
             let state = self.state.lock().unwrap();
-            (state.watched == Some(state.index)).then_some(())
+            (state.watched_index == Some(state.index)).then_some(())
         });
     }
 }
@@ -477,14 +479,14 @@
     }
 
     /// Waits until it is open, for as long as a test waits for anything.
-    pub fn pass(&self) {
+    pub fn wait_until_open(&self) {
         let open = self.0 .0.lock().unwrap();
-        let _open = self.0 .1.wait_timeout_while(open, PATIENCE, |open| !*open).unwrap();
+        let _open = self.0 .1.wait_timeout_while(open, WAIT_LIMIT, |open| !*open).unwrap();
     }
 }
 
 /// A line of the node list.
-pub fn line(name: &str, address: SocketAddr, shard: u32, status: &str) -> String {
+pub fn endpoint_json(name: &str, address: SocketAddr, shard: u32, status: &str) -> String {
     format!(
         r#"{{"name":"{name}","address":"{address}","zone":"z","type":"t","group":{shard},"status":"{status}",
          "weight":1.0,"since_ms":0}}"#
@@ -492,12 +494,12 @@
 }
 
 /// The next whole thing of a connection, or nothing at its end.
-pub fn take<T>(
+pub fn read_message<T>(
     stream: &mut TcpStream,
     input: &mut Vec<u8>,
     parse: impl Fn(&[u8]) -> Option<(T, usize)>,
 ) -> Option<T> {
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(WAIT_LIMIT)).unwrap();
     loop {
         if let Some((whole, length)) = parse(input) {
             input.drain(..length);
@@ -541,9 +543,9 @@
     Silent,
     Close,
     /// These bytes, after which nothing may be asked on the connection any more.
-    Last(&'static [u8]),
+    Final(&'static [u8]),
     /// The value, and a moment later a second copy; a close where this machine is too busy for that moment.
-    Twice(Vec<u8>),
+    Duplicated(Vec<u8>),
     /// The value in pieces, with this pause before each of four.
     Slow(Vec<u8>, Duration),
 }
@@ -551,44 +553,44 @@
 /// A stand-in RESP2 node, which remembers the commands it was sent.
 pub struct Node {
     pub address: SocketAddr,
-    pub seen: Arc<Mutex<Vec<Vec<String>>>>,
+    pub received: Arc<Mutex<Vec<Vec<String>>>>,
 }
 
 impl Node {
     pub fn start(reply: impl Fn(usize, &[Vec<u8>]) -> Reply + Send + Sync + 'static) -> Node {
-        let seen = Arc::new(Mutex::new(Vec::new()));
-        let shared = seen.clone();
+        let received = Arc::new(Mutex::new(Vec::new()));
+        let shared = received.clone();
         let address = serve(move |stream| {
-            let mut client = Client::of(stream);
+            let mut client = Client::from_stream(stream);
             while let Some(Value::Array(Some(words))) = client.try_receive() {
                 let words: Vec<Vec<u8>> = words.into_iter().map(bytes).collect();
                 let count = {
-                    let mut seen = shared.lock().unwrap();
+                    let mut received = shared.lock().unwrap();
                     // Of a long body its beginning is enough.
                     let text =
                         |word: &Vec<u8>| String::from_utf8_lossy(&word[..word.len().min(99)]).into_owned();
-                    seen.push(words.iter().map(text).collect());
-                    seen.len()
+                    received.push(words.iter().map(text).collect());
+                    received.len()
                 };
                 match reply(count, &words) {
-                    Reply::Value(value) => client.write(&served(&value)),
-                    Reply::Twice(value) => {
+                    Reply::Value(value) => client.write(&value_reply(&value)),
+                    Reply::Duplicated(value) => {
                         let start = Instant::now();
-                        client.write(&served(&value));
+                        client.write(&value_reply(&value));
                         thread::sleep(Duration::from_millis(3));
-                        if start.elapsed() > COPY_WITHIN {
+                        if start.elapsed() > DUPLICATE_WITHIN {
                             return;
                         }
-                        client.write(&served(&value));
+                        client.write(&value_reply(&value));
                     }
                     Reply::Slow(value, pause) => {
-                        let answer = served(&value);
+                        let answer = value_reply(&value);
                         for piece in answer.chunks(answer.len() / 4 + 1) {
                             client.write(piece);
                             thread::sleep(pause);
                         }
                     }
-                    Reply::Last(bytes) => {
+                    Reply::Final(bytes) => {
                         client.write(bytes);
                         if client.try_receive().is_some() {
                             shared.lock().unwrap().push(vec!["asked again".into()]);
@@ -601,7 +603,7 @@
                 }
             }
         });
-        Node { address, seen }
+        Node { address, received }
     }
 
     /// A node that answers each read with its piece and each write with nothing.
@@ -610,12 +612,12 @@
     }
 
     pub fn count(&self) -> usize {
-        self.seen.lock().unwrap().len()
+        self.received.lock().unwrap().len()
     }
 }
 
 /// A node's answer with a value and nothing else.
-fn served(value: &[u8]) -> Vec<u8> {
+fn value_reply(value: &[u8]) -> Vec<u8> {
     let mut answer = b"*3\r\n".to_vec();
     resp::write_bulk(&mut answer, value);
     answer.extend(b"$-1\r\n$-1\r\n");
@@ -637,10 +639,10 @@
 
 impl Client {
     pub fn connect(address: SocketAddr) -> Client {
-        Client::of(TcpStream::connect(address).unwrap())
+        Client::from_stream(TcpStream::connect(address).unwrap())
     }
 
-    pub fn of(stream: TcpStream) -> Client {
+    pub fn from_stream(stream: TcpStream) -> Client {
         Client { stream, input: Vec::new() }
     }
 
@@ -659,24 +661,25 @@
     }
 
     /// A read, or with a body a write, of a piece on a shard.
-    pub fn ask(&mut self, piece: u64, shard: i32, more: &str, body: Option<&[u8]>) {
+    pub fn request(&mut self, object: u64, shard: i32, extra_attributes: &str, body: Option<&[u8]>) {
         let class = if body.is_some() { "write" } else { "read" };
-        let list =
-            format!("c={class},t=plus,d=4000,volume=00000000000000a0,units=2,shard={shard},hosts=1{more}");
-        let piece = format!("{piece:016x}");
+        let attributes = format!(
+            "c={class},t=plus,d=4000,volume=00000000000000a0,units=2,shard={shard},hosts=1{extra_attributes}"
+        );
+        let object = format!("{object:016x}");
         static LAST_ID: AtomicU64 = AtomicU64::new(0);
         let id = format!("{:016x}", LAST_ID.fetch_add(1, Ordering::Relaxed));
-        let mut words = vec![&b"OBJ.GET"[..], piece.as_bytes(), id.as_bytes(), list.as_bytes()];
+        let mut arguments = vec![&b"OBJ.GET"[..], object.as_bytes(), id.as_bytes(), attributes.as_bytes()];
         if let Some(body) = body {
-            words[0] = b"OBJ.PUT";
-            words.push(body);
+            arguments[0] = b"OBJ.PUT";
+            arguments.push(body);
         }
-        self.send(&words);
+        self.send(&arguments);
     }
 
     /// The next value, or nothing at the end of the connection.
     pub fn try_receive(&mut self) -> Option<Value> {
-        take(&mut self.stream, &mut self.input, parse)
+        read_message(&mut self.stream, &mut self.input, parse)
     }
 
     /// A part's report.
--- a/tests/net/iscsi.rs
+++ b/tests/net/iscsi.rs
@@ -34,7 +34,7 @@
     }
 
     fn receive(&mut self) -> Option<Pdu> {
-        take(&mut self.stream, &mut self.input, |input| Pdu::parse(input, 1 << 20).unwrap())
+        read_message(&mut self.stream, &mut self.input, |input| Pdu::parse(input, 1 << 20).unwrap())
     }
 }
 
@@ -238,7 +238,7 @@
     let mut client = Initiator::login(program.iscsi.unwrap());
     assert_eq!(client.read(5), (GOOD, 0, vec![7; 2 * BLOCK]));
     assert_eq!(client.write(6, &[1; 3 * BLOCK]).0, GOOD);
-    let seen = node.seen.lock().unwrap();
+    let seen = node.received.lock().unwrap();
     assert!(seen[1][3].contains("c=write,t=plus,volume=00000000000000a0,units=3,shard=3,hosts=1,k="));
 }
 
@@ -376,7 +376,12 @@
             let run = |number: u64| {
                 let body = [1; 2 * BLOCK];
                 let write = (number % 4 == 3).then_some(&body[..]);
-                session.ask(client * 100 + number, 3, &format!(",k={:016x}", client * 100 + number), write);
+                session.request(
+                    client * 100 + number,
+                    3,
+                    &format!(",k={:016x}", client * 100 + number),
+                    write,
+                );
                 matches!(session.receive(), Value::Bulk(Some(_)))
             };
             (0..50).map(run).filter(|served| *served).count()
--- a/tests/net/lateness.rs
+++ b/tests/net/lateness.rs
@@ -51,7 +51,7 @@
     client.info();
     program.signal("STOP");
     let asked = Instant::now();
-    client.ask(1, 3, ",d=1000", None);
+    client.request(1, 3, ",d=1000", None);
     thread::sleep(HELD_UP);
     program.signal("CONT");
     client.receive();
@@ -79,14 +79,14 @@
     let program = Program::start(&discovery, Setup { changes, ..Setup::default() });
     let mut client = Client::connect(program.resp);
     let request = |client: &mut Client, number: u64| {
-        client.ask(number, 3, ",d=300", None);
+        client.request(number, 3, ",d=300", None);
         client.receive();
     };
     discovery.wait_for_watch();
     request(&mut client, 1);
     program.signal("STOP");
     let announced = Instant::now();
-    discovery.tell(false, &[line("s1", node.address, 3, "leaving")]);
+    discovery.publish(false, &[endpoint_json("s1", node.address, 3, "leaving")]);
     thread::sleep(HELD_UP);
     program.signal("CONT");
     let mut number = 1;
--- a/tests/net/planner.rs
+++ b/tests/net/planner.rs
@@ -38,7 +38,7 @@
         let addresses: Vec<SocketAddr> = listeners.iter().map(|it| it.local_addr().unwrap()).collect();
         let vrrp: Vec<SocketAddr> = sockets.iter().map(|it| it.local_addr().unwrap()).collect();
         drop((listeners, sockets));
-        let files = folder();
+        let files = test_dir();
         let names: Vec<String> = (0..count).map(|number| format!("planner-{number}")).collect();
         for number in 0..count {
             let peers: Vec<SocketAddr> = vrrp.iter().copied().filter(|peer| *peer != vrrp[number]).collect();
@@ -48,7 +48,7 @@
                 addresses[number],
                 names[number],
                 vrrp[number],
-                strings(&peers)
+                to_strings(&peers)
             );
             std::fs::write(files.join(format!("{number}.toml")), text).unwrap();
         }
@@ -153,12 +153,12 @@
     in_mode(&program, "planned");
     let mut client = Client::connect(program.resp);
     let before = node.count();
-    client.ask(9, 3, "", None);
+    client.request(9, 3, "", None);
     eventually("it is out", || (node.count() > before).then_some(()));
     planners.kill_all();
     let mut other = Client::connect(program.resp);
     for piece in 0..20 {
-        other.ask(piece * 16, 3, "", None);
+        other.request(piece * 16, 3, "", None);
         assert!(matches!(other.receive(), Value::Bulk(Some(_))), "served without planners");
     }
     open.store(true, Ordering::Relaxed);
@@ -204,7 +204,7 @@
     let hello = |schema: u8| [0, 0, 0, 4, 0, schema, 1, b'x'];
     let said = |bytes: &[u8]| {
         let mut stream = TcpStream::connect(planners.addresses[0]).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(WAIT_LIMIT)).unwrap();
         stream.write_all(bytes).unwrap();
         let mut answer = Vec::new();
         // Until it closes; a reset is an end as well.
@@ -266,7 +266,7 @@
     assert!(wave.len() > 200, "{} came", wave.len());
     // Each of them is greeted, and the one that was there has its plans all the time.
     for stream in &mut wave {
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(WAIT_LIMIT)).unwrap();
         let mut head = [0; 4];
         stream.read_exact(&mut head).unwrap();
     }
--- a/tests/net/resp.rs
+++ b/tests/net/resp.rs
@@ -31,13 +31,13 @@
     let program = Program::start(&discovery, Setup::default());
     let mut client = Client::connect(program.resp);
     let body: Vec<u8> = (0..64 * 1024).map(|byte| byte as u8).collect();
-    client.ask(1, 3, "", None);
-    client.ask(2, -1, ",k=00000000000000b1", Some(&body));
+    client.request(1, 3, "", None);
+    client.request(2, -1, ",k=00000000000000b1", Some(&body));
     client.send(&[b"PING"]);
     assert_eq!(client.receive(), bulk(b"0000000000000001"));
     assert_eq!(client.receive(), bulk(&body));
     assert_eq!(client.receive(), Value::Simple(b"PONG".to_vec()));
-    let seen = node.seen.lock().unwrap();
+    let seen = node.received.lock().unwrap();
     let write = seen.iter().find(|words| words[0] == "OBJ.PUT").unwrap();
     assert!(write[3].contains(",shard=-1,hosts=1,k=00000000000000b1,d="), "{}", write[3]);
 }
@@ -48,9 +48,9 @@
     let discovery = Discovery::start(&[("s-1", node.address, 3)]);
     let program = Program::start(&discovery, Setup::default());
     let mut client = Client::connect(program.resp);
-    client.ask(1, -1, ",k=00000000000000b1", Some(b"x"));
+    client.request(1, -1, ",k=00000000000000b1", Some(b"x"));
     assert_eq!(client.receive(), bulk(b"v"));
-    let seen = node.seen.lock().unwrap();
+    let seen = node.received.lock().unwrap();
     assert_eq!(seen.len(), 2);
     assert_eq!(seen[0][..3], seen[1][..3]);
     assert!(seen.iter().all(|words| words[3].contains("k=00000000000000b1")));
@@ -65,12 +65,12 @@
     let discovery = Discovery::start(&[("s-1", node.address, 3)]);
     let program = Program::start(&discovery, Setup::default());
     let mut client = Client::connect(program.resp);
-    client.ask(1, 3, "", None);
+    client.request(1, 3, "", None);
     assert_eq!(error_of(client.receive()), "BUSY 500");
-    client.ask(2, -1, ",k=00000000000000b1", Some(b"x"));
+    client.request(2, -1, ",k=00000000000000b1", Some(b"x"));
     assert_eq!(error_of(client.receive()), "ERR failed");
     assert!(node.count() <= 8, "four attempts each at most");
-    client.ask(3, 9, "", None);
+    client.request(3, 9, "", None);
     assert_eq!(error_of(client.receive()), "BUSY 500", "nobody holds the shard");
 }
 
@@ -91,7 +91,7 @@
     assert!(error_of(client.receive()).starts_with("ERR "));
     client.send(&[b"FLUSHALL"]);
     assert!(error_of(client.receive()).starts_with("ERR "));
-    client.ask(7, 3, "", None);
+    client.request(7, 3, "", None);
     assert_eq!(client.receive(), bulk(b"0000000000000007"), "the connection goes on");
     client.write(b"*1\r\n$99999999\r\n");
     assert!(error_of(client.receive()).starts_with("ERR Protocol error"));
@@ -107,14 +107,17 @@
     let discovery = Discovery::start(&[("s-1", old.address, 3)]);
     let program = Program::start(&discovery, Setup::default());
     let mut client = Client::connect(program.resp);
-    discovery.tell_nonsense();
-    client.ask(1, 3, "", None);
+    discovery.publish_invalid();
+    client.request(1, 3, "", None);
     assert_eq!(client.receive(), bulk(b"0000000000000001"));
-    discovery.tell(true, &[line("s-1", old.address, 3, "leaving"), line("s-2", new.address, 3, "active")]);
+    discovery.publish(
+        true,
+        &[endpoint_json("s-1", old.address, 3, "leaving"), endpoint_json("s-2", new.address, 3, "active")],
+    );
     discovery.wait_for_watch();
     let before = old.count();
     for piece in 2..6 {
-        client.ask(piece, 3, "", None);
+        client.request(piece, 3, "", None);
         assert_eq!(client.receive(), bulk(format!("{piece:016x}").as_bytes()));
     }
     assert_eq!((old.count(), new.count()), (before, 4));
@@ -128,7 +131,7 @@
     let mut client = Client::connect(program.resp);
     let start = Instant::now();
     // More than the node has slots, and no more than one connection may have waiting.
-    (0..12).for_each(|piece| client.ask(piece, 3, "", None));
+    (0..12).for_each(|piece| client.request(piece, 3, "", None));
     let answers: Vec<String> = (0..12).map(|_| error_of(client.receive())).collect();
     assert!(answers.iter().all(|answer| answer == "BUSY 500"), "{answers:?}");
     assert!(start.elapsed() < Duration::from_secs(4), "after {:?}", start.elapsed());
@@ -147,17 +150,17 @@
     let discovery = Discovery::start(&[("s-1", node.address, 3), ("s-2", node.address, 4)]);
     let mut program = Program::start(&discovery, Setup { deadline_ms: 8000, ..Setup::default() });
     let mut client = Client::connect(program.resp);
-    client.ask(2, 4, ",d=8000", None);
+    client.request(2, 4, ",d=8000", None);
     assert_eq!(client.receive(), bulk(b"0000000000000002"));
     program.terminate();
     let start = Instant::now();
     thread::sleep(Duration::from_millis(200));
     // Who comes a little later is let in; its request would still be out when the process is killed.
     let mut late = Client::connect(program.resp);
-    late.ask(1, 3, ",d=8000", None);
+    late.request(1, 3, ",d=8000", None);
     // By now it would have been closed as idle.
     thread::sleep(Duration::from_millis(2400));
-    client.ask(3, 4, ",d=8000", None);
+    client.request(3, 4, ",d=8000", None);
     assert_eq!(client.receive(), bulk(b"0000000000000003"), "the connection is still there");
     assert_eq!(error_of(late.receive()), "ERR failed", "it may have run");
     assert!(program.wait().success());
@@ -183,9 +186,9 @@
     let discovery = Discovery::start(&[("s-1", node.address, 3)]);
     let program = Program::start(&discovery, Setup::default());
     let mut slow = Client::connect(program.resp);
-    (0..300).for_each(|piece| slow.ask(piece, 3, "", None));
+    (0..300).for_each(|piece| slow.request(piece, 3, "", None));
     let mut other = Client::connect(program.resp);
-    other.ask(1, 3, "", None);
+    other.request(1, 3, "", None);
     assert_eq!(bytes(other.receive()).len(), 60_000);
     let served =
         (0..300).filter(|_| matches!(slow.receive(), Value::Bulk(Some(value)) if value.len() == 60_000));
@@ -202,9 +205,9 @@
     let program = Program::start(&discovery, Setup { aim_ms: 4000, ..Setup::default() });
     let mut flood = Client::connect(program.resp);
     let mut others: Vec<Client> = (0..20).map(|_| Client::connect(program.resp)).collect();
-    (0..300).for_each(|piece| flood.ask(piece, 3, "", None));
+    (0..300).for_each(|piece| flood.request(piece, 3, "", None));
     eventually("it waits for the node", || (node.count() > 4).then_some(()));
-    others.iter_mut().for_each(|other| other.ask(1, 3, "", None));
+    others.iter_mut().for_each(|other| other.request(1, 3, "", None));
     for other in &mut others {
         assert_eq!(bytes(other.receive()), b"v");
     }
@@ -218,7 +221,7 @@
     // 256 descriptors: 152 are for clients, 16 more for those who have to be told.
     let ask = |_| {
         let mut client = Client::connect(program.resp);
-        client.ask(1, 3, "", None);
+        client.request(1, 3, "", None);
         client
     };
     let mut held: Vec<Client> = (0..152).map(ask).collect();
@@ -227,7 +230,7 @@
     let answers: Vec<String> = thread::scope(|scope| {
         // Most of them were refused at once, and would make room after a quarter of a second without a word.
         scope.spawn(|| {
-            while !done.load(Ordering::SeqCst) && start.elapsed() < PATIENCE {
+            while !done.load(Ordering::SeqCst) && start.elapsed() < WAIT_LIMIT {
                 held.iter_mut().for_each(|client| client.send(&[b"PING"]));
                 thread::sleep(Duration::from_millis(20));
             }
@@ -255,10 +258,10 @@
     let discovery = Discovery::start(&[("s-1", node.address, 3)]);
     let program = Program::start(&discovery, Setup { deadline_ms: 4000, ..Setup::default() });
     let (mut first, mut second) = (Client::connect(program.resp), Client::connect(program.resp));
-    first.ask(1, 3, "", None);
+    first.request(1, 3, "", None);
     eventually("it is out", || (node.count() == 1).then_some(()));
     thread::sleep(Duration::from_millis(480));
-    second.ask(2, 3, "", None);
+    second.request(2, 3, "", None);
     assert_eq!(second.receive(), bulk(b"0000000000000002"));
     assert_eq!(first.receive(), bulk(b"0000000000000001"));
 }
@@ -266,11 +269,11 @@
 #[test]
 fn a_silent_discovery_is_asked_again_on_a_new_connection() {
     let node = Node::echo();
-    let discovery = Discovery::silent_at_first(2, &[("s-1", node.address, 3)]);
+    let discovery = Discovery::with_silent_connections(2, &[("s-1", node.address, 3)]);
     // Starting waits until the list was taken.
     let program = Program::start(&discovery, Setup::default());
     let mut client = Client::connect(program.resp);
-    client.ask(1, 3, "", None);
+    client.request(1, 3, "", None);
     assert_eq!(client.receive(), bulk(b"0000000000000001"));
 }
 
@@ -278,19 +281,24 @@
 fn an_overbooked_discovery_is_asked_at_growing_pauses_while_the_known_list_serves() {
     let node = Node::echo();
     let discovery = Discovery::start(&[("s-1", node.address, 3)]);
-    discovery.overbook(4);
-    let listed = line("s-1", node.address, 3, "active");
-    let known = format!(r#"{{"index":0,"snapshot":true,"endpoints":[{listed}]}}"#);
+    discovery.reject_calls(4);
+    let listed = endpoint_json("s-1", node.address, 3, "active");
+    let initial_list = format!(r#"{{"index":0,"snapshot":true,"endpoints":[{listed}]}}"#);
     let start = Instant::now();
     let changes = vec![(r#""pushed""#, r#""on_request""#)];
-    let program = Program::spawn(&discovery, Setup { hosts: 20, known, changes, ..Setup::default() });
+    let program =
+        Program::spawn(&discovery, Setup { initiators: 20, initial_list, changes, ..Setup::default() });
     let mut client = Client::connect(program.resp);
-    client.ask(1, 3, "", None);
+    client.request(1, 3, "", None);
     assert_eq!(client.receive(), bulk(b"0000000000000001"));
     discovery.wait_for_watch();
     // 0.2, 0.4, 0.8 and 1.6 s, each drawn down to half at most.
     assert!(start.elapsed() >= Duration::from_millis(1500), "{:?} for four calls", start.elapsed());
-    assert_eq!(discovery.fetched(), 0, "what came after the known list is asked for, never all of it");
+    assert_eq!(
+        discovery.snapshot_requests(),
+        0,
+        "what came after the known list is asked for, never all of it"
+    );
 }
 
 #[test]
@@ -302,7 +310,7 @@
     let program = Program::start(&discovery, Setup::default());
     let mut client = Client::connect(program.resp);
     for piece in 0..10 {
-        client.ask(piece, -1, &format!(",k={piece:016x}"), Some(b"x"));
+        client.request(piece, -1, &format!(",k={piece:016x}"), Some(b"x"));
         assert_eq!(client.receive(), bulk(b"x"));
     }
     assert_eq!(node.count(), 10);
@@ -336,33 +344,34 @@
     let before = Discovery::start(&nodes);
     let mut program = Program::start(&before, Setup::default());
     let mut client = Client::connect(program.resp);
-    client.ask(1, 3, "", None);
+    client.request(1, 3, "", None);
     eventually("the node has it", || (slow.count() == 1).then_some(()));
     // A file that cannot be used changes nothing.
     program.reload("nowhere");
     program.wait_for_info("reloads_failed:1");
     // The list of the new address is older than the one held until it is told more.
-    let leaving = [line("s-2", other.address, 4, "leaving"), line("s-3", other.address, 5, "active")];
-    before.tell(true, &leaving);
+    let leaving =
+        [endpoint_json("s-2", other.address, 4, "leaving"), endpoint_json("s-3", other.address, 5, "active")];
+    before.publish(true, &leaving);
     before.wait_for_watch();
     let after = Discovery::start(&nodes);
     program.reload(&after.address.to_string());
     program.reload(&after.address.to_string());
-    eventually("the new address was asked twice", || (after.fetched() > 1).then_some(()));
+    eventually("the new address was asked twice", || (after.snapshot_requests() > 1).then_some(()));
     // The grace of the drain has passed.
     thread::sleep(Duration::from_millis(1800));
-    client.ask(2, 4, "", None);
+    client.request(2, 4, "", None);
     assert_eq!(client.receive(), bulk(b"0000000000000001"), "what was open is answered");
     assert_eq!(error_of(client.receive()), "BUSY 500", "the drain stands");
     // The one before is listened to meanwhile, and not after the new one has spoken.
-    before.tell(false, &[line("s-2", other.address, 4, "active")]);
+    before.publish(false, &[endpoint_json("s-2", other.address, 4, "active")]);
     before.wait_for_watch();
-    client.ask(3, 4, "", None);
+    client.request(3, 4, "", None);
     assert_eq!(client.receive(), bulk(b"0000000000000003"));
-    (0..3).for_each(|_| after.tell(true, &leaving));
+    (0..3).for_each(|_| after.publish(true, &leaving));
     after.wait_for_watch();
-    before.tell(true, &[]);
-    client.ask(4, 5, "", None);
+    before.publish(true, &[]);
+    client.request(4, 5, "", None);
     assert_eq!(client.receive(), bulk(b"0000000000000004"));
     // A reload while it ends changes nothing about that.
     program.terminate();
@@ -403,8 +412,8 @@
     let discovery = Discovery::start(&[("s-1", node.address, 3)]);
     let program = Program::start(&discovery, Setup::default());
     let mut client = Client::connect(program.resp);
-    client.ask(1, 3, "", None);
-    client.ask(2, 99, "", None);
+    client.request(1, 3, "", None);
+    client.request(2, 99, "", None);
     eventually("the node has it", || (node.count() == 1).then_some(()));
     let start = Instant::now();
     client.write(b"*5\r\n$60000000\r\nxxxx");
@@ -421,7 +430,7 @@
     let discovery = Discovery::start(&[("s-1", node.address, 3)]);
     let program = Program::start(&discovery, Setup::default());
     let mut good = Client::connect(program.resp);
-    good.ask(1, 3, "", None);
+    good.request(1, 3, "", None);
     assert_eq!(good.receive(), bulk(b"0000000000000001"));
     let mut bad: Vec<Client> = (0..3).map(|_| Client::connect(program.resp)).collect();
     bad[1].write(b"*4\r\n$7\r\nOBJ.G");
@@ -442,7 +451,7 @@
     let silent: Vec<Client> = (0..400).map(|_| Client::connect(program.resp)).collect();
     let mut client = Client::connect(program.resp);
     let start = Instant::now();
-    client.ask(1, 3, "", None);
+    client.request(1, 3, "", None);
     assert_eq!(client.receive(), bulk(b"0000000000000001"));
     assert!(start.elapsed() < Duration::from_millis(1500), "after {:?}", start.elapsed());
     drop(silent);
@@ -477,7 +486,7 @@
         b":5\r\n",
     ];
     let node = Node::start(|count, words| match SPOILT.get(count / 2) {
-        Some(spoilt) if count % 2 == 1 => Reply::Last(spoilt),
+        Some(spoilt) if count % 2 == 1 => Reply::Final(spoilt),
         _ => Reply::Value(words[1].clone()),
     });
     let discovery = Discovery::start(&[("s-1", node.address, 3)]);
@@ -485,23 +494,23 @@
     let mut client = Client::connect(program.resp);
     for piece in 0..SPOILT.len() as u64 {
         let start = Instant::now();
-        client.ask(piece, 3, "", None);
+        client.request(piece, 3, "", None);
         assert_eq!(client.receive(), bulk(format!("{piece:016x}").as_bytes()));
         assert!(start.elapsed() < Duration::from_secs(2), "{piece} after {:?}", start.elapsed());
     }
-    let seen = node.seen.lock().unwrap().clone();
+    let seen = node.received.lock().unwrap().clone();
     assert!(seen.len() == 2 * SPOILT.len() && seen.iter().all(|words| words.len() == 4), "{seen:?}");
     program.wait_for_info("answers_spoilt:7");
 }
 
 #[test]
 fn a_second_copy_of_an_answer_is_never_the_answer_of_the_next_request() {
-    let node = Node::start(|_, words| Reply::Twice(words[1].clone()));
+    let node = Node::start(|_, words| Reply::Duplicated(words[1].clone()));
     let discovery = Discovery::start(&[("s-1", node.address, 3)]);
     let program = Program::start(&discovery, Setup::default());
     let mut client = Client::connect(program.resp);
     for piece in 0..20u64 {
-        client.ask(piece, 3, "", None);
+        client.request(piece, 3, "", None);
         assert_eq!(client.receive(), bulk(format!("{piece:016x}").as_bytes()));
     }
 }
@@ -514,9 +523,12 @@
     let mut client = Client::connect(program.resp);
     for number in 0..50 {
         let (old, new) = (format!("s-{number}"), format!("s-{}", number + 1));
-        discovery.tell(false, &[line(&old, node.address, 3, "left"), line(&new, node.address, 3, "active")]);
+        discovery.publish(
+            false,
+            &[endpoint_json(&old, node.address, 3, "left"), endpoint_json(&new, node.address, 3, "active")],
+        );
         discovery.wait_for_watch();
-        client.ask(number, 3, "", None);
+        client.request(number, 3, "", None);
         assert_eq!(client.receive(), bulk(format!("{number:016x}").as_bytes()));
     }
     for line in ["nodes:1", "node_names:1", "node_connections:1", "requests_open:0"] {
@@ -531,17 +543,17 @@
     let program = Program::start(&discovery, Setup::default());
     let mut client = Client::connect(program.resp);
     let told = Instant::now();
-    discovery.tell(false, &[line("s-1", leaving.address, 3, "leaving")]);
+    discovery.publish(false, &[endpoint_json("s-1", leaving.address, 3, "leaving")]);
     discovery.wait_for_watch();
-    client.ask(1, 3, "", None);
+    client.request(1, 3, "", None);
     assert_eq!(client.receive(), bulk(b"0000000000000001"));
     for piece in 10..20u64 {
-        client.ask(piece, -1, &format!(",k={piece:016x}"), Some(b"x"));
+        client.request(piece, -1, &format!(",k={piece:016x}"), Some(b"x"));
         assert_eq!(client.receive(), bulk(b"x"));
     }
     assert_eq!(leaving.count(), 1, "new objects go elsewhere");
     thread::sleep(Duration::from_millis(1800).saturating_sub(told.elapsed()));
-    client.ask(2, 3, "", None);
+    client.request(2, 3, "", None);
     assert_eq!(error_of(client.receive()), "BUSY 500");
     // A first list does not say since when: this one may have been told before the program heard of it.
     let again = Program::start(&discovery_of(&leaving, "active"), Setup::default());
@@ -549,14 +561,14 @@
     again.reload(&moved.address.to_string());
     moved.wait_for_watch();
     let mut client = Client::connect(again.resp);
-    client.ask(3, 3, "", None);
+    client.request(3, 3, "", None);
     assert_eq!(error_of(client.receive()), "BUSY 500");
     assert_eq!(leaving.count(), 1);
 }
 
 fn discovery_of(node: &Node, status: &str) -> Discovery {
     let discovery = Discovery::start(&[]);
-    discovery.tell(true, &[line("s-1", node.address, 3, status)]);
+    discovery.publish(true, &[endpoint_json("s-1", node.address, 3, status)]);
     discovery
 }
 
@@ -597,8 +609,8 @@
                 // Bodies of different lengths, so that none can be taken for another.
                 let body = (number % 2 == 0).then(|| &value[number as usize..]);
                 loop {
-                    assert!(start.elapsed() < PATIENCE, "client {number} is never served");
-                    client.ask(number, -1, "", body);
+                    assert!(start.elapsed() < WAIT_LIMIT, "client {number} is never served");
+                    client.request(number, -1, "", body);
                     // Slow to read: what is not passed on piles up somewhere.
                     thread::sleep(Duration::from_millis(300));
                     match client.receive() {
@@ -639,12 +651,12 @@
     let program = Program::start(&discovery, Setup::default());
     let mut slow: Vec<Client> = (0..6).map(|_| Client::connect(program.resp)).collect();
     for (at, client) in slow.iter_mut().enumerate() {
-        client.ask(1, 3, "", None);
+        client.request(1, 3, "", None);
         eventually("it is out", || (node.count() > at).then_some(()));
     }
     let (mut client, start) = (Client::connect(program.resp), Instant::now());
     for _ in 0..20 {
-        client.ask(2, 3, "", None);
+        client.request(2, 3, "", None);
         assert_eq!(client.receive(), bulk(b"v"));
     }
     assert!(start.elapsed() < Duration::from_millis(1000), "{:?}", start.elapsed());
@@ -662,10 +674,10 @@
     let program = Program::start(&discovery, Setup::default());
     let mut client = Client::connect(program.resp);
     // A new object may be tried at the other node first, which turns it away.
-    client.ask(7, -1, ",k=00000000000000b1", Some(b"x"));
+    client.request(7, -1, ",k=00000000000000b1", Some(b"x"));
     assert_eq!(client.receive(), bulk(b""));
     let before = other.count();
-    client.ask(7, 4, "", None);
+    client.request(7, 4, "", None);
     assert_eq!(client.receive(), bulk(b"0000000000000007"));
     assert_eq!(other.count(), before);
 }
--- a/tests/net/upgrade.rs
+++ b/tests/net/upgrade.rs
@@ -19,7 +19,7 @@
 
 impl Place {
     fn new() -> Place {
-        Place { listen: free_address(), shared: folder() }
+        Place { listen: free_address(), shared: test_dir() }
     }
 
     fn setup(&self) -> Setup {
@@ -35,7 +35,7 @@
     fn start(&self, discovery: &Discovery) -> Program {
         let program = Program::spawn(discovery, self.setup());
         discovery.wait_for_watch();
-        eventually("it is ready", || program.call("ready").starts_with("200 ").then_some(()));
+        eventually("it is ready", || program.admin_command("ready").starts_with("200 ").then_some(()));
         program
     }
 }
@@ -47,7 +47,7 @@
 }
 
 fn served(client: &mut Client, piece: u64) -> bool {
-    client.ask(piece, 3, "", None);
+    client.request(piece, 3, "", None);
     client.try_receive() == Some(Value::Bulk(Some(format!("{piece:016x}").into_bytes())))
 }
 
@@ -107,8 +107,10 @@
     for _ in 0..2 {
         load.goes_on();
         let new = place.start(&discovery);
-        eventually("the old one was replaced", || old.call("ready").contains("replaced").then_some(()));
-        assert!(old.call("drain").starts_with("400 "), "that is for the other one to do");
+        eventually("the old one was replaced", || {
+            old.admin_command("ready").contains("replaced").then_some(())
+        });
+        assert!(old.admin_command("drain").starts_with("400 "), "that is for the other one to do");
         load.goes_on();
         old.terminate();
         assert!(old.wait().success());
@@ -125,7 +127,7 @@
     let (one, two, place) = (Node::echo(), Node::echo(), Place::new());
     let discovery = Discovery::start(&[("s-1", one.address, 3), ("s-2", two.address, 3)]);
     let mut old = place.start(&discovery);
-    assert!(old.call("disable-server s-1").starts_with("200 "));
+    assert!(old.admin_command("disable-server s-1").starts_with("200 "));
     let new = place.start(&discovery);
     let banned = |program: &Program, count: u32| {
         let line = format!("nodes_banned:{count}\r\n");
@@ -133,16 +135,16 @@
     };
     banned(&new, 1);
     // Called at the old one, it holds at the new one; and the other way round it ends.
-    assert!(old.call("disable-server s-2").starts_with("200 "));
+    assert!(old.admin_command("disable-server s-2").starts_with("200 "));
     banned(&new, 2);
-    assert!(old.call("enable-server s-2").starts_with("200 "));
+    assert!(old.admin_command("enable-server s-2").starts_with("200 "));
     banned(&new, 1);
     old.terminate();
     old.wait();
     let mut client = Client::connect(place.listen);
     (0..20).for_each(|piece| assert!(served(&mut client, piece)));
     assert_eq!((one.count(), two.count()), (0, 20));
-    assert!(new.call("enable-server s-1").starts_with("200 "));
+    assert!(new.admin_command("enable-server s-1").starts_with("200 "));
     banned(&new, 0);
 }
 
@@ -156,7 +158,7 @@
     let discovery = Discovery::start(&[("s-1", node.address, 3)]);
     let mut old = place.start(&discovery);
     let (mut client, mut half) = (Client::connect(place.listen), Client::connect(place.listen));
-    client.ask(1, 3, "", None);
+    client.request(1, 3, "", None);
     eventually("it is out", || (node.count() == 1).then_some(()));
     half.write(b"*1\r\n$4\r\nPI");
     let new = place.start(&discovery);
@@ -185,17 +187,17 @@
     let output = command.env("TMPDIR", &place.shared).output().unwrap();
     std::fs::remove_dir_all(files).unwrap();
     assert!(!output.status.success());
-    assert!(old.call("ready").starts_with("200 "));
+    assert!(old.admin_command("ready").starts_with("200 "));
     // It dies after it took over.
     let mut new = place.start(&discovery);
-    eventually("the old one was replaced", || old.call("ready").contains("replaced").then_some(()));
+    eventually("the old one was replaced", || old.admin_command("ready").contains("replaced").then_some(()));
     new.kill();
-    eventually("the old one serves", || old.call("ready").starts_with("200 ").then_some(()));
+    eventually("the old one serves", || old.admin_command("ready").starts_with("200 ").then_some(()));
     assert!(served(&mut Client::connect(place.listen), 1));
     // And the next upgrade finds it.
     let new = place.start(&discovery);
-    eventually("the old one was replaced", || old.call("ready").contains("replaced").then_some(()));
-    assert!(new.call("ready").starts_with("200 "));
+    eventually("the old one was replaced", || old.admin_command("ready").contains("replaced").then_some(()));
+    assert!(new.admin_command("ready").starts_with("200 "));
 }
 
 #[test]
@@ -203,7 +205,7 @@
     let (node, place) = (Node::echo(), Place::new());
     let discovery = Discovery::start(&[("s-1", node.address, 3)]);
     let mut old = place.start(&discovery);
-    let meeting = old.meeting_place(&place.shared);
+    let meeting = old.upgrade_socket(&place.shared);
     assert!(meeting.exists());
     old.kill();
     let mut next = place.start(&discovery);
@@ -232,7 +234,7 @@
     // A folder that is none.
     let setup = Setup { shared: Some(place.shared.join("none")), ..place.setup() };
     let program = Program::start(&discovery, setup);
-    assert!(program.call("ready").starts_with("200 "));
+    assert!(program.admin_command("ready").starts_with("200 "));
 }
 
 #[test]
@@ -240,9 +242,9 @@
     let (node, place) = (Node::echo(), Place::new());
     let discovery = Discovery::start(&[("s-1", node.address, 3)]);
     let old = place.start(&discovery);
-    assert!(old.call("drain").starts_with("200 "));
+    assert!(old.admin_command("drain").starts_with("200 "));
     let new = Program::spawn(&discovery, place.setup());
-    assert!(new.call("ready").contains("drained"));
-    assert!(new.call("resume").starts_with("200 "));
+    assert!(new.admin_command("ready").contains("drained"));
+    assert!(new.admin_command("resume").starts_with("200 "));
     assert!(served(&mut Client::connect(place.listen), 1));
 }
--- a/tests/net/vrrp.rs
+++ b/tests/net/vrrp.rs
@@ -79,7 +79,7 @@
 }
 
 fn assert_served(client: &mut Client) {
-    client.ask(1, 3, "", None);
+    client.request(1, 3, "", None);
     assert!(matches!(client.receive(), Value::Bulk(Some(_))));
 }
 
@@ -140,7 +140,7 @@
     for (number, client) in clients.iter_mut().enumerate() {
         let key = format!(",k={number:016x}");
         let body = (number % 2 == 0).then_some(&b"x"[..]);
-        client.ask(number as u64, 3, &key, body);
+        client.request(number as u64, 3, &key, body);
     }
     eventually("all requests are accepted", || (router(&second)["open_requests"] == 50).then_some(()));
     eventually("some attempts are in flight", || (node.count() > 3).then_some(()));
@@ -149,7 +149,7 @@
     let mut late = Client::connect(second.resp);
     assert_answers_ping(&mut late);
     // A further request is refused, so that the client turns to the other initiator.
-    clients[0].ask(99, 3, "", None);
+    clients[0].request(99, 3, "", None);
     unblocked.store(true, Ordering::Relaxed);
     for client in &mut clients {
         assert!(matches!(client.receive(), Value::Bulk(Some(_))), "accepted requests are answered");
@@ -157,7 +157,7 @@
     assert_eq!(clients[0].receive(), busy());
     wait_for(&second, "duty", "standby");
     assert_served(&mut connect(files[0].listen));
-    let seen = node.seen.lock().unwrap();
+    let seen = node.received.lock().unwrap();
     let writes = seen.iter().filter(|words| words[0] == "OBJ.PUT");
     let mut sent = std::collections::HashMap::new();
     writes.for_each(|words| *sent.entry(&words[2]).or_insert(0) += 1);
@@ -183,7 +183,7 @@
     first.signal("STOP");
     assert_served(&mut connect(files[1].listen));
     // The request arrives while the process is stopped; it resumes in state Active.
-    client.ask(7, 3, "", None);
+    client.request(7, 3, "", None);
     let before = node.count();
     first.signal("CONT");
     assert_eq!(client.receive(), busy());
@@ -201,14 +201,14 @@
     let mut first = files[0].start(&discovery);
     let _second = files[1].start(&discovery);
     let mut client = connect(files[0].listen);
-    client.ask(1, 3, "", None);
+    client.request(1, 3, "", None);
     eventually("the attempt is in flight", || (node.count() > 0).then_some(()));
     let terminated_at = Instant::now();
     first.terminate();
     let mut next = connect(files[1].listen);
     // A crash is noticed after three intervals; a resignation hands over in less than one.
     assert!(terminated_at.elapsed() < Duration::from_millis(3 * INTERVAL), "{:?}", terminated_at.elapsed());
-    next.ask(2, 4, "", None);
+    next.request(2, 4, "", None);
     assert!(matches!(next.receive(), Value::Bulk(Some(_))));
     unblocked.store(true, Ordering::Relaxed);
     assert!(matches!(client.receive(), Value::Bulk(Some(_))));
@@ -225,7 +225,7 @@
     // Connects and sends a request while the process is stopped; the process handles SIGTERM first.
     first.signal("STOP");
     let mut client = Client::connect(files[0].listen);
-    client.ask(1, 3, "", None);
+    client.request(1, 3, "", None);
     first.terminate();
     first.signal("CONT");
     assert_eq!(client.receive(), busy());
@@ -245,7 +245,7 @@
     let load = thread::spawn(move || {
         let (mut at, mut counts, mut client) = (0, [0; 2], Client::connect(listen[0]));
         while !done.load(Ordering::Relaxed) || counts[1] == 0 {
-            client.ask(1, 3, "", None);
+            client.request(1, 3, "", None);
             match client.receive() {
                 Value::Bulk(Some(_)) => counts[at] += 1,
                 refused => {
@@ -451,7 +451,7 @@
 fn a_failed_release_command_does_not_keep_the_address_from_being_taken_again() {
     let node = Node::echo();
     let discovery = Discovery::start(&[("s-1", node.address, 3)]);
-    let maintenance_file = folder().join("maintenance");
+    let maintenance_file = test_dir().join("maintenance");
     let extra = format!(
         "file = {maintenance_file:?}\n[[tracking.rule]]\ncondition = \"address\"\nlowers = 50\nfall = 1\nrise = 1\n\
          [[tracking.rule]]\ncondition = \"file\"\nlowers = 0\nfall = 1\nrise = 1\n\
@@ -471,7 +471,7 @@
 fn conditions_lower_the_priority_and_the_file_puts_the_router_into_maintenance() {
     let node = Node::echo();
     let discovery = Discovery::start(&[("s-1", node.address, 3)]);
-    let maintenance_file = folder().join("maintenance");
+    let maintenance_file = test_dir().join("maintenance");
     let extra = format!(
         "file = {maintenance_file:?}\n[[tracking.rule]]\ncondition = \"no-ready-node\"\nlowers = 150\n\
          [[tracking.rule]]\ncondition = \"file\"\nlowers = 0\n"
@@ -479,19 +479,19 @@
     let (file, advertiser) = with_advertiser(9, 200, extra.leak());
     let program = file.start(&discovery);
     let mut client = connect(file.listen);
-    discovery.tell(true, &[]);
+    discovery.publish(true, &[]);
     eventually("the priority is lowered", || (router(&program)["priority"] == 50).then_some(()));
-    discovery.tell(true, &[line("s-1", node.address, 3, "active")]);
+    discovery.publish(true, &[endpoint_json("s-1", node.address, 3, "active")]);
     eventually("the priority is restored", || (router(&program)["priority"] == 200).then_some(()));
     std::fs::write(&maintenance_file, "").unwrap();
     wait_for(&program, "duty", "standby");
-    advertiser.socket.set_read_timeout(Some(PATIENCE)).unwrap();
+    advertiser.socket.set_read_timeout(Some(WAIT_LIMIT)).unwrap();
     let mut packet = [0; 64];
     eventually("it resigns", || {
         advertiser.socket.recv(&mut packet).unwrap();
         (packet[2] == 0).then_some(())
     });
-    client.ask(1, 3, "", None);
+    client.request(1, 3, "", None);
     assert_eq!(client.receive(), busy());
     thread::sleep(Duration::from_millis(5 * INTERVAL));
     assert_eq!(router(&program)["state"], "backup", "it does not take over in maintenance");
@@ -543,7 +543,7 @@
     let (file, _advertiser) = with_condition(14, "discovery-silent", "discovery_silent_ms = 2000");
     let program = file.start(&discovery);
     assert!(!condition_holds(&program, "discovery-silent"));
-    discovery.fall_silent();
+    discovery.stop_answering();
     eventually("discovery is silent", || condition_holds(&program, "discovery-silent").then_some(()));
 }
 
