--- a/tests/net/helper.rs
+++ b/tests/net/helper.rs
@@ -1,5 +1,5 @@
-//! Starts the program, and stands in for everything around it. Ports are the system's choice; waits end on a
-//! condition, with limits that only a hang reaches.
+//! Starts the program and provides fake clients, nodes and discovery servers. The system chooses the ports. Waits end
+//! on a condition; their time limits are reached only if something hangs.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -10,10 +10,11 @@
 use std::time::{Duration, Instant};
 use topazpath::resp::{self, Value};
 
-/// Longer than anything here takes on a loaded machine.
+/// Upper bound of every wait; longer than any step of these tests takes on a loaded machine.
 pub const WAIT_LIMIT: Duration = Duration::from_secs(20);
 
-/// Less than a connection of the program rests after an answer.
+/// A duplicate answer has to be sent within this time of the first. It is shorter than the time for which the program
+/// leaves a node connection unused after an answer.
 const DUPLICATE_WITHIN: Duration = Duration::from_millis(8);
 
 const SETTINGS: &str = r#"{"siblings":INITIATORS,"tick_ms":2.0,"discovery":"pushed","zones":["z"],
@@ -30,71 +31,74 @@
  "limits":{"attempts_cap":4,"connect_timeout_ms":250,"conn_idle_ms":30000,"max_retry_after_ms":500,
   "retry_after":true,"may_cancel":true}}"#;
 
-/// How the program is set up for a test.
+/// Options that a test starts the program with.
 #[derive(Clone, Default)]
 pub struct Setup {
-    /// Its name, where that matters.
+    /// Name of the initiator; `n1` if empty.
     pub name: String,
-    /// Where it listens; else on a port of the system's choice.
+    /// Listening address; by default a port that the system chooses.
     pub listen: Option<SocketAddr>,
+    /// Hard limit of all classes, in ms; 5000 if 0.
     pub deadline_ms: u64,
-    /// Units a second that a volume of `base` may take.
+    /// Ceiling rate of a volume of the plan `base`, in units a second.
     pub limit: u64,
+    /// Content of the iSCSI settings file; no file if empty.
     pub iscsi: String,
-    /// The file of its addresses that move.
+    /// Content of the VRRP settings file; no file if empty.
     pub vrrp: String,
-    /// The file of its fleet.
+    /// Content of the fleet settings file; no file if empty.
     pub fleet: String,
-    /// The settings forbid communication between initiators.
+    /// Sets `peers` to false: initiators must not communicate with each other.
     pub no_peers: bool,
-    /// How many initiators there are, if more than one.
+    /// Number of initiators; 0 counts as 1.
     pub initiators: u32,
-    /// The node list it knows at the start, as discovery words it.
+    /// The node list that the configuration contains, in discovery's format; none if empty.
     pub initial_list: String,
-    /// Remote planners, by address.
+    /// Addresses of remote planners; the planners' client is disabled if empty.
     pub planners: Vec<SocketAddr>,
-    /// More lines for the file that names them.
+    /// Further lines of the planners settings file.
     pub planners_extra: &'static str,
-    /// An aim for all classes, where a busy machine must not make answers late.
+    /// Latency aim of all classes, in ms, for tests in which a busy machine must not make answers late; the usual
+    /// aims if 0.
     pub aim_ms: u64,
-    /// Descriptors that the system lets it have, if that is to be told.
+    /// Limit of open descriptors (`ulimit -n`); the inherited limit if 0.
     pub descriptors: u32,
-    /// Megabytes that it may use, if not 192.
+    /// Memory limit in MB; 192 if 0.
     pub memory_mb: u64,
-    /// It has a door for operators.
+    /// Opens an admin endpoint.
     pub control: bool,
-    /// Further replacements in its settings, each once.
+    /// Text replacements in the settings; each old text has to occur exactly once.
     pub changes: Vec<(&'static str, &'static str)>,
-    /// Its `$TMPDIR`, where two processes share one; else a folder of its own.
+    /// `$TMPDIR` that several processes share; by default each has its own.
     pub shared: Option<std::path::PathBuf>,
 }
 
-/// The running program.
+/// A running process of the program. It is killed on drop, and its files are removed.
 pub struct Program {
     child: Child,
     pub resp: SocketAddr,
     pub iscsi: Option<SocketAddr>,
     control: Option<SocketAddr>,
     dir: std::path::PathBuf,
-    /// Its configuration, less the address of discovery.
+    /// The configuration, with `DISCOVERY` in place of the address of discovery.
     config: String,
 }
 
 impl Drop for Program {
     fn drop(&mut self) {
-        // It may have ended already.
+        // The process may have ended already.
         let _ = self.child.kill();
         let _ = self.child.wait();
         let _ = std::fs::remove_dir_all(&self.dir);
     }
 }
 
-/// An address that is free at the moment.
+/// A TCP address that is currently free.
 pub fn free_address() -> SocketAddr {
     TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap()
 }
 
-/// A folder for one test's files.
+/// A new directory for the files of one test.
 pub fn test_dir() -> std::path::PathBuf {
     static COUNT: Mutex<u32> = Mutex::new(0);
     let mut count = COUNT.lock().unwrap();
@@ -104,7 +108,7 @@
     dir
 }
 
-/// A command that would start the program with these files.
+/// A command that starts the program with these configuration files, and the directory of the files.
 pub fn command(config: &str, iscsi: &str) -> (Command, std::path::PathBuf) {
     let dir = test_dir();
     std::fs::write(dir.join("config.json"), config).unwrap();
@@ -122,13 +126,14 @@
 }
 
 impl Program {
+    /// Starts the program and waits until it has the node list.
     pub fn start(discovery: &Discovery, setup: Setup) -> Program {
         let program = Program::spawn(discovery, setup);
         discovery.wait_for_watch();
         program
     }
 
-    /// Does not wait until it has the list.
+    /// Starts the program without waiting for the node list.
     pub fn spawn(discovery: &Discovery, setup: Setup) -> Program {
         let listen = setup.listen.unwrap_or_else(|| SocketAddr::from(([127, 0, 0, 1], 0)));
         let name = if setup.name.is_empty() { "n1" } else { &setup.name };
@@ -169,21 +174,21 @@
             let text = line.split_once(&format!("{name}=Some("))?.1.split(')').next()?;
             text.parse().ok()
         };
-        let resp = address("resp").expect("its address");
+        let resp = address("resp").expect("the RESP address in the log line");
         Program { child, resp, iscsi: address("iscsi"), control: address("control"), dir, config }
     }
 
-    /// Its door for operators.
+    /// Address of the admin endpoint.
     pub fn admin_endpoint(&self) -> SocketAddr {
-        self.control.expect("a door")
+        self.control.expect("Setup::control is set")
     }
 
-    /// What an operator is answered.
+    /// Sends a command to the admin endpoint and returns the answer.
     pub fn admin_command(&self, command: &str) -> String {
         exchange(self.admin_endpoint(), format!("{command}\n").as_bytes())
     }
 
-    /// A configuration.
+    /// The text of a configuration file. `control` is a JSON value.
     pub fn config(name: &str, listen: SocketAddr, control: &str, discovery: &str, setup: &Setup) -> String {
         let deadline = if setup.deadline_ms == 0 { 5000 } else { setup.deadline_ms };
         let settings = SETTINGS.replace("DEADLINE", &deadline.to_string());
@@ -204,32 +209,32 @@
             settings.replace(usual, other)
         });
         let memory = if setup.memory_mb == 0 { 192 } else { setup.memory_mb };
-        let initial_list = if setup.initial_list.is_empty() { "null" } else { &setup.initial_list };
+        let list = if setup.initial_list.is_empty() { "null" } else { &setup.initial_list };
         format!(
             r#"{{"name":"{name}","listen":"{listen}","control":{control},"discovery":"{discovery}",
-             "seed":"8c1f30d27a5be964","limits":{{"cores":1.0,"memory_mb":{memory},"sockets":256}},"known":{initial_list},
+             "seed":"8c1f30d27a5be964","limits":{{"cores":1.0,"memory_mb":{memory},"sockets":256}},"known":{list},
              "settings":{settings}}}"#
         )
     }
 
-    /// Where the next process of it would find it.
+    /// Path of the socket at which the next process of this initiator finds it for an upgrade.
     pub fn upgrade_socket(&self, shared: &std::path::Path) -> std::path::PathBuf {
         shared.join(format!("topazpath-{}-{}.sock", self.resp.ip(), self.resp.port()))
     }
 
-    /// Sends it a signal by name.
+    /// Sends the process a signal, by name.
     pub fn signal(&self, name: &str) {
         signal(&self.child, name);
     }
 
-    /// Ends it at once, as a machine that loses power.
+    /// Kills the process at once, as a power loss would.
     pub fn kill(&mut self) {
-        // It may have ended already.
+        // The process may have ended already.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Replaces the file of its addresses that move, and tells it so.
+    /// Replaces the VRRP settings file and has the program reload it.
     pub fn reload_vrrp(&self, text: &str) {
         std::fs::write(self.dir.join("new.toml"), text).unwrap();
         std::fs::rename(self.dir.join("new.toml"), self.dir.join("vrrp.toml")).unwrap();
@@ -240,24 +245,24 @@
         signal(&self.child, "TERM");
     }
 
-    /// Descriptors that it holds.
+    /// Number of descriptors that the process has open.
     pub fn descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).unwrap().count()
     }
 
-    /// Kilobytes of memory that it uses.
+    /// Resident memory of the process, in kB.
     pub fn memory_kb(&self) -> u64 {
         topazpath::process::resident_memory(self.child.id()).unwrap() as u64 / 1024
     }
 
-    /// Replaces its configuration with one that names this address of discovery, and tells it so.
+    /// Replaces the configuration by one with this address of discovery and has the program reload it.
     pub fn reload(&self, discovery: &str) {
         std::fs::write(self.dir.join("new.json"), self.config.replace("DISCOVERY", discovery)).unwrap();
         std::fs::rename(self.dir.join("new.json"), self.dir.join("config.json")).unwrap();
         signal(&self.child, "HUP");
     }
 
-    /// Waits until a line of `INFO` is as given.
+    /// Waits until `INFO` contains this line.
     pub fn wait_for_info(&self, line: &str) {
         let mut client = Client::connect(self.resp);
         eventually(line, || client.info().contains(&format!("{line}\r\n")).then_some(()));
@@ -268,7 +273,7 @@
     }
 }
 
-/// Says something on a connection of its own, and returns all that is said back.
+/// Sends bytes on a new connection and returns everything received until the peer closes it.
 pub fn exchange(address: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(address).unwrap();
     stream.set_read_timeout(Some(WAIT_LIMIT)).unwrap();
@@ -278,7 +283,7 @@
     answer
 }
 
-/// Sends a signal to a process of this test's own.
+/// Sends a signal to a child process of this test.
 pub fn signal(child: &Child, name: &str) {
     Command::new("kill").args([&format!("-{name}"), &child.id().to_string()]).status().unwrap();
 }
@@ -287,19 +292,19 @@
     addresses.iter().map(SocketAddr::to_string).collect()
 }
 
-/// Waits until there is something.
+/// Polls until `check` returns a value. Fails after `WAIT_LIMIT`.
 pub fn eventually<T>(what: &str, mut check: impl FnMut() -> Option<T>) -> T {
     let start = Instant::now();
     loop {
         if let Some(found) = check() {
             return found;
         }
-        assert!(start.elapsed() < WAIT_LIMIT, "never came true: {what}");
+        assert!(start.elapsed() < WAIT_LIMIT, "timed out waiting for: {what}");
         thread::sleep(Duration::from_millis(2));
     }
 }
 
-/// Serves each connection of a listener on a thread of its own; returns its address.
+/// Listens on a new address, which it returns, and handles each connection on its own thread.
 pub fn serve(handle: impl Fn(TcpStream) + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -314,7 +319,7 @@
     address
 }
 
-/// A node list that the test changes.
+/// A fake discovery server with a node list that the test changes.
 pub struct Discovery {
     pub address: SocketAddr,
     state: Arc<Mutex<State>>,
@@ -322,32 +327,33 @@
 
 #[derive(Default)]
 struct State {
+    /// Version of the list.
     index: u64,
     body: String,
-    /// Version after which the last watch asked.
+    /// The highest version that a watch named as known.
     watched_index: Option<u64>,
-    /// Connections that are to get no answer.
+    /// Number of connections that still get no answer.
     silent_connections: u32,
-    /// Calls that are to be turned away.
+    /// Number of calls that are still rejected with 503.
     calls_to_reject: u32,
     /// No call is answered any more.
     unresponsive: bool,
-    /// How often the whole list was asked for.
+    /// Number of calls for the whole list.
     snapshot_requests: u32,
 }
 
 impl Discovery {
-    /// One that somebody else stands in for.
+    /// A discovery server at this address that the test itself runs.
     pub fn at(address: SocketAddr) -> Discovery {
         Discovery { address, state: Arc::default() }
     }
 
-    /// With nodes as (name, address, shard), all active.
+    /// Starts a server with these nodes as (name, address, shard), all active.
     pub fn start(nodes: &[(&str, SocketAddr, u32)]) -> Discovery {
         Discovery::with_silent_connections(0, nodes)
     }
 
-    /// The same, but the first connections get no answer.
+    /// Like `start`, but the first connections get no answer.
     pub fn with_silent_connections(silent_connections: u32, nodes: &[(&str, SocketAddr, u32)]) -> Discovery {
         let lines: Vec<String> = nodes
             .iter()
@@ -365,7 +371,7 @@
                 before > 0
             };
             if is_silent {
-                // Until the program gives the connection up.
+                // Until the program closes the connection.
                 let _ = reader.read_to_end(&mut Vec::new());
                 return;
             }
@@ -423,17 +429,17 @@
         discovery
     }
 
-    /// No call is answered any more, those that wait included.
+    /// Answers no call any more, including those that are waiting.
     pub fn stop_answering(&self) {
         self.state.lock().unwrap().unresponsive = true;
     }
 
-    /// The next calls are turned away.
+    /// Rejects the next calls with 503.
     pub fn reject_calls(&self, calls: u32) {
         self.state.lock().unwrap().calls_to_reject = calls;
     }
 
-    /// Tells lines: the whole list or changes.
+    /// Publishes endpoints: the whole list (`snapshot`) or changes.
     pub fn publish(&self, snapshot: bool, lines: &[String]) {
         let mut state = self.state.lock().unwrap();
         state.index += 1;
@@ -441,7 +447,7 @@
         state.body = format!(r#"{{"index":{index},"snapshot":{snapshot},"endpoints":[{lines}]}}"#);
     }
 
-    /// Tells something that is no list, and waits until the program has asked again.
+    /// Publishes an invalid list and waits until the program has asked for the whole list again.
     pub fn publish_invalid(&self) {
         let before = {
             let mut state = self.state.lock().unwrap();
@@ -449,26 +455,26 @@
             state.body = "{\"index\":".into();
             state.snapshot_requests
         };
-        eventually("the whole list is asked for", || {
+        eventually("a call for the whole list", || {
             (self.state.lock().unwrap().snapshot_requests > before).then_some(())
         });
     }
 
-    /// How often the whole list was asked for.
+    /// Number of calls for the whole list.
     pub fn snapshot_requests(&self) -> u32 {
         self.state.lock().unwrap().snapshot_requests
     }
 
-    /// Waits until the program has heard of the present version.
+    /// Waits until the program watches for changes after the current version.
     pub fn wait_for_watch(&self) {
-        eventually("the list is taken", || {
+        eventually("a watch after the current version", || {
             let state = self.state.lock().unwrap();
             (state.watched_index == Some(state.index)).then_some(())
         });
     }
 }
 
-/// What a stand-in waits for until a test lets it go on.
+/// Blocks a fake server until the test opens the gate.
 #[derive(Clone, Default)]
 pub struct Gate(Arc<(Mutex<bool>, Condvar)>);
 
@@ -478,14 +484,14 @@
         self.0 .1.notify_all();
     }
 
-    /// Waits until it is open, for as long as a test waits for anything.
+    /// Waits until the gate is open, at most for `WAIT_LIMIT`.
     pub fn wait_until_open(&self) {
         let open = self.0 .0.lock().unwrap();
         let _open = self.0 .1.wait_timeout_while(open, WAIT_LIMIT, |open| !*open).unwrap();
     }
 }
 
-/// A line of the node list.
+/// An entry of discovery's node list, as JSON.
 pub fn endpoint_json(name: &str, address: SocketAddr, shard: u32, status: &str) -> String {
     format!(
         r#"{{"name":"{name}","address":"{address}","zone":"z","type":"t","group":{shard},"status":"{status}",
@@ -493,7 +499,7 @@
     )
 }
 
-/// The next whole thing of a connection, or nothing at its end.
+/// Reads the next whole message of a connection; `None` at its end, on an error or after `WAIT_LIMIT`.
 pub fn read_message<T>(
     stream: &mut TcpStream,
     input: &mut Vec<u8>,
@@ -513,7 +519,7 @@
     }
 }
 
-/// A RESP2 value of any length.
+/// Parses a RESP2 value of any length; `None` if it is not whole yet.
 pub fn parse(input: &[u8]) -> Option<(Value, usize)> {
     let (kind, end) = (*input.first()?, input.windows(2).position(|pair| pair == b"\r\n")?);
     let count = || std::str::from_utf8(&input[1..end]).unwrap().parse::<i64>().unwrap();
@@ -536,21 +542,24 @@
     }
 }
 
-/// What a stand-in node does with a command.
+/// What a fake node does with a command.
 pub enum Reply {
+    /// Answers with this value.
     Value(Vec<u8>),
+    /// Answers with this line.
     Line(&'static str),
     Silent,
     Close,
-    /// These bytes, after which nothing may be asked on the connection any more.
+    /// Sends these bytes; a further command on the connection is recorded as an error.
     Final(&'static [u8]),
-    /// The value, and a moment later a second copy; a close where this machine is too busy for that moment.
+    /// Sends the value, and 3 ms later a second copy. Closes the connection instead of sending the copy if this machine
+    /// was too busy to send it within `DUPLICATE_WITHIN`.
     Duplicated(Vec<u8>),
-    /// The value in pieces, with this pause before each of four.
+    /// Sends the answer in four pieces, with this pause after each.
     Slow(Vec<u8>, Duration),
 }
 
-/// A stand-in RESP2 node, which remembers the commands it was sent.
+/// A fake RESP2 node that records the commands it receives.
 pub struct Node {
     pub address: SocketAddr,
     pub received: Arc<Mutex<Vec<Vec<String>>>>,
@@ -566,7 +575,7 @@
                 let words: Vec<Vec<u8>> = words.into_iter().map(bytes).collect();
                 let count = {
                     let mut received = shared.lock().unwrap();
-                    // Of a long body its beginning is enough.
+                    // Only the beginning of a long argument is recorded.
                     let text =
                         |word: &Vec<u8>| String::from_utf8_lossy(&word[..word.len().min(99)]).into_owned();
                     received.push(words.iter().map(text).collect());
@@ -593,7 +602,7 @@
                     Reply::Final(bytes) => {
                         client.write(bytes);
                         if client.try_receive().is_some() {
-                            shared.lock().unwrap().push(vec!["asked again".into()]);
+                            shared.lock().unwrap().push(vec!["another command".into()]);
                         }
                         return;
                     }
@@ -606,17 +615,18 @@
         Node { address, received }
     }
 
-    /// A node that answers each read with its piece and each write with nothing.
+    /// A node that answers each read with the name of its object and each write with its body.
     pub fn echo() -> Node {
         Node::start(|_, words| Reply::Value(words[if words.len() == 4 { 1 } else { 4 }].clone()))
     }
 
+    /// Number of commands received.
     pub fn count(&self) -> usize {
         self.received.lock().unwrap().len()
     }
 }
 
-/// A node's answer with a value and nothing else.
+/// The RESP2 encoding of a node's answer with this value and without attributes.
 fn value_reply(value: &[u8]) -> Vec<u8> {
     let mut answer = b"*3\r\n".to_vec();
     resp::write_bulk(&mut answer, value);
@@ -646,12 +656,12 @@
         Client { stream, input: Vec::new() }
     }
 
-    /// Writes as much as the far side still takes.
+    /// Writes bytes and ignores errors: the peer may have closed the connection.
     pub fn write(&mut self, bytes: &[u8]) {
         let _ = self.try_write(bytes);
     }
 
-    /// Writes all, unless the connection has broken.
+    /// Writes all bytes, or fails if the connection is broken.
     pub fn try_write(&mut self, bytes: &[u8]) -> std::io::Result<()> {
         self.stream.write_all(bytes)
     }
@@ -660,7 +670,7 @@
         self.write(&resp::command(words));
     }
 
-    /// A read, or with a body a write, of a piece on a shard.
+    /// Sends a read, or with a body a write, of an object on a shard.
     pub fn request(&mut self, object: u64, shard: i32, extra_attributes: &str, body: Option<&[u8]>) {
         let class = if body.is_some() { "write" } else { "read" };
         let attributes = format!(
@@ -677,18 +687,18 @@
         self.send(&arguments);
     }
 
-    /// The next value, or nothing at the end of the connection.
+    /// The next value; `None` at the end of the connection.
     pub fn try_receive(&mut self) -> Option<Value> {
         read_message(&mut self.stream, &mut self.input, parse)
     }
 
-    /// A part's report.
+    /// The JSON report of a section of `INFO`.
     pub fn report(&mut self, section: &str) -> serde_json::Value {
         self.send(&[b"INFO", section.as_bytes()]);
         serde_json::from_slice(&bytes(self.receive())).unwrap()
     }
 
-    /// The program's counters.
+    /// The text of `INFO`.
     pub fn info(&mut self) -> String {
         self.send(&[b"INFO"]);
         String::from_utf8(bytes(self.receive())).unwrap()
--- a/tests/net/lateness.rs
+++ b/tests/net/lateness.rs
@@ -1,4 +1,4 @@
-//! A process that is kept from its work: a client's time counts from when its request came, not from when it was read.
+//! A process that is paused: time limits count from when a message arrived, not from when the process read it.
 
 use crate::helper::*;
 use socket2::{Domain, Socket, Type};
@@ -7,13 +7,13 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long the process stands still as the request comes.
-const HELD_UP: Duration = Duration::from_millis(400);
-/// What the client waits for, of which this machine may use up some.
-const WAITS: Duration = Duration::from_millis(1_000);
+/// For how long the process is stopped while the message arrives.
+const PAUSE: Duration = Duration::from_millis(400);
+/// The request's deadline (`d=1000`), and how much later the answer may arrive on a busy machine.
+const DEADLINE: Duration = Duration::from_millis(1_000);
 const SLACK: Duration = Duration::from_millis(200);
 
-/// A listener that accepts nothing, with its queue full: connections to it never come up.
+/// A listener that accepts nothing and whose accept queue is full, so that connections to it are never established.
 struct Unreachable {
     listener: Socket,
     _waiting: Vec<Socket>,
@@ -28,7 +28,7 @@
         let connect = |_| {
             let waiting = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
             waiting.set_nonblocking(true).unwrap();
-            // It is still being made.
+            // The connection is still in progress.
             let _ = waiting.connect(&address);
             waiting
         };
@@ -42,36 +42,36 @@
 }
 
 #[test]
-fn a_request_that_is_read_late_is_answered_in_its_time() {
+fn a_request_that_is_read_late_is_answered_by_its_deadline() {
     let node = Unreachable::start();
     let discovery = Discovery::start(&[("s1", node.address(), 3)]);
     let program = Program::start(&discovery, Setup::default());
     let mut client = Client::connect(program.resp);
-    // The connection is known to the program before it is held up.
+    // The program accepts the connection before it is stopped.
     client.info();
     program.signal("STOP");
     let asked = Instant::now();
     client.request(1, 3, ",d=1000", None);
-    thread::sleep(HELD_UP);
+    thread::sleep(PAUSE);
     program.signal("CONT");
     client.receive();
     let took = asked.elapsed();
-    assert!(took < WAITS + SLACK, "answered after {took:?}");
+    assert!(took < DEADLINE + SLACK, "answered after {took:?}");
 }
 
-/// The grace of a drain, and what may be sent after it by a process that is held up between its clock and its writing.
+/// The grace of a drain, and how much later a process may send that is delayed between reading its clock and writing.
 const GRACE: Duration = Duration::from_millis(1_000);
 const GRACE_SLACK: Duration = Duration::from_millis(150);
 
-/// A drain counts from when it was announced, not from when this process came to read it. A process that was held up for
-/// 0.4 s sent to the last node of a shard until 1.25 s after the announcement, with a grace of 1 s: the grace counted from the
-/// turn that read the list.
+/// The grace of a drain counts from its announcement, not from when this process reads it. A process that was paused for
+/// 0.4 s sent to the last node of a shard until 1.25 s after the announcement, with a grace of 1 s, because the grace
+/// counted from the loop iteration that read the list.
 #[test]
 fn the_grace_of_a_drain_that_is_read_late_ends_no_later() {
     let last_sent = Arc::new(Mutex::new(None));
-    let seen = last_sent.clone();
+    let recorded = last_sent.clone();
     let node = Node::start(move |_, _| {
-        *seen.lock().unwrap() = Some(Instant::now());
+        *recorded.lock().unwrap() = Some(Instant::now());
         Reply::Value(b"ok".to_vec())
     });
     let discovery = Discovery::start(&[("s1", node.address, 3)]);
@@ -87,15 +87,15 @@
     program.signal("STOP");
     let announced = Instant::now();
     discovery.publish(false, &[endpoint_json("s1", node.address, 3, "leaving")]);
-    thread::sleep(HELD_UP);
+    thread::sleep(PAUSE);
     program.signal("CONT");
     let mut number = 1;
-    while announced.elapsed() < GRACE + 2 * HELD_UP {
+    while announced.elapsed() < GRACE + 2 * PAUSE {
         number += 1;
         request(&mut client, number);
         thread::sleep(Duration::from_millis(5));
     }
-    let last = last_sent.lock().unwrap().expect("it was served before") - announced;
-    assert!(last > HELD_UP, "it is still used in its grace: {last:?}");
+    let last = last_sent.lock().unwrap().expect("a request reached the node") - announced;
+    assert!(last > PAUSE, "the node is still used during its grace: {last:?}");
     assert!(last < GRACE + GRACE_SLACK, "sent {last:?} after the announcement");
 }
--- a/tests/net/main.rs
+++ b/tests/net/main.rs
@@ -1,4 +1,4 @@
-//! The real program as a process, spoken to as its clients, nodes, storage and discovery would.
+//! Runs the real program as a process and talks to it as its clients, nodes, storage targets and discovery do.
 
 mod acceptance;
 mod configuration;
