--- a/tests/net/lateness.rs
+++ b/tests/net/lateness.rs
@@ -63,9 +63,9 @@
 const GRACE: Duration = Duration::from_millis(1_000);
 const GRACE_SLACK: Duration = Duration::from_millis(150);
 
-/// The grace of a drain counts from its announcement, not from when this process reads it. A process that was paused for
-/// 0.4 s sent to the last node of a shard until 1.25 s after the announcement, with a grace of 1 s, because the grace
-/// counted from the loop iteration that read the list.
+/// The grace of a drain counts from its announcement, not from when this process reads it. A process that was paused
+/// for 0.4 s sent to the last node of a shard until 1.25 s after the announcement, with a grace of 1 s, because the
+/// grace counted from the loop iteration that read the list.
 #[test]
 fn the_grace_of_a_drain_that_is_read_late_ends_no_later() {
     let last_sent = Arc::new(Mutex::new(None));
