--- a/tests/net/helper.rs
+++ b/tests/net/helper.rs
@@ -634,6 +634,7 @@
     answer
 }
 
+/// The bytes of a bulk string.
 pub fn bytes(value: Value) -> Vec<u8> {
     match value {
         Value::Bulk(Some(bytes)) => bytes,
--- a/tests/net/iscsi.rs
+++ b/tests/net/iscsi.rs
@@ -198,7 +198,7 @@
 /// Settings of the iSCSI front with one unit, on a target (its address and `drops_repeats_ms`) or on a RESP2 node's
 /// shard.
 fn setup(storage: Option<(SocketAddr, u64)>, plan: &str) -> Setup {
-    let (shard, storage_section) = match storage {
+    let (shard, section) = match storage {
         None => (3, String::new()),
         Some((address, drops_repeats_ms)) => (
             1000,
@@ -209,7 +209,7 @@
         ),
     };
     let iscsi = format!(
-        "enabled = true\nlisten = \"127.0.0.1:0\"\n{storage_section}[[target]]\nname = \"{NAME}\"\n[[target.unit]]\nlun = 0\n\
+        "enabled = true\nlisten = \"127.0.0.1:0\"\n{section}[[target]]\nname = \"{NAME}\"\n[[target.unit]]\nlun = 0\n\
          volume = \"a0\"\nplan = \"{plan}\"\nread = \"read\"\nwrite = \"write\"\nshard = {shard}\nblocks = 4096\n\
          unit_bytes = 512\n"
     );
