--- a/tests/net/helper.rs
+++ b/tests/net/helper.rs
@@ -1,5 +1,5 @@
-//! Starts the program, and stands in for everything around it. Ports are the system's choice; waits end on a
-//! condition, with limits that only a hang reaches.
+//! Starts the program and provides fake clients, nodes and discovery servers. The system chooses the ports. Waits end
+//! on a condition; their time limits are reached only if something hangs.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -10,13 +10,14 @@
 use std::time::{Duration, Instant};
 use topazpath::resp::{self, Value};
 
-/// Longer than anything here takes on a loaded machine.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// Upper bound of every wait; longer than any step of these tests takes on a loaded machine.
+pub const WAIT_LIMIT: Duration = Duration::from_secs(20);
 
-/// Less than a connection of the program rests after an answer.
-const COPY_WITHIN: Duration = Duration::from_millis(8);
+/// A duplicate answer has to be sent within this time of the first. It is shorter than the time for which the program
+/// leaves a node connection unused after an answer.
+const DUPLICATE_WITHIN: Duration = Duration::from_millis(8);
 
-const SETTINGS: &str = r#"{"siblings":HOSTS,"tick_ms":2.0,"discovery":"pushed","zones":["z"],
+const SETTINGS: &str = r#"{"siblings":INITIATORS,"tick_ms":2.0,"discovery":"pushed","zones":["z"],
  "classes":[
   {"name":"read","aim_ms":400,"hard_limit_ms":DEADLINE,"worth":2,"late_worth":0.2,"effect":"read_like"},
   {"name":"write","aim_ms":600,"hard_limit_ms":DEADLINE,"worth":3,"effect":"idempotency_key",
@@ -30,122 +31,126 @@
  "limits":{"attempts_cap":4,"connect_timeout_ms":250,"conn_idle_ms":30000,"max_retry_after_ms":500,
   "retry_after":true,"may_cancel":true}}"#;
 
-/// How the program is set up for a test.
+/// Options that a test starts the program with.
 #[derive(Clone, Default)]
 pub struct Setup {
-    /// Its name, where that matters.
+    /// Name of the initiator; `n1` if empty.
     pub name: String,
-    /// Where it listens; else on a port of the system's choice.
+    /// Listening address; by default a port that the system chooses.
     pub listen: Option<SocketAddr>,
+    /// Hard limit of all classes, in ms; 5000 if 0.
     pub deadline_ms: u64,
-    /// Units a second that a volume of `base` may take.
+    /// Ceiling rate of a volume of the plan `base`, in units a second.
     pub limit: u64,
+    /// Content of the iSCSI settings file; no file if empty.
     pub iscsi: String,
-    /// The file of its addresses that move.
+    /// Content of the VRRP settings file; no file if empty.
     pub vrrp: String,
-    /// The file of its fleet.
+    /// Content of the fleet settings file; no file if empty.
     pub fleet: String,
-    /// The settings forbid talk between initiators.
+    /// Sets `peers` to false: initiators must not communicate with each other.
     pub no_peers: bool,
-    /// How many initiators there are, if more than one.
-    pub hosts: u32,
-    /// The node list it knows at the start, as discovery words it.
-    pub known: String,
-    /// Remote planners, by address.
+    /// Number of initiators; 0 counts as 1.
+    pub initiators: u32,
+    /// The node list that the configuration contains, in discovery's format; none if empty.
+    pub initial_list: String,
+    /// Addresses of remote planners; the planners' client is disabled if empty.
     pub planners: Vec<SocketAddr>,
-    /// More lines for the file that names them.
-    pub planners_more: &'static str,
-    /// An aim for all classes, where a busy machine must not make answers late.
+    /// Further lines of the planners settings file.
+    pub planners_extra: &'static str,
+    /// Latency aim of all classes, in ms, for tests in which a busy machine must not make answers late; the usual
+    /// aims if 0.
     pub aim_ms: u64,
-    /// Descriptors that the system lets it have, if that is to be told.
+    /// Limit of open descriptors (`ulimit -n`); the inherited limit if 0.
     pub descriptors: u32,
-    /// Megabytes that it may use, if not 192.
+    /// Memory limit in MB; 192 if 0.
     pub memory_mb: u64,
-    /// It has a door for operators.
+    /// Opens an admin endpoint.
     pub control: bool,
-    /// Further replacements in its settings, each once.
+    /// Text replacements in the settings; each old text has to occur exactly once.
     pub changes: Vec<(&'static str, &'static str)>,
-    /// Its `$TMPDIR`, where two processes share one; else a folder of its own.
+    /// `$TMPDIR` that several processes share; by default each has its own.
     pub shared: Option<std::path::PathBuf>,
 }
 
-/// The running program.
+/// A running process of the program. It is killed on drop, and its files are removed.
 pub struct Program {
     child: Child,
     pub resp: SocketAddr,
     pub iscsi: Option<SocketAddr>,
     control: Option<SocketAddr>,
-    files: std::path::PathBuf,
-    /// Its configuration, less the address of discovery.
+    dir: std::path::PathBuf,
+    /// The configuration, with `DISCOVERY` in place of the address of discovery.
     config: String,
 }
 
 impl Drop for Program {
     fn drop(&mut self) {
-        // It may have ended already.
+        // The process may have ended already.
         let _ = self.child.kill();
         let _ = self.child.wait();
-        let _ = std::fs::remove_dir_all(&self.files);
+        let _ = std::fs::remove_dir_all(&self.dir);
     }
 }
 
-/// An address that is free at the moment.
+/// A TCP address that is currently free.
 pub fn free_address() -> SocketAddr {
     TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap()
 }
 
-/// A folder for one test's files.
-pub fn folder() -> std::path::PathBuf {
+/// A new directory for the files of one test.
+pub fn test_dir() -> std::path::PathBuf {
     static COUNT: Mutex<u32> = Mutex::new(0);
     let mut count = COUNT.lock().unwrap();
     *count += 1;
-    let files = std::env::temp_dir().join(format!("topazpath-test-{}-{count}", std::process::id()));
-    std::fs::create_dir_all(&files).unwrap();
-    files
+    let dir = std::env::temp_dir().join(format!("topazpath-test-{}-{count}", std::process::id()));
+    std::fs::create_dir_all(&dir).unwrap();
+    dir
 }
 
-/// A command that would start the program with these files.
+/// A command that starts the program with these configuration files, and the directory of the files.
 pub fn command(config: &str, iscsi: &str) -> (Command, std::path::PathBuf) {
-    let files = folder();
-    std::fs::write(files.join("config.json"), config).unwrap();
+    let dir = test_dir();
+    std::fs::write(dir.join("config.json"), config).unwrap();
     if !iscsi.is_empty() {
-        std::fs::write(files.join("iscsi.toml"), iscsi).unwrap();
+        std::fs::write(dir.join("iscsi.toml"), iscsi).unwrap();
     }
     let mut command = Command::new(env!("CARGO_BIN_EXE_topazpath"));
-    command.env("NODE_CONFIG", files.join("config.json")).env("TOPAZPATH_ISCSI", files.join("iscsi.toml"));
-    command.env("TOPAZPATH_PLANNERS", files.join("planners.toml"));
-    command.env("TOPAZPATH_VRRP", files.join("vrrp.toml"));
-    command.env("TOPAZPATH_FLEET", files.join("fleet.toml"));
-    command.env("TMPDIR", &files);
+    command.env("NODE_CONFIG", dir.join("config.json")).env("TOPAZPATH_ISCSI", dir.join("iscsi.toml"));
+    command.env("TOPAZPATH_PLANNERS", dir.join("planners.toml"));
+    command.env("TOPAZPATH_VRRP", dir.join("vrrp.toml"));
+    command.env("TOPAZPATH_FLEET", dir.join("fleet.toml"));
+    command.env("TMPDIR", &dir);
     command.env("TOPAZPATH_LOG", "info").stderr(Stdio::piped());
-    (command, files)
+    (command, dir)
 }
 
 impl Program {
+    /// Starts the program and waits until it has the node list.
     pub fn start(discovery: &Discovery, setup: Setup) -> Program {
         let program = Program::spawn(discovery, setup);
         discovery.wait_for_watch();
         program
     }
 
-    /// Does not wait until it has the list.
+    /// Starts the program without waiting for the node list.
     pub fn spawn(discovery: &Discovery, setup: Setup) -> Program {
         let listen = setup.listen.unwrap_or_else(|| SocketAddr::from(([127, 0, 0, 1], 0)));
         let name = if setup.name.is_empty() { "n1" } else { &setup.name };
         let control = if setup.control { "\"127.0.0.1:0\"" } else { "null" };
         let config = Program::config(name, listen, control, "DISCOVERY", &setup);
         let text = config.replace("DISCOVERY", &discovery.address.to_string());
-        let (mut command, files) = command(&text, &setup.iscsi);
+        let (mut command, dir) = command(&text, &setup.iscsi);
         if !setup.planners.is_empty() {
-            let (planners, more) = (strings(&setup.planners), setup.planners_more);
+            let (planners, more) = (to_strings(&setup.planners), setup.planners_extra);
             let text = format!("enabled = true\nplanners = {planners:?}\n{more}");
-            std::fs::write(files.join("planners.toml"), text).unwrap();
+            std::fs::write(dir.join("planners.toml"), text).unwrap();
         }
         if !setup.vrrp.is_empty() {
-            std::fs::write(files.join("vrrp.toml"), &setup.vrrp).unwrap();
+            std::fs::write(dir.join("vrrp.toml"), &setup.vrrp).unwrap();
         }
         if !setup.fleet.is_empty() {
-            std::fs::write(files.join("fleet.toml"), &setup.fleet).unwrap();
+            std::fs::write(dir.join("fleet.toml"), &setup.fleet).unwrap();
         }
         if let Some(shared) = &setup.shared {
             command.env("TMPDIR", shared);
@@ -169,26 +174,26 @@
             let text = line.split_once(&format!("{name}=Some("))?.1.split(')').next()?;
             text.parse().ok()
         };
-        let resp = address("resp").expect("its address");
-        Program { child, resp, iscsi: address("iscsi"), control: address("control"), files, config }
+        let resp = address("resp").expect("the RESP address in the log line");
+        Program { child, resp, iscsi: address("iscsi"), control: address("control"), dir, config }
     }
 
-    /// Its door for operators.
-    pub fn door(&self) -> SocketAddr {
-        self.control.expect("a door")
+    /// Address of the admin endpoint.
+    pub fn admin_endpoint(&self) -> SocketAddr {
+        self.control.expect("Setup::control is set")
     }
 
-    /// What an operator is answered.
-    pub fn call(&self, line: &str) -> String {
-        ask(self.door(), format!("{line}\n").as_bytes())
+    /// Sends a command to the admin endpoint and returns the answer.
+    pub fn admin_command(&self, command: &str) -> String {
+        exchange(self.admin_endpoint(), format!("{command}\n").as_bytes())
     }
 
-    /// A configuration.
+    /// The text of a configuration file. `control` is a JSON value.
     pub fn config(name: &str, listen: SocketAddr, control: &str, discovery: &str, setup: &Setup) -> String {
         let deadline = if setup.deadline_ms == 0 { 5000 } else { setup.deadline_ms };
         let settings = SETTINGS.replace("DEADLINE", &deadline.to_string());
         let settings = settings.replace("LIMIT", &setup.limit.to_string());
-        let settings = settings.replace("HOSTS", &setup.hosts.max(1).to_string());
+        let settings = settings.replace("INITIATORS", &setup.initiators.max(1).to_string());
         let settings = match setup.no_peers {
             true => settings.replace("\"may_cancel\":true", "\"may_cancel\":true,\"peers\":false"),
             false => settings,
@@ -204,35 +209,35 @@
             settings.replace(usual, other)
         });
         let memory = if setup.memory_mb == 0 { 192 } else { setup.memory_mb };
-        let known = if setup.known.is_empty() { "null" } else { &setup.known };
+        let list = if setup.initial_list.is_empty() { "null" } else { &setup.initial_list };
         format!(
             r#"{{"name":"{name}","listen":"{listen}","control":{control},"discovery":"{discovery}",
-             "seed":"8c1f30d27a5be964","limits":{{"cores":1.0,"memory_mb":{memory},"sockets":256}},"known":{known},
+             "seed":"8c1f30d27a5be964","limits":{{"cores":1.0,"memory_mb":{memory},"sockets":256}},"known":{list},
              "settings":{settings}}}"#
         )
     }
 
-    /// Where the next process of it would find it.
-    pub fn meeting_place(&self, shared: &std::path::Path) -> std::path::PathBuf {
+    /// Path of the socket at which the next process of this initiator finds it for an upgrade.
+    pub fn upgrade_socket(&self, shared: &std::path::Path) -> std::path::PathBuf {
         shared.join(format!("topazpath-{}-{}.sock", self.resp.ip(), self.resp.port()))
     }
 
-    /// Sends it a signal by name.
+    /// Sends the process a signal, by name.
     pub fn signal(&self, name: &str) {
         signal(&self.child, name);
     }
 
-    /// Ends it at once, as a machine that loses power.
+    /// Kills the process at once, as a power loss would.
     pub fn kill(&mut self) {
-        // It may have ended already.
+        // The process may have ended already.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Replaces the file of its addresses that move, and tells it so.
+    /// Replaces the VRRP settings file and has the program reload it.
     pub fn reload_vrrp(&self, text: &str) {
-        std::fs::write(self.files.join("new.toml"), text).unwrap();
-        std::fs::rename(self.files.join("new.toml"), self.files.join("vrrp.toml")).unwrap();
+        std::fs::write(self.dir.join("new.toml"), text).unwrap();
+        std::fs::rename(self.dir.join("new.toml"), self.dir.join("vrrp.toml")).unwrap();
         signal(&self.child, "HUP");
     }
 
@@ -240,24 +245,24 @@
         signal(&self.child, "TERM");
     }
 
-    /// Descriptors that it holds.
+    /// Number of descriptors that the process has open.
     pub fn descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).unwrap().count()
     }
 
-    /// Kilobytes of memory that it uses.
+    /// Resident memory of the process, in kB.
     pub fn memory_kb(&self) -> u64 {
         topazpath::process::resident_memory(self.child.id()).unwrap() as u64 / 1024
     }
 
-    /// Replaces its configuration with one that names this address of discovery, and tells it so.
+    /// Replaces the configuration by one with this address of discovery and has the program reload it.
     pub fn reload(&self, discovery: &str) {
-        std::fs::write(self.files.join("new.json"), self.config.replace("DISCOVERY", discovery)).unwrap();
-        std::fs::rename(self.files.join("new.json"), self.files.join("config.json")).unwrap();
+        std::fs::write(self.dir.join("new.json"), self.config.replace("DISCOVERY", discovery)).unwrap();
+        std::fs::rename(self.dir.join("new.json"), self.dir.join("config.json")).unwrap();
         signal(&self.child, "HUP");
     }
 
-    /// Waits until a line of `INFO` is as given.
+    /// Waits until `INFO` contains this line.
     pub fn wait_for_info(&self, line: &str) {
         let mut client = Client::connect(self.resp);
         eventually(line, || client.info().contains(&format!("{line}\r\n")).then_some(()));
@@ -268,53 +273,53 @@
     }
 }
 
-/// Says something on a connection of its own, and returns all that is said back.
-pub fn ask(address: SocketAddr, bytes: &[u8]) -> String {
+/// Sends bytes on a new connection and returns everything received until the peer closes it.
+pub fn exchange(address: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(address).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(WAIT_LIMIT)).unwrap();
     stream.write_all(bytes).unwrap();
     let mut answer = String::new();
     stream.read_to_string(&mut answer).unwrap();
     answer
 }
 
-/// Sends a signal to a process of this test's own.
+/// Sends a signal to a child process of this test.
 pub fn signal(child: &Child, name: &str) {
     Command::new("kill").args([&format!("-{name}"), &child.id().to_string()]).status().unwrap();
 }
 
-pub fn strings(addresses: &[SocketAddr]) -> Vec<String> {
+pub fn to_strings(addresses: &[SocketAddr]) -> Vec<String> {
     addresses.iter().map(SocketAddr::to_string).collect()
 }
 
-/// Waits until there is something.
+/// Polls until `check` returns a value. Fails after `WAIT_LIMIT`.
 pub fn eventually<T>(what: &str, mut check: impl FnMut() -> Option<T>) -> T {
     let start = Instant::now();
     loop {
         if let Some(found) = check() {
             return found;
         }
-        assert!(start.elapsed() < PATIENCE, "never came true: {what}");
+        assert!(start.elapsed() < WAIT_LIMIT, "timed out waiting for: {what}");
         thread::sleep(Duration::from_millis(2));
     }
 }
 
-/// Serves each connection of a listener on a thread of its own; returns its address.
-pub fn serve(talk: impl Fn(TcpStream) + Send + Sync + 'static) -> SocketAddr {
+/// Listens on a new address, which it returns, and handles each connection on its own thread.
+pub fn serve(handle: impl Fn(TcpStream) + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let talk = Arc::new(talk);
+    let handle = Arc::new(handle);
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             stream.set_nodelay(true).unwrap();
-            let talk = talk.clone();
-            thread::spawn(move || talk(stream));
+            let handle = handle.clone();
+            thread::spawn(move || handle(stream));
         }
     });
     address
 }
 
-/// A node list that the test changes.
+/// A fake discovery server with a node list that the test changes.
 pub struct Discovery {
     pub address: SocketAddr,
     state: Arc<Mutex<State>>,
@@ -322,48 +327,51 @@
 
 #[derive(Default)]
 struct State {
+    /// Version of the list.
     index: u64,
     body: String,
-    /// Version after which the last watch asked.
-    watched: Option<u64>,
-    /// Connections that are to get no answer.
-    silent: u32,
-    /// Calls that are to be turned away.
-    overbooked: u32,
+    /// The highest version that a watch named as known.
+    watched_index: Option<u64>,
+    /// Number of connections that still get no answer.
+    silent_connections: u32,
+    /// Number of calls that are still rejected with 503.
+    calls_to_reject: u32,
     /// No call is answered any more.
-    fell_silent: bool,
-    /// How often the whole list was asked for.
-    fetched: u32,
+    unresponsive: bool,
+    /// Number of calls for the whole list.
+    snapshot_requests: u32,
 }
 
 impl Discovery {
-    /// One that somebody else stands in for.
+    /// A discovery server at this address that the test itself runs.
     pub fn at(address: SocketAddr) -> Discovery {
         Discovery { address, state: Arc::default() }
     }
 
-    /// With nodes as (name, address, shard), all active.
+    /// Starts a server with these nodes as (name, address, shard), all active.
     pub fn start(nodes: &[(&str, SocketAddr, u32)]) -> Discovery {
-        Discovery::silent_at_first(0, nodes)
+        Discovery::with_silent_connections(0, nodes)
     }
 
-    /// The same, but the first connections get no answer.
-    pub fn silent_at_first(silent: u32, nodes: &[(&str, SocketAddr, u32)]) -> Discovery {
-        let lines: Vec<String> =
-            nodes.iter().map(|(name, address, shard)| line(name, *address, *shard, "active")).collect();
-        let state = Arc::new(Mutex::new(State { silent, ..State::default() }));
+    /// Like `start`, but the first connections get no answer.
+    pub fn with_silent_connections(silent_connections: u32, nodes: &[(&str, SocketAddr, u32)]) -> Discovery {
+        let lines: Vec<String> = nodes
+            .iter()
+            .map(|(name, address, shard)| endpoint_json(name, *address, *shard, "active"))
+            .collect();
+        let state = Arc::new(Mutex::new(State { silent_connections, ..State::default() }));
         let shared = state.clone();
         let address = serve(move |stream| {
             let mut reader = BufReader::new(stream.try_clone().unwrap());
             let mut stream = stream;
             let is_silent = {
                 let mut state = shared.lock().unwrap();
-                let before = state.silent;
-                state.silent = before.saturating_sub(1);
+                let before = state.silent_connections;
+                state.silent_connections = before.saturating_sub(1);
                 before > 0
             };
             if is_silent {
-                // Until the program gives the connection up.
+                // Until the program closes the connection.
                 let _ = reader.read_to_end(&mut Vec::new());
                 return;
             }
@@ -376,14 +384,14 @@
                 }
                 let after: Option<u64> =
                     head.split_once("after=").and_then(|(_, rest)| rest.split('&').next()?.parse().ok());
-                let turned_away = {
+                let rejected = {
                     let mut state = shared.lock().unwrap();
-                    state.fetched += u32::from(after.is_none());
-                    let before = state.overbooked;
-                    state.overbooked = before.saturating_sub(1);
+                    state.snapshot_requests += u32::from(after.is_none());
+                    let before = state.calls_to_reject;
+                    state.calls_to_reject = before.saturating_sub(1);
                     before > 0
                 };
-                if turned_away {
+                if rejected {
                     if write!(stream, "HTTP/1.1 503 Overbooked\r\nContent-Length: 0\r\n\r\n").is_err() {
                         return;
                     }
@@ -392,11 +400,11 @@
                 let wait: u64 = head
                     .split_once("wait_ms=")
                     .map_or(0, |(_, rest)| rest.split(' ').next().unwrap().parse().unwrap());
-                let asked = Instant::now();
+                let received_at = Instant::now();
                 let body = loop {
                     let mut state = shared.lock().unwrap();
-                    state.watched = state.watched.max(after);
-                    if state.fell_silent {
+                    state.watched_index = state.watched_index.max(after);
+                    if state.unresponsive {
                         drop(state);
                         let _ = reader.read_to_end(&mut Vec::new());
                         return;
@@ -404,7 +412,7 @@
                     if after.is_none_or(|after| state.index > after) {
                         break state.body.clone();
                     }
-                    if asked.elapsed() >= Duration::from_millis(wait) {
+                    if received_at.elapsed() >= Duration::from_millis(wait) {
                         break format!(r#"{{"index":{},"snapshot":false,"endpoints":[]}}"#, state.index);
                     }
                     drop(state);
@@ -417,56 +425,56 @@
             }
         });
         let discovery = Discovery { address, state };
-        discovery.tell(true, &lines);
+        discovery.publish(true, &lines);
         discovery
     }
 
-    /// No call is answered any more, those that wait included.
-    pub fn fall_silent(&self) {
-        self.state.lock().unwrap().fell_silent = true;
+    /// Answers no call any more, including those that are waiting.
+    pub fn stop_answering(&self) {
+        self.state.lock().unwrap().unresponsive = true;
     }
 
-    /// The next calls are turned away.
-    pub fn overbook(&self, calls: u32) {
-        self.state.lock().unwrap().overbooked = calls;
+    /// Rejects the next calls with 503.
+    pub fn reject_calls(&self, calls: u32) {
+        self.state.lock().unwrap().calls_to_reject = calls;
     }
 
-    /// Tells lines: the whole list or changes.
-    pub fn tell(&self, snapshot: bool, lines: &[String]) {
+    /// Publishes endpoints: the whole list (`snapshot`) or changes.
+    pub fn publish(&self, snapshot: bool, lines: &[String]) {
         let mut state = self.state.lock().unwrap();
         state.index += 1;
         let (index, lines) = (state.index, lines.join(","));
         state.body = format!(r#"{{"index":{index},"snapshot":{snapshot},"endpoints":[{lines}]}}"#);
     }
 
-    /// Tells something that is no list, and waits until the program has asked again.
-    pub fn tell_nonsense(&self) {
+    /// Publishes an invalid list and waits until the program has asked for the whole list again.
+    pub fn publish_invalid(&self) {
         let before = {
             let mut state = self.state.lock().unwrap();
             state.index += 1;
             state.body = "{\"index\":".into();
-            state.fetched
+            state.snapshot_requests
         };
-        eventually("the whole list is asked for", || {
-            (self.state.lock().unwrap().fetched > before).then_some(())
+        eventually("a call for the whole list", || {
+            (self.state.lock().unwrap().snapshot_requests > before).then_some(())
         });
     }
 
-    /// How often the whole list was asked for.
-    pub fn fetched(&self) -> u32 {
-        self.state.lock().unwrap().fetched
+    /// Number of calls for the whole list.
+    pub fn snapshot_requests(&self) -> u32 {
+        self.state.lock().unwrap().snapshot_requests
     }
 
-    /// Waits until the program has heard of the present version.
+    /// Waits until the program watches for changes after the current version.
     pub fn wait_for_watch(&self) {
-        eventually("the list is taken", || {
+        eventually("a watch after the current version", || {
             let state = self.state.lock().unwrap();
-            (state.watched == Some(state.index)).then_some(())
+            (state.watched_index == Some(state.index)).then_some(())
         });
     }
 }
 
-/// What a stand-in waits for until a test lets it go on.
+/// Blocks a fake server until the test opens the gate.
 #[derive(Clone, Default)]
 pub struct Gate(Arc<(Mutex<bool>, Condvar)>);
 
@@ -476,28 +484,28 @@
         self.0 .1.notify_all();
     }
 
-    /// Waits until it is open, for as long as a test waits for anything.
-    pub fn pass(&self) {
+    /// Waits until the gate is open, at most for `WAIT_LIMIT`.
+    pub fn wait_until_open(&self) {
         let open = self.0 .0.lock().unwrap();
-        let _open = self.0 .1.wait_timeout_while(open, PATIENCE, |open| !*open).unwrap();
+        let _open = self.0 .1.wait_timeout_while(open, WAIT_LIMIT, |open| !*open).unwrap();
     }
 }
 
-/// A line of the node list.
-pub fn line(name: &str, address: SocketAddr, shard: u32, status: &str) -> String {
+/// An entry of discovery's node list, as JSON.
+pub fn endpoint_json(name: &str, address: SocketAddr, shard: u32, status: &str) -> String {
     format!(
         r#"{{"name":"{name}","address":"{address}","zone":"z","type":"t","group":{shard},"status":"{status}",
          "weight":1.0,"since_ms":0}}"#
     )
 }
 
-/// The next whole thing of a connection, or nothing at its end.
-pub fn take<T>(
+/// Reads the next whole message of a connection; `None` at its end, on an error or after `WAIT_LIMIT`.
+pub fn read_message<T>(
     stream: &mut TcpStream,
     input: &mut Vec<u8>,
     parse: impl Fn(&[u8]) -> Option<(T, usize)>,
 ) -> Option<T> {
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(WAIT_LIMIT)).unwrap();
     loop {
         if let Some((whole, length)) = parse(input) {
             input.drain(..length);
@@ -511,7 +519,7 @@
     }
 }
 
-/// A RESP2 value of any length.
+/// Parses a RESP2 value of any length; `None` if it is not whole yet.
 pub fn parse(input: &[u8]) -> Option<(Value, usize)> {
     let (kind, end) = (*input.first()?, input.windows(2).position(|pair| pair == b"\r\n")?);
     let count = || std::str::from_utf8(&input[1..end]).unwrap().parse::<i64>().unwrap();
@@ -534,64 +542,67 @@
     }
 }
 
-/// What a stand-in node does with a command.
+/// What a fake node does with a command.
 pub enum Reply {
+    /// Answers with this value.
     Value(Vec<u8>),
+    /// Answers with this line.
     Line(&'static str),
     Silent,
     Close,
-    /// These bytes, after which nothing may be asked on the connection any more.
-    Last(&'static [u8]),
-    /// The value, and a moment later a second copy; a close where this machine is too busy for that moment.
-    Twice(Vec<u8>),
-    /// The value in pieces, with this pause before each of four.
+    /// Sends these bytes; a further command on the connection is recorded as an error.
+    Final(&'static [u8]),
+    /// Sends the value, and 3 ms later a second copy. Closes the connection instead of sending the copy if this machine
+    /// was too busy to send it within `DUPLICATE_WITHIN`.
+    Duplicated(Vec<u8>),
+    /// Sends the answer in four pieces, with this pause after each.
     Slow(Vec<u8>, Duration),
 }
 
-/// A stand-in RESP2 node, which remembers the commands it was sent.
+/// A fake RESP2 node that records the commands it receives.
 pub struct Node {
     pub address: SocketAddr,
-    pub seen: Arc<Mutex<Vec<Vec<String>>>>,
+    pub received: Arc<Mutex<Vec<Vec<String>>>>,
 }
 
 impl Node {
     pub fn start(reply: impl Fn(usize, &[Vec<u8>]) -> Reply + Send + Sync + 'static) -> Node {
-        let seen = Arc::new(Mutex::new(Vec::new()));
-        let shared = seen.clone();
+        let received = Arc::new(Mutex::new(Vec::new()));
+        let shared = received.clone();
         let address = serve(move |stream| {
-            let mut client = Client::of(stream);
+            let mut client = Client::from_stream(stream);
             while let Some(Value::Array(Some(words))) = client.try_receive() {
                 let words: Vec<Vec<u8>> = words.into_iter().map(bytes).collect();
                 let count = {
-                    let mut seen = shared.lock().unwrap();
-                    // Of a long body its beginning is enough.
+                    let mut received = shared.lock().unwrap();
+                    // Only the beginning of a long argument is recorded.
                     let text =
                         |word: &Vec<u8>| String::from_utf8_lossy(&word[..word.len().min(99)]).into_owned();
-                    seen.push(words.iter().map(text).collect());
-                    seen.len()
+                    received.push(words.iter().map(text).collect());
+                    received.len()
                 };
                 match reply(count, &words) {
-                    Reply::Value(value) => client.write(&served(&value)),
-                    Reply::Twice(value) => {
+                    Reply::Value(value) => client.write(&value_reply(&value)),
+                    Reply::Duplicated(value) => {
                         let start = Instant::now();
-                        client.write(&served(&value));
+                        client.write(&value_reply(&value));
                         thread::sleep(Duration::from_millis(3));
-                        if start.elapsed() > COPY_WITHIN {
+                        if start.elapsed() > DUPLICATE_WITHIN {
                             return;
                         }
-                        client.write(&served(&value));
+                        client.write(&value_reply(&value));
                     }
                     Reply::Slow(value, pause) => {
-                        let answer = served(&value);
+                        let answer = value_reply(&value);
                         for piece in answer.chunks(answer.len() / 4 + 1) {
                             client.write(piece);
                             thread::sleep(pause);
                         }
                     }
-                    Reply::Last(bytes) => {
+                    Reply::Final(bytes) => {
                         client.write(bytes);
                         if client.try_receive().is_some() {
-                            shared.lock().unwrap().push(vec!["asked again".into()]);
+                            shared.lock().unwrap().push(vec!["another command".into()]);
                         }
                         return;
                     }
@@ -601,27 +612,29 @@
                 }
             }
         });
-        Node { address, seen }
+        Node { address, received }
     }
 
-    /// A node that answers each read with its piece and each write with nothing.
+    /// A node that answers each read with the name of its object and each write with its body.
     pub fn echo() -> Node {
         Node::start(|_, words| Reply::Value(words[if words.len() == 4 { 1 } else { 4 }].clone()))
     }
 
+    /// Number of commands received.
     pub fn count(&self) -> usize {
-        self.seen.lock().unwrap().len()
+        self.received.lock().unwrap().len()
     }
 }
 
-/// A node's answer with a value and nothing else.
-fn served(value: &[u8]) -> Vec<u8> {
+/// The RESP2 encoding of a node's answer with this value and without attributes.
+fn value_reply(value: &[u8]) -> Vec<u8> {
     let mut answer = b"*3\r\n".to_vec();
     resp::write_bulk(&mut answer, value);
     answer.extend(b"$-1\r\n$-1\r\n");
     answer
 }
 
+/// The bytes of a bulk string.
 pub fn bytes(value: Value) -> Vec<u8> {
     match value {
         Value::Bulk(Some(bytes)) => bytes,
@@ -637,19 +650,19 @@
 
 impl Client {
     pub fn connect(address: SocketAddr) -> Client {
-        Client::of(TcpStream::connect(address).unwrap())
+        Client::from_stream(TcpStream::connect(address).unwrap())
     }
 
-    pub fn of(stream: TcpStream) -> Client {
+    pub fn from_stream(stream: TcpStream) -> Client {
         Client { stream, input: Vec::new() }
     }
 
-    /// Writes as much as the far side still takes.
+    /// Writes bytes and ignores errors: the peer may have closed the connection.
     pub fn write(&mut self, bytes: &[u8]) {
         let _ = self.try_write(bytes);
     }
 
-    /// Writes all, unless the connection has broken.
+    /// Writes all bytes, or fails if the connection is broken.
     pub fn try_write(&mut self, bytes: &[u8]) -> std::io::Result<()> {
         self.stream.write_all(bytes)
     }
@@ -658,34 +671,35 @@
         self.write(&resp::command(words));
     }
 
-    /// A read, or with a body a write, of a piece on a shard.
-    pub fn ask(&mut self, piece: u64, shard: i32, more: &str, body: Option<&[u8]>) {
+    /// Sends a read, or with a body a write, of an object on a shard.
+    pub fn request(&mut self, object: u64, shard: i32, extra_attributes: &str, body: Option<&[u8]>) {
         let class = if body.is_some() { "write" } else { "read" };
-        let list =
-            format!("c={class},t=plus,d=4000,volume=00000000000000a0,units=2,shard={shard},hosts=1{more}");
-        let piece = format!("{piece:016x}");
+        let attributes = format!(
+            "c={class},t=plus,d=4000,volume=00000000000000a0,units=2,shard={shard},hosts=1{extra_attributes}"
+        );
+        let object = format!("{object:016x}");
         static LAST_ID: AtomicU64 = AtomicU64::new(0);
         let id = format!("{:016x}", LAST_ID.fetch_add(1, Ordering::Relaxed));
-        let mut words = vec![&b"OBJ.GET"[..], piece.as_bytes(), id.as_bytes(), list.as_bytes()];
+        let mut arguments = vec![&b"OBJ.GET"[..], object.as_bytes(), id.as_bytes(), attributes.as_bytes()];
         if let Some(body) = body {
-            words[0] = b"OBJ.PUT";
-            words.push(body);
+            arguments[0] = b"OBJ.PUT";
+            arguments.push(body);
         }
-        self.send(&words);
+        self.send(&arguments);
     }
 
-    /// The next value, or nothing at the end of the connection.
+    /// The next value; `None` at the end of the connection.
     pub fn try_receive(&mut self) -> Option<Value> {
-        take(&mut self.stream, &mut self.input, parse)
+        read_message(&mut self.stream, &mut self.input, parse)
     }
 
-    /// A part's report.
+    /// The JSON report of a section of `INFO`.
     pub fn report(&mut self, section: &str) -> serde_json::Value {
         self.send(&[b"INFO", section.as_bytes()]);
         serde_json::from_slice(&bytes(self.receive())).unwrap()
     }
 
-    /// The program's counters.
+    /// The text of `INFO`.
     pub fn info(&mut self) -> String {
         self.send(&[b"INFO"]);
         String::from_utf8(bytes(self.receive())).unwrap()
