--- a/lab/src/capacity/parts/configuration.rs
+++ b/lab/src/capacity/parts/configuration.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use topazpath::interface::{Plan, Settings};
 use topazpath::revisions::delta::Delta;
-use topazpath::revisions::document::{Document, Names, PlanFigures};
+use topazpath::revisions::document::{Document, Names, PlanOverrides};
 use topazpath::revisions::{RevisionId, RevisionNumber, Update, UpdateContent};
 
 /// Runs of what takes a few microseconds.
@@ -93,7 +93,7 @@
 /// A document of so many keys, one in each plan.
 pub fn document(keys: usize) -> Document {
     let figures =
-        |number: usize| PlanFigures { guaranteed: Some(100.0 + number as f64), ..PlanFigures::default() };
+        |number: usize| PlanOverrides { guaranteed: Some(100.0 + number as f64), ..PlanOverrides::default() };
     Document {
         plans: (0..keys).map(|number| (name(number), figures(number))).collect(),
         ..Document::default()
@@ -120,12 +120,12 @@
 fn costs(keys: usize, scale: &Scale) -> Result<Costs, String> {
     let older = document(keys);
     let mut newer = older.clone();
-    newer.plans.insert(name(keys / 2), PlanFigures { guaranteed: Some(7.0), ..PlanFigures::default() });
+    newer.plans.insert(name(keys / 2), PlanOverrides { guaranteed: Some(7.0), ..PlanOverrides::default() });
     let (base, names) = settings(keys);
     let mut costs = Costs::default();
     let each = |seconds: f64| seconds * 1e6 / f64::from(RUNS);
     for _ in 0..scale.repeats() {
-        costs.whole_bytes.push(bytes(1, &older, UpdateContent::Whole(older.clone()))?);
+        costs.whole_bytes.push(bytes(1, &older, UpdateContent::Full(older.clone()))?);
         let reckon = || drop(black_box(Delta::between(&older, &newer)));
         let ((), seconds) = timed(|| (0..RUNS).for_each(|_| reckon()))?;
         costs.difference_us.push(each(seconds));
--- a/lab/src/revisions/planted.rs
+++ b/lab/src/revisions/planted.rs
@@ -1,7 +1,7 @@
 //! Faults that are planted to show that the checkers find them.
 
 use std::collections::VecDeque;
-use topazpath::revisions::store::{Batch, Identity, MemoryStore, ReplicaStore, StoreError, Stored};
+use topazpath::revisions::store::{Batch, Identity, MemoryStore, ReplicaStore, StoreError, StoredState};
 
 /// A fault of the program that is played.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -67,9 +67,9 @@
         self.disk.identity()
     }
 
-    fn load(&self) -> Result<Stored, StoreError> {
+    fn load(&self) -> Result<StoredState, StoreError> {
         if self.planted == Planted::Amnesia {
-            self.disk.replace(Stored::default());
+            self.disk.replace(StoredState::default());
         }
         self.disk.load()
     }
--- a/lab/src/revisions/world.rs
+++ b/lab/src/revisions/world.rs
@@ -103,7 +103,7 @@
     pub fn new(schedule: Schedule, planted: Planted, seed: u64) -> Self {
         let voters: Vec<VoterId> = (1..=schedule.voters as u64).map(VoterId).collect();
         let machine = |voter: &VoterId| {
-            let group = GroupId::of_names(["simulation"]);
+            let group = GroupId::from_names(["simulation"]);
             let identity = Identity { group, voter: *voter, voters: voters.clone() };
             let store = PlantedStore::new(identity, planted);
             Machine { store, replica: None, process: 0, paused: false, inbox: Vec::new(), wakes: 0 }
@@ -184,7 +184,7 @@
             Fault::Kill(some) => some.into_iter().for_each(|who| self.kill(who)),
             Fault::CrashAtWrite { who, write, after } => {
                 let failure = if after { Failure::After(write) } else { Failure::Before(write) };
-                self.machines[who].store.disk.fail(Some(failure));
+                self.machines[who].store.disk.inject_failure(Some(failure));
             }
             Fault::Pause(some) => some.into_iter().for_each(|who| self.machines[who].paused = true),
             Fault::Bad(network) => self.network = network,
@@ -196,7 +196,7 @@
         match fault {
             Fault::Kill(some) => some.into_iter().for_each(|who| self.start(who)),
             Fault::CrashAtWrite { who, .. } => {
-                self.machines[who].store.disk.fail(None);
+                self.machines[who].store.disk.inject_failure(None);
                 self.start(who);
             }
             Fault::Pause(some) => some.into_iter().for_each(|who| self.go_on(who)),
--- a/src/planner/client/configuration.rs
+++ b/src/planner/client/configuration.rs
@@ -150,13 +150,13 @@
 
     /// A revision is in force from now on: all planners learn it.
     pub fn took_over(&mut self, prepared: &Prepared) -> Vec<Message> {
-        let in_force = self.follower.took_over(prepared);
+        let in_force = self.follower.confirm_applied(prepared);
         self.to_all(&in_force)
     }
 
     /// A revision that was handed out is not in force, and won't be: all planners learn why.
     pub fn could_not_take_over(&mut self, prepared: &Prepared, why: String) -> Vec<Message> {
-        let refused = self.follower.could_not_take_over(prepared, why);
+        let refused = self.follower.reject_prepared(prepared, why);
         self.to_all(&refused)
     }
 
--- a/src/planner/client/configuration/tests.rs
+++ b/src/planner/client/configuration/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::interface::Plan;
-use crate::revisions::document::{Document, PlanFigures};
+use crate::revisions::document::{Document, PlanOverrides};
 use crate::revisions::{RevisionId, RevisionNumber, UpdateContent};
 use std::collections::BTreeMap;
 
@@ -26,10 +26,10 @@
 }
 
 fn update(number: u64, plan: &str) -> Update {
-    let figures = PlanFigures { parts: Some(number as f64), ..PlanFigures::default() };
+    let figures = PlanOverrides { parts: Some(number as f64), ..PlanOverrides::default() };
     let document = Document { plans: BTreeMap::from([(plan.to_string(), figures)]), ..Document::default() };
     let id = RevisionId { number: RevisionNumber(number), hash: document.hash() };
-    Update { id, content: UpdateContent::Whole(document) }
+    Update { id, content: UpdateContent::Full(document) }
 }
 
 fn in_force(id: RevisionId) -> ToPlanner {
--- a/src/planner/client/tests.rs
+++ b/src/planner/client/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::interface::{Limit, NewRequest, Plan};
 use crate::revisions::delta::Delta;
-use crate::revisions::document::{Document, PlanFigures};
+use crate::revisions::document::{Document, PlanOverrides};
 use crate::revisions::{
     Acknowledgement, AcknowledgementOutcome, RevisionId, RevisionNumber, Update, UpdateContent,
 };
@@ -138,7 +138,7 @@
 
 /// A document with figures of many plans, as a deployment has them; one of them changes with the rate.
 fn document(rate: f64, plans: usize) -> Document {
-    let figures = |rate| PlanFigures { ceiling_rate: Some(rate), ..PlanFigures::default() };
+    let figures = |rate| PlanOverrides { ceiling_rate: Some(rate), ..PlanOverrides::default() };
     let mut document = Document::default();
     for plan in 1..plans {
         document.plans.insert(format!("plan-{plan}"), figures(30.0));
@@ -152,7 +152,7 @@
 }
 
 fn whole(number: u64, document: Document) -> Update {
-    Update { id: id(number, &document), content: UpdateContent::Whole(document) }
+    Update { id: id(number, &document), content: UpdateContent::Full(document) }
 }
 
 fn in_force(id: RevisionId) -> ToPlanner {
--- a/src/planner/configuration.rs
+++ b/src/planner/configuration.rs
@@ -6,7 +6,7 @@
 use super::settings;
 use crate::interface::Settings;
 use crate::revisions::agreement::{
-    self, Parameters, Proposal, ProposalError, ProposalId, Replica, VoterId, LONGEST_AUTHOR,
+    self, Parameters, Proposal, ProposalError, ProposalId, Replica, VoterId, MAX_AUTHOR_BYTES,
 };
 use crate::revisions::distribution::{self, ConnectionId, Distributor};
 use crate::revisions::document::Names;
@@ -326,14 +326,14 @@
 
 /// Whose store a planner's is.
 fn identity(config: &settings::Configuration) -> Identity {
-    let group = GroupId::of_names(config.planners.iter().map(String::as_str));
+    let group = GroupId::from_names(config.planners.iter().map(String::as_str));
     Identity { group, voter: config.voter, voters: config.voters() }
 }
 
 /// Checks an author's name; the error is one line.
 pub(super) fn check_author(author: &str) -> Result<(), String> {
-    if author.is_empty() || author.len() > LONGEST_AUTHOR || author.chars().any(char::is_control) {
-        return Err(format!("author: 1 to {LONGEST_AUTHOR} bytes of one line are allowed"));
+    if author.is_empty() || author.len() > MAX_AUTHOR_BYTES || author.chars().any(char::is_control) {
+        return Err(format!("author: 1 to {MAX_AUTHOR_BYTES} bytes of one line are allowed"));
     }
     Ok(())
 }
--- a/src/planner/connection.rs
+++ b/src/planner/connection.rs
@@ -2,7 +2,7 @@
 
 use super::frame::{self, ToPlanner, HEAD, MOST};
 use crate::conn::{Conn, ReadEnd};
-use crate::revisions::agreement::{VoterId, LONGEST_MESSAGE};
+use crate::revisions::agreement::{VoterId, MAX_MESSAGE_BYTES};
 use serde::Serialize;
 use std::time::{Duration, Instant};
 
@@ -14,7 +14,7 @@
 /// The longest first message: a greeting, or an operator's command with a document in it.
 const LONGEST_GREETING: usize = 256 * 1024;
 /// The longest message of another planner: one of the agreement, with what goes round it.
-const LONGEST_OF_PEER: usize = LONGEST_MESSAGE + 64;
+const LONGEST_OF_PEER: usize = MAX_MESSAGE_BYTES + 64;
 
 /// What the far side is.
 #[derive(Clone, Debug, PartialEq)]
--- a/src/planner/frame/tests/recorded.rs
+++ b/src/planner/frame/tests/recorded.rs
@@ -92,7 +92,7 @@
     let hints: Vec<_> = plan.hints.iter().map(|it| (it.node, it.answered, it.age)).collect();
     assert_eq!(hints, [(2001, Some(millis(21)), millis(22)), (2002, None, millis(23))]);
     assert!(empty.probes.is_none() && empty.moves.is_empty() && empty.hints.is_empty());
-    let UpdateContent::Whole(document) = &whole.content else { panic!("{whole:?}") };
+    let UpdateContent::Full(document) = &whole.content else { panic!("{whole:?}") };
     assert!(is(&whole.id, 7, HASH) && is(&changes.id, 7, HASH));
     assert_eq!((document.to_toml().as_str(), document.hash().to_string().as_str()), (DOCUMENT, HASH));
     let UpdateContent::Changes { base, delta } = &changes.content else { panic!("{changes:?}") };
--- a/src/planner/operator/text/tests.rs
+++ b/src/planner/operator/text/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
-use crate::revisions::document::PlanFigures;
+use crate::revisions::document::PlanOverrides;
 
 fn with_ceiling(ceiling: f64) -> Document {
-    let figures = PlanFigures { ceiling_rate: Some(ceiling), ..PlanFigures::default() };
+    let figures = PlanOverrides { ceiling_rate: Some(ceiling), ..PlanOverrides::default() };
     Document { plans: [("base".to_string(), figures)].into(), ..Document::default() }
 }
 
--- a/src/planner/server.rs
+++ b/src/planner/server.rs
@@ -6,7 +6,7 @@
 use super::frame::{FromPlanner, OperatorReply, ToPlanner, SCHEMA};
 use crate::conn::{Conn, ReadEnd};
 use crate::listener::{Accepted, Listener, Pending};
-use crate::revisions::distribution::{ConnectionId, LONGEST_NAME};
+use crate::revisions::distribution::{ConnectionId, MAX_INITIATOR_NAME_BYTES};
 use crate::shares::deal;
 use crate::shares::planner::{Planner, Settings};
 use crate::shares::PlannerId;
@@ -310,8 +310,11 @@
     }
 
     fn welcome(&mut self, now: Instant, id: usize, name: String) -> Result<(), String> {
-        if name.len() > LONGEST_NAME {
-            return Err(format!("a name of {} bytes, at most {LONGEST_NAME} are allowed", name.len()));
+        if name.len() > MAX_INITIATOR_NAME_BYTES {
+            return Err(format!(
+                "a name of {} bytes, at most {MAX_INITIATOR_NAME_BYTES} are allowed",
+                name.len()
+            ));
         }
         let led = self.led();
         let Some(connection) = self.connections.get_mut(&id) else { return Ok(()) };
--- a/src/revisions/agreement.rs
+++ b/src/revisions/agreement.rs
@@ -18,12 +18,12 @@
 
 pub use machine::KEPT_OUTCOMES;
 
-use super::document::{Document, LONGEST_DOCUMENT};
+use super::document::{Document, MAX_DOCUMENT_BYTES};
 use super::store::{Batch, Identity, ReplicaStore, Snapshot, SnapshotChange, StoreError};
 use super::{Revision, RevisionId, RevisionNumber};
 use election::ElectionTimeouts;
 use log::Log;
-use machine::Machine;
+use machine::StateMachine;
 use raft::eraftpb::{Entry, Message};
 use raft::{Config, RawNode, SnapshotStatus, StateRole};
 use serde::{Deserialize, Serialize};
@@ -123,13 +123,13 @@
 /// Revisions that are kept to show, compare and go back to.
 pub const KEPT_REVISIONS: usize = 64;
 /// The longest name of an author, in bytes.
-pub const LONGEST_AUTHOR: usize = 256;
+pub const MAX_AUTHOR_BYTES: usize = 256;
 /// The longest encoded proposal, in bytes: a document and what goes with it.
-pub const LONGEST_PROPOSAL: usize = LONGEST_DOCUMENT + 4 * 1024;
+pub const MAX_PROPOSAL_BYTES: usize = MAX_DOCUMENT_BYTES + 4 * 1024;
 /// The longest message between replicas, in bytes: a snapshot of as many of the longest revisions as are kept.
-pub const LONGEST_MESSAGE: usize = KEPT_REVISIONS * LONGEST_PROPOSAL + 256 * 1024;
+pub const MAX_MESSAGE_BYTES: usize = KEPT_REVISIONS * MAX_PROPOSAL_BYTES + 256 * 1024;
 /// Proposals made here that may wait for their decision at once.
-pub const MOST_PROPOSALS_WAITING: usize = 64;
+pub const MAX_PENDING_PROPOSALS: usize = 64;
 
 /// Ticks without a leader until an election; at most twice as many, drawn.
 const ELECTION_TICKS: usize = 10;
@@ -155,7 +155,7 @@
     parameters: Parameters,
     identity: Identity,
     node: RawNode<Log<S>>,
-    machine: Machine,
+    machine: StateMachine,
     /// The index of the last entry that the machine has applied.
     applied: u64,
     /// Proposals made here, and when they are given up.
@@ -164,7 +164,7 @@
     /// Voters that a snapshot is on its way to, and for how many ticks.
     snapshots_sent: BTreeMap<u64, u32>,
     next_tick: Duration,
-    told_quorum: bool,
+    reported_quorum: bool,
 }
 
 impl<S: ReplicaStore> Replica<S> {
@@ -191,7 +191,7 @@
             applied,
             waiting: BTreeMap::new(),
             snapshots_sent: BTreeMap::new(),
-            told_quorum: false,
+            reported_quorum: false,
         })
     }
 
@@ -213,7 +213,7 @@
         }
         self.carry_out(actions)?;
         self.compact()?;
-        self.tell_quorum(actions);
+        self.report_quorum(actions);
         Ok(())
     }
 
@@ -246,7 +246,7 @@
 
     fn take_message(&mut self, bytes: &[u8]) {
         let taken = wire::decode(&self.identity.group, bytes).and_then(|message| {
-            wire::check(&message, &self.expectation())?;
+            wire::check(&message, &self.replica_state())?;
             Ok(message)
         });
         match taken {
@@ -255,8 +255,8 @@
         }
     }
 
-    fn expectation(&self) -> wire::Expectation<'_> {
-        wire::Expectation {
+    fn replica_state(&self) -> wire::ReplicaState<'_> {
+        wire::ReplicaState {
             identity: &self.identity,
             term: self.node.raft.term,
             last_index: self.node.raft.raft_log.last_index(),
@@ -292,14 +292,14 @@
         machine::check(proposal).map_err(ProposalError::Invalid)?;
         let bytes =
             postcard::to_allocvec(proposal).map_err(|error| ProposalError::Invalid(error.to_string()))?;
-        if bytes.len() > LONGEST_PROPOSAL {
-            let why = format!("{} bytes, {LONGEST_PROPOSAL} are allowed", bytes.len());
+        if bytes.len() > MAX_PROPOSAL_BYTES {
+            let why = format!("{} bytes, {MAX_PROPOSAL_BYTES} are allowed", bytes.len());
             return Err(ProposalError::Invalid(why));
         }
         if !self.has_quorum() {
             return Err(ProposalError::NoQuorum);
         }
-        if self.waiting.len() >= MOST_PROPOSALS_WAITING {
+        if self.waiting.len() >= MAX_PENDING_PROPOSALS {
             return Err(ProposalError::Busy);
         }
         // A leader is known, so it is dropped only for too many bytes that are not committed yet.
@@ -422,10 +422,10 @@
         self.node.mut_store().write(&batch)
     }
 
-    fn tell_quorum(&mut self, actions: &mut Vec<Action>) {
+    fn report_quorum(&mut self, actions: &mut Vec<Action>) {
         let quorum = self.has_quorum();
-        if quorum != self.told_quorum {
-            self.told_quorum = quorum;
+        if quorum != self.reported_quorum {
+            self.reported_quorum = quorum;
             actions.push(Action::QuorumChanged(quorum));
         }
     }
@@ -464,10 +464,10 @@
 }
 
 /// The state that snapshot and committed entries come to, and the index of the last of them.
-fn replay<S: ReplicaStore>(log: &Log<S>) -> Result<(Machine, u64), StoreError> {
+fn replay<S: ReplicaStore>(log: &Log<S>) -> Result<(StateMachine, u64), StoreError> {
     let stored = log.stored();
     let mut machine = match stored.snapshot_index() {
-        0 => Machine::new(),
+        0 => StateMachine::new(),
         _ => read_machine(&stored.snapshot)?,
     };
     let commit = stored.hard_state.commit;
@@ -477,12 +477,12 @@
     Ok((machine, commit))
 }
 
-fn read_machine(snapshot: &Snapshot) -> Result<Machine, StoreError> {
-    Machine::decode(&snapshot.data).ok_or_else(|| StoreError("the snapshot can't be read".into()))
+fn read_machine(snapshot: &Snapshot) -> Result<StateMachine, StoreError> {
+    StateMachine::decode(&snapshot.data).ok_or_else(|| StoreError("the snapshot can't be read".into()))
 }
 
 /// Applies an entry; nothing for the empty one that a new leader begins its term with.
-fn apply_entry(machine: &mut Machine, entry: &Entry) -> Option<machine::Applied> {
+fn apply_entry(machine: &mut StateMachine, entry: &Entry) -> Option<machine::Applied> {
     if entry.data.is_empty() {
         return None;
     }
--- a/src/revisions/agreement/log.rs
+++ b/src/revisions/agreement/log.rs
@@ -1,13 +1,13 @@
 //! The log as the `raft` crate reads it: from memory. What is written goes to the store first.
 
-use crate::revisions::store::{Batch, Entry, HardState, ReplicaStore, Snapshot, StoreError, Stored};
+use crate::revisions::store::{Batch, Entry, HardState, ReplicaStore, Snapshot, StoreError, StoredState};
 use raft::eraftpb::ConfState;
 use raft::{GetEntriesContext, RaftState, Storage, StorageError};
 
 /// A store and what it holds.
 pub(super) struct Log<S> {
     store: S,
-    stored: Stored,
+    stored: StoredState,
     voters: Vec<u64>,
 }
 
@@ -18,7 +18,7 @@
         Ok(Log { store, stored, voters })
     }
 
-    pub fn stored(&self) -> &Stored {
+    pub fn stored(&self) -> &StoredState {
         &self.stored
     }
 
--- a/src/revisions/agreement/machine.rs
+++ b/src/revisions/agreement/machine.rs
@@ -1,6 +1,6 @@
 //! The state that all replicas come to by the same log: the newest revisions, and what became of the latest proposals.
 
-use super::{Proposal, ProposalError, ProposalId, KEPT_REVISIONS, LONGEST_AUTHOR};
+use super::{Proposal, ProposalError, ProposalId, KEPT_REVISIONS, MAX_AUTHOR_BYTES};
 use crate::revisions::{Revision, RevisionId, RevisionNumber};
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
@@ -14,7 +14,7 @@
 
 /// The state, as it is also kept in snapshots.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub(super) struct Machine {
+pub(super) struct StateMachine {
     newest: RevisionId,
     revisions: VecDeque<Revision>,
     outcomes: VecDeque<(ProposalId, Outcome)>,
@@ -31,15 +31,15 @@
     pub accepted: Option<Revision>,
 }
 
-impl Machine {
+impl StateMachine {
     /// The state before the first proposal.
     pub fn new() -> Self {
-        Machine { newest: RevisionId::none(), revisions: VecDeque::new(), outcomes: VecDeque::new() }
+        StateMachine { newest: RevisionId::none(), revisions: VecDeque::new(), outcomes: VecDeque::new() }
     }
 
     /// Reads a state from a snapshot; nothing where it does not fit together.
-    pub fn decode(bytes: &[u8]) -> Option<Machine> {
-        let machine: Machine = postcard::from_bytes(bytes).ok()?;
+    pub fn decode(bytes: &[u8]) -> Option<StateMachine> {
+        let machine: StateMachine = postcard::from_bytes(bytes).ok()?;
         machine.fits_together().then_some(machine)
     }
 
@@ -116,8 +116,8 @@
 
 /// Checks what a proposal is refused for whatever the newest revision is.
 pub(super) fn check(proposal: &Proposal) -> Result<(), String> {
-    if proposal.author.len() > LONGEST_AUTHOR {
-        return Err(format!("author: {} bytes, {LONGEST_AUTHOR} are allowed", proposal.author.len()));
+    if proposal.author.len() > MAX_AUTHOR_BYTES {
+        return Err(format!("author: {} bytes, {MAX_AUTHOR_BYTES} are allowed", proposal.author.len()));
     }
     proposal.document.check().map_err(|error| error.0)
 }
--- a/src/revisions/agreement/tests.rs
+++ b/src/revisions/agreement/tests.rs
@@ -5,7 +5,7 @@
 mod state;
 
 use super::*;
-use crate::revisions::document::CostFigures;
+use crate::revisions::document::CostOverrides;
 use crate::revisions::store::{Failure, GroupId, MemoryStore};
 use std::collections::VecDeque;
 
@@ -14,7 +14,7 @@
 
 pub(super) fn identity(voter: u64, count: u64) -> Identity {
     let voters = (1..=count).map(VoterId).collect();
-    Identity { group: GroupId::of_names(["a", "b", "c"]), voter: VoterId(voter), voters }
+    Identity { group: GroupId::from_names(["a", "b", "c"]), voter: VoterId(voter), voters }
 }
 
 pub(super) fn parameters(voter: u64, count: u64) -> Parameters {
@@ -23,7 +23,7 @@
 }
 
 pub(super) fn document(largest: f64) -> Document {
-    let costs = CostFigures { largest: Some(largest), ..CostFigures::default() };
+    let costs = CostOverrides { largest: Some(largest), ..CostOverrides::default() };
     Document { costs, ..Document::default() }
 }
 
@@ -235,19 +235,19 @@
     let mut spoilt = proposal(1, RevisionId::none());
     spoilt.document = document(-1.0);
     let mut author = proposal(2, RevisionId::none());
-    author.author = "a".repeat(LONGEST_AUTHOR + 1);
+    author.author = "a".repeat(MAX_AUTHOR_BYTES + 1);
     let mut long = proposal(3, RevisionId::none());
-    long.document.nodes_out.insert("n".repeat(LONGEST_DOCUMENT));
+    long.document.nodes_out.insert("n".repeat(MAX_DOCUMENT_BYTES));
     for proposal in [spoilt, author, long] {
         group.handle(leader, Event::Propose(Box::new(proposal)));
         assert!(matches!(group.decided.pop(), Some((_, _, Err(ProposalError::Invalid(_))))));
     }
     assert_eq!(group.stores[leader as usize - 1].writes(), writes);
     group.loses = |_| true;
-    for id in 0..=MOST_PROPOSALS_WAITING as u128 {
+    for id in 0..=MAX_PENDING_PROPOSALS as u128 {
         group.handle(leader, Event::Propose(Box::new(proposal(100 + id, RevisionId::none()))));
     }
-    let last = ProposalId(100 + MOST_PROPOSALS_WAITING as u128);
+    let last = ProposalId(100 + MAX_PENDING_PROPOSALS as u128);
     assert_eq!(group.decided, [(leader, last, Err(ProposalError::Busy))]);
 }
 
@@ -334,7 +334,7 @@
         for write in 0..24 {
             for failure in [Failure::Before(write), Failure::After(write)] {
                 let mut group = Group::new(3);
-                group.stores[victim - 1].fail(Some(failure));
+                group.stores[victim - 1].inject_failure(Some(failure));
                 group.run(60);
                 for id in 1..=4 {
                     let leader = group.leader();
--- a/src/revisions/agreement/tests/messages.rs
+++ b/src/revisions/agreement/tests/messages.rs
@@ -48,8 +48,8 @@
     let bytes = wire::encode(&identity(1, 3).group, &vote);
     let before = state(&group, follower);
     let mut wrong = vec![Vec::new(), vec![0; 10], vec![1; 500], bytes[..bytes.len() - 1].to_vec()];
-    wrong.push(wire::encode(&GroupId::of_names(["x"]), &vote));
-    wrong.push([bytes.clone(), vec![0; LONGEST_MESSAGE]].concat());
+    wrong.push(wire::encode(&GroupId::from_names(["x"]), &vote));
+    wrong.push([bytes.clone(), vec![0; MAX_MESSAGE_BYTES]].concat());
     for position in 0..bytes.len() {
         let mut spoilt = bytes.clone();
         spoilt[position] ^= 0x10;
@@ -110,7 +110,7 @@
         }),
         with(&|it| {
             append(it, vec![entry(last + 1, term)]);
-            it.entries[0].data = vec![0; LONGEST_PROPOSAL + 1].into();
+            it.entries[0].data = vec![0; MAX_PROPOSAL_BYTES + 1].into();
         }),
         with(&|it| {
             it.msg_type = MessageType::MsgSnapshot;
--- a/src/revisions/agreement/tests/recorded.rs
+++ b/src/revisions/agreement/tests/recorded.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::fixtures::{hex, record, records};
-use crate::revisions::store::{DiskStore, Stored, FILE_NAME};
+use crate::revisions::store::{DiskStore, StoredState, FILE_NAME};
 use protobuf::Message as _;
 use raft::eraftpb::MessageType;
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
@@ -65,7 +65,7 @@
     let identity = store.identity().clone();
     assert_eq!(identity.group.to_string(), GROUP);
     assert_eq!((identity.voter, identity.ids()), (VoterId(2), vec![1, 2, 3]));
-    let Stored { hard_state, snapshot, entries } = store.load().unwrap();
+    let StoredState { hard_state, snapshot, entries } = store.load().unwrap();
     drop(store);
     assert_eq!((hard_state.term, hard_state.vote, hard_state.commit), (4, 3, 11));
     assert_eq!((snapshot.get_metadata().index, snapshot.get_metadata().term), (9, 2));
@@ -79,7 +79,7 @@
 fn a_new_store_with_the_content_of_the_recorded_one_has_the_same_rows() {
     let directory = Directory::new("read");
     let store = open(&directory);
-    let Stored { hard_state, snapshot, entries } = store.load().unwrap();
+    let StoredState { hard_state, snapshot, entries } = store.load().unwrap();
     let snapshot = Some(SnapshotChange::Installed(snapshot));
     let batch = Batch { snapshot, entries: entries.into(), hard_state: Some(hard_state) };
     let other = Directory::new("written");
@@ -98,7 +98,7 @@
     let bytes = record(ROWS, "facts.snapshot");
     let snapshot = Snapshot::parse_from_bytes(&bytes).unwrap();
     assert_eq!(hex(&snapshot.write_to_bytes().unwrap()), hex(&bytes));
-    let machine = Machine::decode(&snapshot.data).unwrap();
+    let machine = StateMachine::decode(&snapshot.data).unwrap();
     assert_eq!(hex(&machine.encode()), hex(&snapshot.data));
     for index in 10..=12 {
         let bytes = record(ROWS, &format!("log.{index}"));
@@ -114,7 +114,7 @@
 #[test]
 fn recorded_proposals_and_their_outcomes_mean_what_they_meant() {
     let snapshot = Snapshot::parse_from_bytes(&record(ROWS, "facts.snapshot")).unwrap();
-    let machine = Machine::decode(&snapshot.data).unwrap();
+    let machine = StateMachine::decode(&snapshot.data).unwrap();
     let outcomes = [1, 2, 3, 4].map(|id| machine.outcome(ProposalId(id)).unwrap().clone());
     let [Ok(first), Err(ProposalError::Conflict { newest }), Err(ProposalError::Invalid(why)), Ok(second)] =
         outcomes
@@ -139,7 +139,7 @@
 #[test]
 fn the_recorded_state_is_what_its_proposals_come_to() {
     let snapshot = Snapshot::parse_from_bytes(&record(ROWS, "facts.snapshot")).unwrap();
-    let mut machine = Machine::new();
+    let mut machine = StateMachine::new();
     let first = machine.apply(proposal(1, RevisionId::none())).outcome.unwrap();
     machine.apply(proposal(2, RevisionId::none()));
     let mut invalid = proposal(3, first);
@@ -180,8 +180,8 @@
         let message = wire::decode(&own.group, &bytes).unwrap();
         assert_eq!(hex(&wire::encode(&own.group, &message)), hex(&bytes), "{name}");
         let leads = message.msg_type == MsgPropose;
-        let expectation = wire::Expectation { identity: &own, term: 3, last_index: 12, leads };
-        assert_eq!(wire::check(&message, &expectation), Ok(()), "{name}");
+        let replica_state = wire::ReplicaState { identity: &own, term: 3, last_index: 12, leads };
+        assert_eq!(wire::check(&message, &replica_state), Ok(()), "{name}");
         kinds.push(message.msg_type);
     }
     let expected =
--- a/src/revisions/agreement/tests/state.rs
+++ b/src/revisions/agreement/tests/state.rs
@@ -1,9 +1,9 @@
 //! The state machine by itself.
 
 use super::*;
-use crate::revisions::agreement::machine::Machine;
+use crate::revisions::agreement::machine::StateMachine;
 
-fn fill(machine: &mut Machine, from: u128, count: u128) {
+fn fill(machine: &mut StateMachine, from: u128, count: u128) {
     for id in from..from + count {
         let expected = machine.newest().map_or_else(RevisionId::none, |newest| newest.id);
         assert!(machine.apply(proposal(id, expected)).accepted.is_some());
@@ -12,7 +12,7 @@
 
 #[test]
 fn only_what_saw_the_newest_becomes_a_revision() {
-    let mut machine = Machine::new();
+    let mut machine = StateMachine::new();
     fill(&mut machine, 1, 3);
     let newest = machine.newest().unwrap().id;
     let older = machine.revision(RevisionNumber(2)).unwrap().id;
@@ -27,7 +27,7 @@
 
 #[test]
 fn going_back_is_a_new_revision_with_the_old_content() {
-    let mut machine = Machine::new();
+    let mut machine = StateMachine::new();
     fill(&mut machine, 1, 2);
     let mut back = proposal(3, machine.newest().unwrap().id);
     back.document = machine.revision(RevisionNumber(1)).unwrap().document.clone();
@@ -44,7 +44,7 @@
 
 #[test]
 fn an_invalid_document_in_the_log_becomes_nothing() {
-    let mut machine = Machine::new();
+    let mut machine = StateMachine::new();
     let mut spoilt = proposal(1, RevisionId::none());
     spoilt.document = document(-4.0);
     assert!(matches!(machine.apply(spoilt).outcome, Err(ProposalError::Invalid(_))));
@@ -53,7 +53,7 @@
 
 #[test]
 fn history_and_outcomes_are_bounded_and_survive_a_snapshot() {
-    let mut machine = Machine::new();
+    let mut machine = StateMachine::new();
     fill(&mut machine, 1, KEPT_OUTCOMES as u128 + 10);
     assert!(machine.outcome(ProposalId(10)).is_none());
     assert!(machine.outcome(ProposalId(11)).is_some());
@@ -64,17 +64,17 @@
     assert_eq!(machine.after(RevisionNumber(newest - 2)).count(), 2);
     // One whose outcome is no longer remembered is not accepted again.
     assert!(machine.apply(proposal(1, RevisionId::none())).outcome.is_err());
-    assert_eq!(Machine::decode(&machine.encode()), Some(machine.clone()));
+    assert_eq!(StateMachine::decode(&machine.encode()), Some(machine.clone()));
     let mut bytes = machine.encode();
     bytes[10] ^= 1;
-    assert_eq!(Machine::decode(&bytes), None);
-    assert_eq!(Machine::decode(&machine.encode()[..50]), None);
+    assert_eq!(StateMachine::decode(&bytes), None);
+    assert_eq!(StateMachine::decode(&machine.encode()[..50]), None);
 }
 
 /// A document to which no further name can be added, other for each mark.
 fn longest_document(mark: u128) -> Document {
     let mut document = document(1.0);
-    for position in 0..LONGEST_DOCUMENT {
+    for position in 0..MAX_DOCUMENT_BYTES {
         let name = format!("{mark:0>100}-{position}");
         document.nodes_out.insert(name.clone());
         if document.check().is_err() {
@@ -88,22 +88,22 @@
 
 #[test]
 fn a_snapshot_of_the_longest_revisions_fits_a_message() {
-    let mut machine = Machine::new();
+    let mut machine = StateMachine::new();
     let mut documents = 0;
     for id in 0..KEPT_REVISIONS as u128 {
         let mut longest = proposal(id, machine.newest().map_or_else(RevisionId::none, |newest| newest.id));
-        longest.author = "a".repeat(LONGEST_AUTHOR);
+        longest.author = "a".repeat(MAX_AUTHOR_BYTES);
         longest.document = longest_document(id);
         documents += longest.document.encode().len();
-        assert!(postcard::to_allocvec(&longest).unwrap().len() <= LONGEST_PROPOSAL);
+        assert!(postcard::to_allocvec(&longest).unwrap().len() <= MAX_PROPOSAL_BYTES);
         assert!(machine.apply(longest).accepted.is_some());
     }
     for id in 0..KEPT_OUTCOMES as u128 {
         let mut refused = proposal(1_000 + id, RevisionId::none());
-        refused.author = "a".repeat(LONGEST_AUTHOR + 1);
+        refused.author = "a".repeat(MAX_AUTHOR_BYTES + 1);
         assert!(machine.apply(refused).outcome.is_err());
     }
-    assert!(documents > KEPT_REVISIONS * LONGEST_DOCUMENT * 9 / 10, "{documents}");
+    assert!(documents > KEPT_REVISIONS * MAX_DOCUMENT_BYTES * 9 / 10, "{documents}");
     let size = machine.encode().len();
-    assert!(size > documents && size + 1_000 < LONGEST_MESSAGE, "{size}");
+    assert!(size > documents && size + 1_000 < MAX_MESSAGE_BYTES, "{size}");
 }
--- a/src/revisions/agreement/wire.rs
+++ b/src/revisions/agreement/wire.rs
@@ -2,8 +2,8 @@
 //!
 //! The crate panics on some messages that no sound replica sends. All that could is refused here first.
 
-use super::machine::Machine;
-use super::{Proposal, LONGEST_MESSAGE, LONGEST_PROPOSAL};
+use super::machine::StateMachine;
+use super::{Proposal, MAX_MESSAGE_BYTES, MAX_PROPOSAL_BYTES};
 use crate::revisions::store::{GroupId, Identity};
 use protobuf::Message as _;
 use raft::eraftpb::{ConfState, Entry, EntryType, Message, MessageType};
@@ -12,12 +12,12 @@
 /// The format of the head and of what follows it.
 const FORMAT: u8 = 1;
 const GROUP_END: usize = 17;
-const HEAD_BYTES: usize = 25;
+const HEADER_BYTES: usize = 25;
 /// Above all terms and indexes that can occur: additions can't overflow.
-const HIGHEST: u64 = 1 << 60;
+const MAX_TERM_OR_INDEX: u64 = 1 << 60;
 
 /// What a replica knows that a message is held against.
-pub(super) struct Expectation<'a> {
+pub(super) struct ReplicaState<'a> {
     pub identity: &'a Identity,
     pub term: u64,
     pub last_index: u64,
@@ -27,7 +27,7 @@
 /// Encodes a message of this group.
 pub(super) fn encode(group: &GroupId, message: &Message) -> Vec<u8> {
     let payload = message.write_to_bytes().unwrap_or_default();
-    let mut bytes = Vec::with_capacity(HEAD_BYTES + payload.len());
+    let mut bytes = Vec::with_capacity(HEADER_BYTES + payload.len());
     bytes.push(FORMAT);
     bytes.extend(group.0);
     bytes.extend(checksum(group, &payload));
@@ -41,17 +41,17 @@
 ///
 /// It is none of this group, of another format, spoilt or too long.
 pub(super) fn decode(group: &GroupId, bytes: &[u8]) -> Result<Message, &'static str> {
-    if bytes.len() < HEAD_BYTES || bytes[0] != FORMAT {
+    if bytes.len() < HEADER_BYTES || bytes[0] != FORMAT {
         return Err("of an unknown format");
     }
-    if bytes.len() > LONGEST_MESSAGE {
+    if bytes.len() > MAX_MESSAGE_BYTES {
         return Err("too long");
     }
     if bytes[1..GROUP_END] != group.0 {
         return Err("of another group");
     }
-    let payload = &bytes[HEAD_BYTES..];
-    if bytes[GROUP_END..HEAD_BYTES] != checksum(group, payload) {
+    let payload = &bytes[HEADER_BYTES..];
+    if bytes[GROUP_END..HEADER_BYTES] != checksum(group, payload) {
         return Err("spoilt");
     }
     Message::parse_from_bytes(payload).map_err(|_| "spoilt")
@@ -72,22 +72,22 @@
 /// # Errors
 ///
 /// What it does not keep to.
-pub(super) fn check(message: &Message, expectation: &Expectation) -> Result<(), &'static str> {
-    check_ends(message, expectation)?;
+pub(super) fn check(message: &Message, replica_state: &ReplicaState) -> Result<(), &'static str> {
+    check_ends(message, replica_state)?;
     check_bounds(message)?;
     // A response of a follower speaks of the log of its leader, who is this replica where the terms are the same.
-    let of_our_log = expectation.leads && message.term == expectation.term;
+    let of_our_log = replica_state.leads && message.term == replica_state.term;
     match message.get_msg_type() {
-        MessageType::MsgPropose if !expectation.leads => Err("a proposal to a voter that does not lead"),
+        MessageType::MsgPropose if !replica_state.leads => Err("a proposal to a voter that does not lead"),
         MessageType::MsgPropose => check_forwarded(message),
         _ if message.term == 0 => Err("without a term"),
         MessageType::MsgAppend => check_append(message),
-        MessageType::MsgSnapshot => check_snapshot(message, expectation),
-        MessageType::MsgHeartbeat if message.commit > expectation.last_index => {
+        MessageType::MsgSnapshot => check_snapshot(message, replica_state),
+        MessageType::MsgHeartbeat if message.commit > replica_state.last_index => {
             Err("a commit beyond the log")
         }
         MessageType::MsgAppendResponse | MessageType::MsgHeartbeatResponse
-            if of_our_log && message.index.max(message.commit) > expectation.last_index =>
+            if of_our_log && message.index.max(message.commit) > replica_state.last_index =>
         {
             Err("a response beyond the log")
         }
@@ -102,8 +102,8 @@
     }
 }
 
-fn check_ends(message: &Message, expectation: &Expectation) -> Result<(), &'static str> {
-    let identity = expectation.identity;
+fn check_ends(message: &Message, replica_state: &ReplicaState) -> Result<(), &'static str> {
+    let identity = replica_state.identity;
     if message.to != identity.voter.0 {
         return Err("to somebody else");
     }
@@ -123,7 +123,7 @@
         message.commit_term,
         message.reject_hint,
     ];
-    if figures.iter().any(|figure| *figure >= HIGHEST) {
+    if figures.iter().any(|figure| *figure >= MAX_TERM_OR_INDEX) {
         return Err("with a figure out of range");
     }
     if message.request_snapshot != 0 || !message.context.is_empty() {
@@ -151,7 +151,7 @@
     if entry.get_entry_type() != EntryType::EntryNormal || !entry.context.is_empty() {
         return Err("with an entry of a kind that is not made");
     }
-    if entry.data.len() > LONGEST_PROPOSAL {
+    if entry.data.len() > MAX_PROPOSAL_BYTES {
         return Err("with an entry that is too long");
     }
     Ok(())
@@ -176,20 +176,21 @@
     Ok(())
 }
 
-fn check_snapshot(message: &Message, expectation: &Expectation) -> Result<(), &'static str> {
+fn check_snapshot(message: &Message, replica_state: &ReplicaState) -> Result<(), &'static str> {
     if !message.entries.is_empty() {
         return Err("with entries out of place");
     }
     let snapshot = message.get_snapshot();
     let metadata = snapshot.get_metadata();
-    if !(1..HIGHEST).contains(&metadata.index) || metadata.term == 0 || metadata.term > message.term {
+    if !(1..MAX_TERM_OR_INDEX).contains(&metadata.index) || metadata.term == 0 || metadata.term > message.term
+    {
         return Err("with a snapshot of an impossible index");
     }
-    let expected = ConfState { voters: expectation.identity.ids(), ..ConfState::default() };
+    let expected = ConfState { voters: replica_state.identity.ids(), ..ConfState::default() };
     if *metadata.get_conf_state() != expected {
         return Err("with a snapshot of other voters");
     }
-    match Machine::decode(&snapshot.data) {
+    match StateMachine::decode(&snapshot.data) {
         Some(_) => Ok(()),
         None => Err("with a snapshot that can't be read"),
     }
--- a/src/revisions/delta.rs
+++ b/src/revisions/delta.rs
@@ -1,6 +1,6 @@
 //! The difference between two documents: what is sent to an initiator that holds the older one.
 
-use super::document::{ClassFigures, CostFigures, Document, LimitFigures, PlanFigures};
+use super::document::{ClassOverrides, CostOverrides, Document, LimitOverrides, PlanOverrides};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,13 +8,13 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Delta {
     /// Classes whose figures changed or went.
-    pub classes: BTreeMap<String, Option<ClassFigures>>,
+    pub classes: BTreeMap<String, Option<ClassOverrides>>,
     /// Plans whose figures changed or went.
-    pub plans: BTreeMap<String, Option<PlanFigures>>,
+    pub plans: BTreeMap<String, Option<PlanOverrides>>,
     /// Costs, where any changed.
-    pub costs: Option<CostFigures>,
+    pub costs: Option<CostOverrides>,
     /// Limits, where any changed.
-    pub limits: Option<LimitFigures>,
+    pub limits: Option<LimitOverrides>,
     /// Nodes taken out since.
     pub nodes_added: BTreeSet<String>,
     /// Nodes no longer out.
--- a/src/revisions/delta/tests.rs
+++ b/src/revisions/delta/tests.rs
@@ -29,7 +29,7 @@
         "nodes_out = ['b', 'c']\n[classes.x]\nworth = 1\n[classes.y]\nworth = 3\n[costs]\nlargest = 4\n",
     );
     let delta = Delta::between(&older, &newer);
-    let worth = |worth| Some(ClassFigures { worth: Some(worth), ..ClassFigures::default() });
+    let worth = |worth| Some(ClassOverrides { worth: Some(worth), ..ClassOverrides::default() });
     assert_eq!(delta.classes, BTreeMap::from([("y".into(), worth(3.0)), ("z".into(), None)]));
     assert_eq!((delta.plans.len(), delta.limits), (0, None));
     assert_eq!(delta.costs.and_then(|costs| costs.largest), Some(4.0));
--- a/src/revisions/distribution.rs
+++ b/src/revisions/distribution.rs
@@ -74,29 +74,29 @@
 }
 
 /// The longest name of an initiator, in bytes; one with a longer name is sent nothing.
-pub const LONGEST_NAME: usize = 255;
+pub const MAX_INITIATOR_NAME_BYTES: usize = 255;
 /// Initiators that are remembered. With more, those are forgotten first that have not been connected for the longest time.
-pub const MOST_INITIATORS: usize = 8192;
+pub const MAX_INITIATORS: usize = 8192;
 /// How long an initiator is remembered that is not connected.
-pub const REMEMBERED: Duration = Duration::from_secs(24 * 60 * 60);
+pub const INITIATOR_RETENTION: Duration = Duration::from_secs(24 * 60 * 60);
 /// Updates that are on their way at once, not yet acknowledged.
-pub const MOST_UNACKNOWLEDGED: usize = 64;
-/// Updates that are sent at most within one [`SPACING`]: 1,600 a second, so that many that come back at once are served one
+pub const MAX_UNACKNOWLEDGED: usize = 64;
+/// Updates that are sent at most within one [`SEND_INTERVAL`]: 1,600 a second, so that many that come back at once are served one
 /// after the other.
-pub const MOST_IN_SPACING: usize = 16;
-/// See [`MOST_IN_SPACING`].
-pub const SPACING: Duration = Duration::from_millis(10);
+pub const MAX_UPDATES_PER_INTERVAL: usize = 16;
+/// See [`MAX_UPDATES_PER_INTERVAL`].
+pub const SEND_INTERVAL: Duration = Duration::from_millis(10);
 /// An update that is not acknowledged within this time is sent again, as a whole. Initiators that are gone without a word
-/// hold up to [`MOST_UNACKNOWLEDGED`] places for so long.
+/// hold up to [`MAX_UNACKNOWLEDGED`] places for so long.
 pub const ACKNOWLEDGEMENT_TIMEOUT: Duration = Duration::from_secs(1);
 /// How often one revision is sent on one connection. An initiator that does not acknowledge any of them is left alone until
 /// the next revision, or until it subscribes again. All tries together take longer than a planner bears with a connection
 /// that is silent, so one that was stopped for a while comes back on another connection.
-pub const MOST_TRIES: u32 = 4;
+pub const MAX_SENDS: u32 = 4;
 /// Revisions that changes can be made to; an initiator that holds an older one gets the whole.
-pub const KNOWN_REVISIONS: usize = 16;
+pub const DELTA_BASE_REVISIONS: usize = 16;
 /// The longest reason of a refusal that is kept, in bytes.
-pub const LONGEST_REASON: usize = 512;
+pub const MAX_REASON_BYTES: usize = 512;
 
 /// What is remembered of one initiator.
 struct Initiator {
@@ -169,7 +169,7 @@
     /// When [`Event::Tick`] is due, if it is.
     pub fn next_timer(&self) -> Option<Duration> {
         let timeout = self.unacknowledged.values().map(|sent| sent.until).min();
-        let may_send = !self.queue.is_empty() && self.unacknowledged.len() < MOST_UNACKNOWLEDGED;
+        let may_send = !self.queue.is_empty() && self.unacknowledged.len() < MAX_UNACKNOWLEDGED;
         timeout.into_iter().chain(may_send.then_some(self.spacing_end)).min()
     }
 
@@ -180,7 +180,7 @@
     }
 
     fn connect(&mut self, now: Duration, connection: ConnectionId, name: String) {
-        if name.len() > LONGEST_NAME {
+        if name.len() > MAX_INITIATOR_NAME_BYTES {
             return;
         }
         self.disconnect(now, connection);
@@ -190,7 +190,7 @@
         }
         self.make_room(now, &name);
         let none = RevisionId::none();
-        if self.initiators.len() < MOST_INITIATORS || self.initiators.contains_key(&name) {
+        if self.initiators.len() < MAX_INITIATORS || self.initiators.contains_key(&name) {
             let fresh = Initiator { connection: None, in_force: none, refused: None, heard: now };
             self.initiators.entry(name.clone()).or_insert(fresh).connection = Some(connection);
         }
@@ -208,11 +208,11 @@
 
     /// Forgets who has not been connected for long, where there is no room for another name.
     fn make_room(&mut self, now: Duration, name: &str) {
-        if self.initiators.len() < MOST_INITIATORS || self.initiators.contains_key(name) {
+        if self.initiators.len() < MAX_INITIATORS || self.initiators.contains_key(name) {
             return;
         }
         self.initiators.retain(|_, initiator| !initiator.is_forgotten(now));
-        if self.initiators.len() < MOST_INITIATORS {
+        if self.initiators.len() < MAX_INITIATORS {
             return;
         }
         let gone = self.initiators.iter().filter(|(_, initiator)| initiator.connection.is_none());
@@ -291,7 +291,7 @@
             return;
         }
         self.known.push_back(revision);
-        if self.known.len() > KNOWN_REVISIONS {
+        if self.known.len() > DELTA_BASE_REVISIONS {
             self.known.pop_front();
         }
         self.contents.clear();
@@ -323,7 +323,7 @@
         subscriber.subscribed
             && subscriber.holds.number < newest.id.number
             && subscriber.refused != Some(newest.id)
-            && subscriber.tries < MOST_TRIES
+            && subscriber.tries < MAX_SENDS
             && !self.unacknowledged.contains_key(&connection)
     }
 
@@ -340,9 +340,11 @@
 
     fn send_queued(&mut self, now: Duration, actions: &mut Vec<Action>) {
         if self.spacing_end <= now {
-            (self.spacing_end, self.sent_in_spacing) = (now + SPACING, 0);
+            (self.spacing_end, self.sent_in_spacing) = (now + SEND_INTERVAL, 0);
         }
-        while self.unacknowledged.len() < MOST_UNACKNOWLEDGED && self.sent_in_spacing < MOST_IN_SPACING {
+        while self.unacknowledged.len() < MAX_UNACKNOWLEDGED
+            && self.sent_in_spacing < MAX_UPDATES_PER_INTERVAL
+        {
             let Some(connection) = self.queue.pop_front() else { return };
             if let Some(subscriber) = self.connections.get_mut(&connection) {
                 subscriber.queued = false;
@@ -375,7 +377,7 @@
 
 impl Initiator {
     fn is_forgotten(&self, now: Duration) -> bool {
-        self.connection.is_none() && now.saturating_sub(self.heard) >= REMEMBERED
+        self.connection.is_none() && now.saturating_sub(self.heard) >= INITIATOR_RETENTION
     }
 
     fn status(&self, name: &str, now: Duration) -> InitiatorStatus {
@@ -393,7 +395,7 @@
 
 /// The changes from one revision to the newest, where they are shorter than the whole; otherwise that.
 fn content_between(base: Option<&Revision>, newest: &Revision) -> UpdateContent {
-    let whole = UpdateContent::Whole(newest.document.clone());
+    let whole = UpdateContent::Full(newest.document.clone());
     let Some(base) = base else { return whole };
     let delta = Delta::between(&base.document, &newest.document);
     let changes = UpdateContent::Changes { base: base.id, delta };
@@ -412,7 +414,7 @@
 
 /// A reason, cut to what is kept of it.
 fn shortened(mut why: String) -> String {
-    why.truncate(why.floor_char_boundary(LONGEST_REASON));
+    why.truncate(why.floor_char_boundary(MAX_REASON_BYTES));
     why
 }
 
--- a/src/revisions/distribution/tests.rs
+++ b/src/revisions/distribution/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::revisions::document::{Document, PlanFigures};
+use crate::revisions::document::{Document, PlanOverrides};
 use proptest::prelude::*;
 use std::collections::BTreeSet;
 
@@ -11,7 +11,7 @@
 
 /// A document of some size, of which each number changes one figure.
 fn document(number: u64) -> Document {
-    let figures = |rate| PlanFigures { ceiling_rate: Some(rate), ..PlanFigures::default() };
+    let figures = |rate| PlanOverrides { ceiling_rate: Some(rate), ..PlanOverrides::default() };
     let plans = (0..8).map(|plan| (format!("plan-{plan}"), figures(10.0 + plan as f64)));
     let mut document = Document { plans: plans.collect(), ..Document::default() };
     document.plans.insert("plan-0".into(), figures(1000.0 + number as f64));
@@ -92,7 +92,7 @@
 
 fn base_of(update: &Update) -> Option<u64> {
     match &update.content {
-        UpdateContent::Whole(_) => None,
+        UpdateContent::Full(_) => None,
         UpdateContent::Changes { base, .. } => Some(base.number.0),
     }
 }
@@ -131,10 +131,10 @@
 #[test]
 fn one_that_missed_a_few_gets_changes_and_one_that_missed_many_the_whole() {
     let mut bed = Bed::new();
-    for number in 1..=KNOWN_REVISIONS as u64 + 1 {
+    for number in 1..=DELTA_BASE_REVISIONS as u64 + 1 {
         bed.accept(number);
     }
-    let newest = KNOWN_REVISIONS as u64 + 1;
+    let newest = DELTA_BASE_REVISIONS as u64 + 1;
     bed.connect(1, "i-1");
     assert_eq!(only(bed.subscribe(1, 2)), (newest, Some(2)));
     bed.connect(2, "i-2");
@@ -240,7 +240,7 @@
     bed.accept(1);
     bed.subscribe(1, 1);
     assert_eq!(only(bed.accept(2)), (2, Some(1)));
-    for _ in 1..MOST_TRIES {
+    for _ in 1..MAX_SENDS {
         let due = bed.distributor.next_timer().unwrap();
         assert_eq!(due, bed.now + ACKNOWLEDGEMENT_TIMEOUT);
         assert!(bed.tick_at(due - millis(1)).is_empty());
@@ -251,7 +251,7 @@
     assert_eq!(bed.distributor.next_timer(), None, "it is left alone");
     assert_eq!(bed.status_of("i-1").in_force, id(1));
     assert_eq!(only(bed.accept(3)), (3, None), "until the next revision");
-    let due = (1..MOST_TRIES).fold(bed.now, |now, _| {
+    let due = (1..MAX_SENDS).fold(bed.now, |now, _| {
         bed.tick_at(now + ACKNOWLEDGEMENT_TIMEOUT);
         bed.now
     });
@@ -271,15 +271,15 @@
         bed.connect(connection, &format!("i-{connection}"));
         sent.extend(bed.subscribe(connection, 0));
     }
-    assert_eq!(sent.len(), MOST_IN_SPACING);
+    assert_eq!(sent.len(), MAX_UPDATES_PER_INTERVAL);
     // Nobody answers: no more than the bound is out.
     for _ in 0..20 {
-        let now = bed.now + SPACING;
+        let now = bed.now + SEND_INTERVAL;
         let more = bed.tick_at(now);
-        assert!(more.len() <= MOST_IN_SPACING);
+        assert!(more.len() <= MAX_UPDATES_PER_INTERVAL);
         sent.extend(more);
     }
-    assert_eq!(sent.len(), MOST_UNACKNOWLEDGED);
+    assert_eq!(sent.len(), MAX_UNACKNOWLEDGED);
     // All answer at once: the rest follows, so many in a time.
     let (mut served, mut begin) = (BTreeSet::new(), 0);
     let since = bed.now;
@@ -296,8 +296,8 @@
         }
     }
     assert_eq!(sent.len(), count, "each once");
-    let needed = SPACING * ((count - MOST_UNACKNOWLEDGED) / MOST_IN_SPACING) as u32;
-    assert!((needed..=needed + SPACING * 2).contains(&(bed.now - since)), "{:?}", bed.now - since);
+    let needed = SEND_INTERVAL * ((count - MAX_UNACKNOWLEDGED) / MAX_UPDATES_PER_INTERVAL) as u32;
+    assert!((needed..=needed + SEND_INTERVAL * 2).contains(&(bed.now - since)), "{:?}", bed.now - since);
     assert_eq!(bed.distributor.next_timer(), None);
 }
 
@@ -321,14 +321,14 @@
 #[test]
 fn the_end_of_a_connection_that_was_not_remembered_says_nothing_of_a_later_one() {
     let mut bed = Bed::new();
-    for connection in 0..MOST_INITIATORS {
+    for connection in 0..MAX_INITIATORS {
         bed.connect(connection, &format!("i-{connection}"));
     }
-    bed.connect(MOST_INITIATORS, "i-x");
-    assert_eq!(bed.distributor.status(bed.now).len(), MOST_INITIATORS);
+    bed.connect(MAX_INITIATORS, "i-x");
+    assert_eq!(bed.distributor.status(bed.now).len(), MAX_INITIATORS);
     bed.handle(Event::Disconnected(ConnectionId(0)));
-    bed.connect(MOST_INITIATORS + 1, "i-x");
-    bed.handle(Event::Disconnected(ConnectionId(MOST_INITIATORS)));
+    bed.connect(MAX_INITIATORS + 1, "i-x");
+    bed.handle(Event::Disconnected(ConnectionId(MAX_INITIATORS)));
     assert!(bed.status_of("i-x").connected);
 }
 
@@ -346,7 +346,7 @@
     assert_eq!(names, ["i-1", "i-2"]);
     assert_eq!((status[0].connected, status[0].silent_ms), (true, 0));
     assert_eq!((status[1].connected, status[1].silent_ms), (false, 1500));
-    bed.now += REMEMBERED - millis(1501);
+    bed.now += INITIATOR_RETENTION - millis(1501);
     assert_eq!(bed.distributor.status(bed.now).len(), 2);
     bed.now += millis(1);
     assert_eq!(bed.distributor.status(bed.now).len(), 1);
@@ -355,32 +355,32 @@
 #[test]
 fn what_is_remembered_is_bounded() {
     let mut bed = Bed::new();
-    bed.connect(0, &"x".repeat(LONGEST_NAME + 1));
+    bed.connect(0, &"x".repeat(MAX_INITIATOR_NAME_BYTES + 1));
     assert!(bed.distributor.status(bed.now).is_empty());
-    bed.connect(0, &"x".repeat(LONGEST_NAME));
+    bed.connect(0, &"x".repeat(MAX_INITIATOR_NAME_BYTES));
     assert_eq!(bed.distributor.status(bed.now).len(), 1);
-    for connection in 1..MOST_INITIATORS + 10 {
+    for connection in 1..MAX_INITIATORS + 10 {
         bed.connect(connection, &format!("i-{connection}"));
         bed.now += millis(1);
         bed.handle(Event::Disconnected(ConnectionId(connection)));
     }
     let status = bed.distributor.status(bed.now);
-    assert_eq!(status.len(), MOST_INITIATORS);
+    assert_eq!(status.len(), MAX_INITIATORS);
     assert!(status.iter().any(|one| one.connected), "who is connected is not forgotten");
     assert!(status.iter().all(|one| one.initiator != "i-1"), "the longest gone is");
     bed.handle(Event::Acknowledged {
         connection: ConnectionId(0),
         acknowledgement: Acknowledgement {
             id: id(1),
-            outcome: AcknowledgementOutcome::Refused("ü".repeat(LONGEST_REASON)),
+            outcome: AcknowledgementOutcome::Refused("ü".repeat(MAX_REASON_BYTES)),
         },
     });
-    let kept = bed.status_of(&"x".repeat(LONGEST_NAME)).refused.unwrap().1;
-    assert!((LONGEST_REASON - 1..=LONGEST_REASON).contains(&kept.len()));
+    let kept = bed.status_of(&"x".repeat(MAX_INITIATOR_NAME_BYTES)).refused.unwrap().1;
+    assert!((MAX_REASON_BYTES - 1..=MAX_REASON_BYTES).contains(&kept.len()));
     for number in 1..100 {
         bed.accept(number);
     }
-    assert_eq!(bed.distributor.known.len(), KNOWN_REVISIONS);
+    assert_eq!(bed.distributor.known.len(), DELTA_BASE_REVISIONS);
 }
 
 /// Initiators of the drawn schedules.
@@ -439,7 +439,7 @@
         let now = self.bed.now;
         let coming = self.models.iter().filter_map(|model| model.coming.as_ref());
         let out = coming.filter(|(_, since)| *since + ACKNOWLEDGEMENT_TIMEOUT > now).count();
-        assert!(out <= MOST_UNACKNOWLEDGED, "{out} updates are out");
+        assert!(out <= MAX_UNACKNOWLEDGED, "{out} updates are out");
     }
 
     fn connect(&mut self, at: usize) {
@@ -499,7 +499,7 @@
             return self.handle(Event::Acknowledged { connection, acknowledgement });
         }
         let document = match update.content {
-            UpdateContent::Whole(document) => Some(document),
+            UpdateContent::Full(document) => Some(document),
             UpdateContent::Changes { base, delta } => {
                 (base == id(model.holds)).then(|| delta.apply(&revision(model.holds).document))
             }
--- a/src/revisions/document.rs
+++ b/src/revisions/document.rs
@@ -15,28 +15,28 @@
 use std::fmt;
 
 /// The longest document, in bytes of its canonical encoding.
-pub const LONGEST_DOCUMENT: usize = 64 * 1024;
+pub const MAX_DOCUMENT_BYTES: usize = 64 * 1024;
 /// The longest text that is read as a document, in bytes: comments and blanks count here.
-pub const LONGEST_TEXT: usize = 1024 * 1024;
+pub const MAX_TEXT_BYTES: usize = 1024 * 1024;
 /// The longest name, in bytes.
-pub const LONGEST_NAME: usize = 200;
+pub const MAX_NAME_BYTES: usize = 200;
 /// Nodes that may be out at once.
-pub const MOST_NODES_OUT: usize = 1024;
+pub const MAX_NODES_OUT: usize = 1024;
 /// The longest text of a [`DocumentError`], in characters: it may quote what others wrote.
-const LONGEST_ERROR: usize = 400;
+const MAX_ERROR_CHARS: usize = 400;
 
 /// What a revision changes.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Document {
     /// Figures of request classes, by the class's name.
-    pub classes: BTreeMap<String, ClassFigures>,
+    pub classes: BTreeMap<String, ClassOverrides>,
     /// Figures of plans, by the plan's name.
-    pub plans: BTreeMap<String, PlanFigures>,
+    pub plans: BTreeMap<String, PlanOverrides>,
     /// How units count.
-    pub costs: CostFigures,
+    pub costs: CostOverrides,
     /// What the deployment permits.
-    pub limits: LimitFigures,
+    pub limits: LimitOverrides,
     /// Names of nodes that get nothing new.
     pub nodes_out: BTreeSet<String>,
 }
@@ -44,7 +44,7 @@
 /// Figures of a class that may change while running.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct ClassFigures {
+pub struct ClassOverrides {
     /// An answer within this time has its full worth, in milliseconds; above 0, at most the class's deadline.
     pub aim_ms: Option<f64>,
     /// Worth of a mean request answered within the aim; above 0.
@@ -56,7 +56,7 @@
 /// Figures of a plan that may change while running.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct PlanFigures {
+pub struct PlanOverrides {
     /// Units a second that a volume is sized for; not negative.
     pub base_rate: Option<f64>,
     /// The limit in units a second; 0: no limit.
@@ -76,7 +76,7 @@
 /// How units count.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct CostFigures {
+pub struct CostOverrides {
     /// Worth of units beyond reserve and share; not negative.
     pub idle_worth: Option<f64>,
     /// Worth of units beyond the reserve and within the share; above 0, at most 1, the worth within the reserve.
@@ -92,7 +92,7 @@
 /// What the deployment permits.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct LimitFigures {
+pub struct LimitOverrides {
     /// Attempts of one request, 1 to 100.
     pub attempts_cap: Option<u32>,
     /// The longest wait that a client can be asked for, in milliseconds; 0: none is said. Settings that let none be said
@@ -128,7 +128,7 @@
     fn new(text: impl AsRef<str>) -> Self {
         let breaks = |character: char| character.is_control() || matches!(character, '\u{2028}' | '\u{2029}');
         let plain = |character| if breaks(character) { ' ' } else { character };
-        DocumentError(text.as_ref().trim().chars().map(plain).take(LONGEST_ERROR).collect())
+        DocumentError(text.as_ref().trim().chars().map(plain).take(MAX_ERROR_CHARS).collect())
     }
 }
 
@@ -139,8 +139,8 @@
     ///
     /// One line that names the key: unknown keys, keys that can't change while running, and figures out of range.
     pub fn parse(text: &str) -> Result<Document, DocumentError> {
-        if text.len() > LONGEST_TEXT {
-            let why = format!("a text of {} bytes: at most {LONGEST_TEXT} are allowed", text.len());
+        if text.len() > MAX_TEXT_BYTES {
+            let why = format!("a text of {} bytes: at most {MAX_TEXT_BYTES} are allowed", text.len());
             return Err(DocumentError::new(why));
         }
         let document = figures::read(text)?.normalized();
@@ -183,8 +183,8 @@
         for (key, name) in names.chain(self.nodes_out.iter().map(|name| ("nodes_out", name))) {
             check_name(key, name)?;
         }
-        if self.nodes_out.len() > MOST_NODES_OUT {
-            let why = format!("nodes_out: {} names: at most {MOST_NODES_OUT}", self.nodes_out.len());
+        if self.nodes_out.len() > MAX_NODES_OUT {
+            let why = format!("nodes_out: {} names: at most {MAX_NODES_OUT}", self.nodes_out.len());
             return Err(DocumentError::new(why));
         }
         self.classes.iter().try_for_each(|(name, class)| class.check(name))?;
@@ -192,8 +192,8 @@
         self.costs.check()?;
         self.limits.check()?;
         let length = self.encode().len();
-        if length > LONGEST_DOCUMENT {
-            let why = format!("a document of {length} bytes: at most {LONGEST_DOCUMENT} are allowed");
+        if length > MAX_DOCUMENT_BYTES {
+            let why = format!("a document of {length} bytes: at most {MAX_DOCUMENT_BYTES} are allowed");
             return Err(DocumentError::new(why));
         }
         Ok(())
@@ -212,8 +212,8 @@
     /// The same document, with one form for each figure: 0 has no sign, and what is no number has one form.
     fn normalized(&self) -> Document {
         let mut document = self.clone();
-        document.classes.values_mut().for_each(ClassFigures::normalize);
-        document.plans.values_mut().for_each(PlanFigures::normalize);
+        document.classes.values_mut().for_each(ClassOverrides::normalize);
+        document.plans.values_mut().for_each(PlanOverrides::normalize);
         document.costs.normalize();
         document.limits.normalize();
         document
@@ -221,9 +221,9 @@
 }
 
 fn check_name(key: &str, name: &str) -> Result<(), DocumentError> {
-    if !(1..=LONGEST_NAME).contains(&name.len()) {
+    if !(1..=MAX_NAME_BYTES).contains(&name.len()) {
         let start: String = name.chars().take(20).collect();
-        let why = format!("{key}: a name of {} bytes ({start:?}): 1 to {LONGEST_NAME}", name.len());
+        let why = format!("{key}: a name of {} bytes ({start:?}): 1 to {MAX_NAME_BYTES}", name.len());
         return Err(DocumentError::new(why));
     }
     Ok(())
--- a/src/revisions/document/figures.rs
+++ b/src/revisions/document/figures.rs
@@ -1,20 +1,20 @@
 //! The keys of a document, and the range of each figure.
 
-use super::{ClassFigures, CostFigures, Document, DocumentError, LimitFigures, PlanFigures};
+use super::{ClassOverrides, CostOverrides, Document, DocumentError, LimitOverrides, PlanOverrides};
 use serde::de::DeserializeOwned;
 use std::collections::BTreeMap;
 use toml::{Table, Value};
 
 /// The least figure where 0 is not allowed: products and quotients of a few figures are finite, and above 0.
-pub(super) const SMALLEST: f64 = 1e-9;
+pub(super) const MIN_POSITIVE: f64 = 1e-9;
 /// The largest figure.
-pub(super) const LARGEST: f64 = 1e12;
+pub(super) const MAX_VALUE: f64 = 1e12;
 /// The longest span, in milliseconds: a day.
-pub(super) const LONGEST_SPAN_MS: f64 = 86_400_000.0;
+pub(super) const MAX_DURATION_MS: f64 = 86_400_000.0;
 /// The shortest aim, in milliseconds: a microsecond, well above the unit that spans are counted in.
-const SHORTEST_AIM_MS: f64 = 0.001;
+const MIN_AIM_MS: f64 = 0.001;
 /// The most attempts of one request.
-const MOST_ATTEMPTS: u32 = 100;
+const MAX_ATTEMPTS: u32 = 100;
 
 const SECTIONS: [&str; 5] = ["classes", "plans", "costs", "limits", "nodes_out"];
 const CLASS_KEYS: [&str; 3] = ["aim_ms", "worth", "late_worth"];
@@ -24,7 +24,7 @@
 const LIMIT_KEYS: [&str; 3] = ["attempts_cap", "max_retry_after_ms", "may_cancel"];
 
 /// Keys of the settings file, and of the file around it, that only a restart changes; wherever they stand.
-const FIXED_KEYS: [&str; 43] = [
+const RESTART_ONLY_KEYS: [&str; 43] = [
     "name",
     "listen",
     "control",
@@ -100,7 +100,7 @@
     if known.contains(&key) {
         return Ok(());
     }
-    if FIXED_KEYS.contains(&key) {
+    if RESTART_ONLY_KEYS.contains(&key) {
         return Err(DocumentError::new(format!("{place}{key} can't change while running")));
     }
     Err(DocumentError::new(format!("{place}{key} is not known: {} are", known.join(", "))))
@@ -174,7 +174,7 @@
 }
 
 fn range(least: f64, most: f64) -> String {
-    match (least == SMALLEST, most == LARGEST) {
+    match (least == MIN_POSITIVE, most == MAX_VALUE) {
         (true, true) => "above 0, 1e-9 to 1e12,".into(),
         (true, false) => format!("above 0, 1e-9 to {most},"),
         (false, true) => format!("{least} to 1e12"),
@@ -193,11 +193,11 @@
     }
 }
 
-impl ClassFigures {
+impl ClassOverrides {
     pub(super) fn check(&self, name: &str) -> Result<(), DocumentError> {
         let figures = [
-            ("aim_ms", self.aim_ms, SHORTEST_AIM_MS, LONGEST_SPAN_MS),
-            ("worth", self.worth, SMALLEST, LARGEST),
+            ("aim_ms", self.aim_ms, MIN_AIM_MS, MAX_DURATION_MS),
+            ("worth", self.worth, MIN_POSITIVE, MAX_VALUE),
             ("late_worth", self.late_worth, 0.0, 1.0),
         ];
         check(&format!("classes.{}", quoted(name)), &figures)
@@ -208,16 +208,16 @@
     }
 }
 
-impl PlanFigures {
+impl PlanOverrides {
     pub(super) fn check(&self, name: &str) -> Result<(), DocumentError> {
         let figures = [
-            ("base_rate", self.base_rate, 0.0, LARGEST),
-            ("ceiling_rate", self.ceiling_rate, 0.0, LARGEST),
-            ("limit_burst", self.limit_burst, 0.0, LARGEST),
-            ("tolerance", self.tolerance, 0.0, LARGEST),
-            ("guaranteed", self.guaranteed, 0.0, LARGEST),
-            ("parts", self.parts, SMALLEST, LARGEST),
-            ("value_factor", self.value_factor, SMALLEST, LARGEST),
+            ("base_rate", self.base_rate, 0.0, MAX_VALUE),
+            ("ceiling_rate", self.ceiling_rate, 0.0, MAX_VALUE),
+            ("limit_burst", self.limit_burst, 0.0, MAX_VALUE),
+            ("tolerance", self.tolerance, 0.0, MAX_VALUE),
+            ("guaranteed", self.guaranteed, 0.0, MAX_VALUE),
+            ("parts", self.parts, MIN_POSITIVE, MAX_VALUE),
+            ("value_factor", self.value_factor, MIN_POSITIVE, MAX_VALUE),
         ];
         check(&format!("plans.{}", quoted(name)), &figures)
     }
@@ -235,15 +235,15 @@
     }
 }
 
-impl CostFigures {
+impl CostOverrides {
     pub(super) fn check(&self) -> Result<(), DocumentError> {
         let figures = [
-            ("idle_worth", self.idle_worth, 0.0, LARGEST),
+            ("idle_worth", self.idle_worth, 0.0, MAX_VALUE),
             // Worth is a part of the worth within the reserve.
-            ("share_worth", self.share_worth, SMALLEST, 1.0),
-            ("largest", self.largest, SMALLEST, LARGEST),
-            ("unit_mean", self.unit_mean, SMALLEST, LARGEST),
-            ("young_limit", self.young_limit, 0.0, LARGEST),
+            ("share_worth", self.share_worth, MIN_POSITIVE, 1.0),
+            ("largest", self.largest, MIN_POSITIVE, MAX_VALUE),
+            ("unit_mean", self.unit_mean, MIN_POSITIVE, MAX_VALUE),
+            ("young_limit", self.young_limit, 0.0, MAX_VALUE),
         ];
         check("costs", &figures)
     }
@@ -259,12 +259,12 @@
     }
 }
 
-impl LimitFigures {
+impl LimitOverrides {
     pub(super) fn check(&self) -> Result<(), DocumentError> {
         let attempts = self.attempts_cap.map(f64::from);
         let figures = [
-            ("attempts_cap", attempts, 1.0, f64::from(MOST_ATTEMPTS)),
-            ("max_retry_after_ms", self.max_retry_after_ms, 0.0, LONGEST_SPAN_MS),
+            ("attempts_cap", attempts, 1.0, f64::from(MAX_ATTEMPTS)),
+            ("max_retry_after_ms", self.max_retry_after_ms, 0.0, MAX_DURATION_MS),
         ];
         check("limits", &figures)
     }
--- a/src/revisions/document/overlay.rs
+++ b/src/revisions/document/overlay.rs
@@ -1,7 +1,7 @@
 //! A document's figures in place of those of settings, and whether they fit together.
 
 use super::figures::quoted;
-use super::{ClassFigures, Document, DocumentError, LimitFigures, Names, PlanFigures};
+use super::{ClassOverrides, Document, DocumentError, LimitOverrides, Names, PlanOverrides};
 use crate::interface::{Class, Settings};
 use crate::settings::{limit, millis};
 
@@ -42,7 +42,7 @@
     *figure = with.unwrap_or(*figure);
 }
 
-impl ClassFigures {
+impl ClassOverrides {
     fn change(&self, name: &str, class: &mut Class) -> Result<(), DocumentError> {
         if let Some(aim_ms) = self.aim_ms {
             class.aim = millis(aim_ms).map_err(DocumentError::new)?;
@@ -61,7 +61,7 @@
     }
 }
 
-impl PlanFigures {
+impl PlanOverrides {
     fn change(&self, name: &str, position: usize, settings: &mut Settings) -> Result<(), DocumentError> {
         let plan = settings.plans.get_mut(position).ok_or_else(|| unknown("plan", name))?;
         let (rate, burst, slack) = plan.limit.map_or((0.0, 0.0, 0.0), |it| (it.rate, it.burst, it.slack));
@@ -99,7 +99,7 @@
     }
 }
 
-impl LimitFigures {
+impl LimitOverrides {
     fn change(&self, settings: &mut Settings) -> Result<(), DocumentError> {
         let limits = &mut settings.limits;
         replace(&mut limits.max_attempts, self.attempts_cap);
--- a/src/revisions/document/tests.rs
+++ b/src/revisions/document/tests.rs
@@ -8,16 +8,16 @@
     prop::option::of(prop_oneof![Just(least), Just(most), least..most])
 }
 
-fn class() -> impl Strategy<Value = ClassFigures> {
+fn class() -> impl Strategy<Value = ClassOverrides> {
     (figure(0.001, 1e6), figure(1e-9, 1e12), figure(0.0, 1.0))
-        .prop_map(|(aim_ms, worth, late_worth)| ClassFigures { aim_ms, worth, late_worth })
+        .prop_map(|(aim_ms, worth, late_worth)| ClassOverrides { aim_ms, worth, late_worth })
 }
 
-fn plan() -> impl Strategy<Value = PlanFigures> {
+fn plan() -> impl Strategy<Value = PlanOverrides> {
     let not_negative = || figure(0.0, 1e12);
     let above_zero = || figure(1e-9, 1e12);
     let rates = (not_negative(), not_negative(), not_negative(), not_negative(), not_negative());
-    (rates, above_zero(), above_zero()).prop_map(|(rates, parts, value_factor)| PlanFigures {
+    (rates, above_zero(), above_zero()).prop_map(|(rates, parts, value_factor)| PlanOverrides {
         base_rate: rates.0,
         ceiling_rate: rates.1,
         limit_burst: rates.2,
@@ -28,16 +28,22 @@
     })
 }
 
-fn costs() -> impl Strategy<Value = CostFigures> {
+fn costs() -> impl Strategy<Value = CostOverrides> {
     let above_zero = || figure(1e-9, 1e12);
     (figure(0.0, 1e12), figure(1e-9, 1.0), above_zero(), above_zero(), figure(0.0, 1e12)).prop_map(|it| {
-        CostFigures { idle_worth: it.0, share_worth: it.1, largest: it.2, unit_mean: it.3, young_limit: it.4 }
+        CostOverrides {
+            idle_worth: it.0,
+            share_worth: it.1,
+            largest: it.2,
+            unit_mean: it.3,
+            young_limit: it.4,
+        }
     })
 }
 
-fn limits() -> impl Strategy<Value = LimitFigures> {
+fn limits() -> impl Strategy<Value = LimitOverrides> {
     let attempts = prop::option::of(1u32..=100);
-    (attempts, figure(0.0, 1e6), prop::option::of(any::<bool>())).prop_map(|it| LimitFigures {
+    (attempts, figure(0.0, 1e6), prop::option::of(any::<bool>())).prop_map(|it| LimitOverrides {
         attempts_cap: it.0,
         max_retry_after_ms: it.1,
         may_cancel: it.2,
@@ -116,7 +122,7 @@
 
 fn is_one_line(why: &DocumentError) -> bool {
     let text = why.to_string();
-    !text.is_empty() && text.lines().count() == 1 && text.chars().count() <= LONGEST_ERROR
+    !text.is_empty() && text.lines().count() == 1 && text.chars().count() <= MAX_ERROR_CHARS
 }
 
 fn settings() -> Settings {
@@ -304,7 +310,7 @@
     let mut base = settings();
     base.limits.max_retry_after = Duration::ZERO;
     let document = |ms: f64| Document {
-        limits: LimitFigures { max_retry_after_ms: Some(ms), ..Default::default() },
+        limits: LimitOverrides { max_retry_after_ms: Some(ms), ..Default::default() },
         ..Document::default()
     };
     let why = document(5.0).apply(&base, &names()).unwrap_err().to_string();
@@ -314,19 +320,19 @@
 
 #[test]
 fn what_is_too_long_is_refused() {
-    let long = "x".repeat(LONGEST_NAME + 1);
+    let long = "x".repeat(MAX_NAME_BYTES + 1);
     let why = refused(&format!("nodes_out = [\"{long}\"]"));
     assert_eq!(why, "nodes_out: a name of 201 bytes (\"xxxxxxxxxxxxxxxxxxxx\"): 1 to 200");
     let many = |count: usize, length: usize| Document {
         nodes_out: (0..count).map(|at| format!("{at:0length$}")).collect(),
         ..Document::default()
     };
-    assert_eq!(many(MOST_NODES_OUT, 8).check(), Ok(()));
-    let why = many(MOST_NODES_OUT + 1, 8).check().unwrap_err().to_string();
+    assert_eq!(many(MAX_NODES_OUT, 8).check(), Ok(()));
+    let why = many(MAX_NODES_OUT + 1, 8).check().unwrap_err().to_string();
     assert_eq!(why, "nodes_out: 1025 names: at most 1024");
-    let why = many(MOST_NODES_OUT, 100).check().unwrap_err().to_string();
+    let why = many(MAX_NODES_OUT, 100).check().unwrap_err().to_string();
     assert!(why.starts_with("a document of ") && why.ends_with("at most 65536 are allowed"), "{why}");
-    let why = refused(&" ".repeat(LONGEST_TEXT + 1));
+    let why = refused(&" ".repeat(MAX_TEXT_BYTES + 1));
     assert_eq!(why, "a text of 1048577 bytes: at most 1048576 are allowed");
     assert!(is_one_line(&Document::parse(&"[".repeat(100_000)).unwrap_err()));
 }
@@ -334,7 +340,7 @@
 #[test]
 fn a_figure_has_one_encoding() {
     let document = |share| Document {
-        costs: CostFigures { idle_worth: Some(share), ..Default::default() },
+        costs: CostOverrides { idle_worth: Some(share), ..Default::default() },
         ..Document::default()
     };
     assert_eq!(document(0.0).encode(), document(-0.0).encode());
@@ -364,7 +370,7 @@
 #[test]
 fn what_is_out_of_range_is_not_applied() {
     for worth in [f64::NAN, 0.0, f64::INFINITY] {
-        let class = ClassFigures { worth: Some(worth), ..ClassFigures::default() };
+        let class = ClassOverrides { worth: Some(worth), ..ClassOverrides::default() };
         let document = Document { classes: BTreeMap::from([("bulk".into(), class)]), ..Document::default() };
         assert!(document.apply(&settings(), &names()).is_err(), "{worth}");
     }
--- a/src/revisions/follower.rs
+++ b/src/revisions/follower.rs
@@ -7,7 +7,7 @@
 
 /// Revisions that were checked and wait to be taken over; beyond, the oldest is dropped. One waits as a rule, two where an
 /// update came between the fetching of the first and its takeover.
-const MOST_PREPARED: usize = 4;
+const MAX_PREPARED: usize = 4;
 
 /// A revision that was checked and is ready to be taken over.
 #[derive(Clone, Debug, PartialEq)]
@@ -58,7 +58,7 @@
         self.refused.as_ref()
     }
 
-    /// Checks an update. What is prepared is in force once [`Follower::took_over`] was called; until then it may be replaced
+    /// Checks an update. What is prepared is in force once [`Follower::confirm_applied`] was called; until then it may be replaced
     /// by a later one.
     ///
     /// # Errors
@@ -72,8 +72,8 @@
             return Err(self.acknowledge_in_force());
         }
         let document = match update.content {
-            UpdateContent::Whole(document) if document.hash() == id.hash => document,
-            UpdateContent::Whole(document) => {
+            UpdateContent::Full(document) if document.hash() == id.hash => document,
+            UpdateContent::Full(document) => {
                 let why = format!("its content has the hash {}, not {}", document.hash(), id.hash);
                 return Err(self.refuse(id, why));
             }
@@ -91,7 +91,7 @@
         let settings = self.check(&document).map_err(|error| self.refuse(id, error.to_string()))?;
         let prepared = Prepared { id, settings, nodes_out: document.nodes_out.clone() };
         self.prepared.insert(id.number, (id, document));
-        while self.prepared.len() > MOST_PREPARED {
+        while self.prepared.len() > MAX_PREPARED {
             self.prepared.pop_first();
         }
         Ok(prepared)
@@ -99,7 +99,7 @@
 
     /// What was prepared is in force from now on; says so to the planners. What was not prepared here, or is older than what
     /// is in force, changes nothing.
-    pub fn took_over(&mut self, prepared: &Prepared) -> Acknowledgement {
+    pub fn confirm_applied(&mut self, prepared: &Prepared) -> Acknowledgement {
         let newer = prepared.id.number > self.in_force.number;
         if newer && self.is_prepared(prepared.id) {
             if let Some((id, document)) = self.prepared.remove(&prepared.id.number) {
@@ -113,7 +113,7 @@
     }
 
     /// What was prepared can't be taken over after all, for this reason; says so to the planners. What is in force is so on.
-    pub fn could_not_take_over(&mut self, prepared: &Prepared, why: String) -> Acknowledgement {
+    pub fn reject_prepared(&mut self, prepared: &Prepared, why: String) -> Acknowledgement {
         if self.is_prepared(prepared.id) {
             self.prepared.remove(&prepared.id.number);
         }
--- a/src/revisions/follower/tests.rs
+++ b/src/revisions/follower/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::interface::{Limit, Plan};
 use crate::revisions::delta::Delta;
-use crate::revisions::document::PlanFigures;
+use crate::revisions::document::PlanOverrides;
 
 fn follower() -> Follower {
     let limit = Limit { rate: 20.0, burst: 40.0, slack: 8.0 };
@@ -11,7 +11,7 @@
 }
 
 fn document(rate: f64) -> Document {
-    let figures = PlanFigures { ceiling_rate: Some(rate), ..PlanFigures::default() };
+    let figures = PlanOverrides { ceiling_rate: Some(rate), ..PlanOverrides::default() };
     Document { plans: BTreeMap::from([("base".to_string(), figures)]), ..Document::default() }
 }
 
@@ -20,7 +20,7 @@
 }
 
 fn whole(number: u64, document: &Document) -> Update {
-    Update { id: id(number, document), content: UpdateContent::Whole(document.clone()) }
+    Update { id: id(number, document), content: UpdateContent::Full(document.clone()) }
 }
 
 fn changes(older: (u64, &Document), newer: (u64, &Document)) -> Update {
@@ -36,7 +36,7 @@
 fn take(follower: &mut Follower, update: Update) -> Settings {
     let id = update.id;
     let prepared = follower.prepare(update).unwrap();
-    assert_eq!(follower.took_over(&prepared), in_force(id));
+    assert_eq!(follower.confirm_applied(&prepared), in_force(id));
     assert_eq!(follower.in_force(), id);
     prepared.settings
 }
@@ -72,8 +72,8 @@
     let second = follower.prepare(whole(2, &document(40.0))).unwrap();
     assert_eq!(follower.prepare(whole(1, &document(30.0))), Ok(first.clone()), "still prepared as well");
     assert_eq!(follower.prepare(whole(1, &document(50.0))), Err(in_force(RevisionId::none())), "another");
-    assert_eq!(follower.took_over(&second).id, second.id);
-    assert_eq!(follower.took_over(&first), in_force(second.id), "an older one changes nothing");
+    assert_eq!(follower.confirm_applied(&second).id, second.id);
+    assert_eq!(follower.confirm_applied(&first), in_force(second.id), "an older one changes nothing");
     assert_eq!(rate(&take(&mut follower, changes((2, &document(40.0)), (3, &document(50.0))))), 50.0);
 }
 
@@ -82,8 +82,8 @@
     let mut follower = follower();
     let first = follower.prepare(whole(1, &document(30.0))).unwrap();
     let second = follower.prepare(whole(2, &document(40.0))).unwrap();
-    assert_eq!(follower.took_over(&first), in_force(first.id));
-    assert_eq!(follower.took_over(&second), in_force(second.id));
+    assert_eq!(follower.confirm_applied(&first), in_force(first.id));
+    assert_eq!(follower.confirm_applied(&second), in_force(second.id));
 }
 
 #[test]
@@ -91,7 +91,7 @@
     let mut follower = follower();
     let mut other = self::follower();
     let foreign = other.prepare(whole(1, &document(30.0))).unwrap();
-    assert_eq!(follower.took_over(&foreign), in_force(RevisionId::none()));
+    assert_eq!(follower.confirm_applied(&foreign), in_force(RevisionId::none()));
     assert_eq!(follower.in_force(), RevisionId::none());
 }
 
@@ -138,7 +138,7 @@
 fn a_spoilt_whole_is_refused_and_the_right_one_is_still_taken() {
     let mut follower = follower();
     let mut spoilt = whole(1, &document(30.0));
-    spoilt.content = UpdateContent::Whole(document(31.0));
+    spoilt.content = UpdateContent::Full(document(31.0));
     let refused = follower.prepare(spoilt.clone()).unwrap_err();
     assert_eq!(refused.id, spoilt.id);
     let AcknowledgementOutcome::Refused(why) = refused.outcome else { panic!("it was taken") };
@@ -154,7 +154,7 @@
     let mut follower = follower();
     take(&mut follower, whole(1, &document(30.0)));
     let unknown = Document {
-        plans: BTreeMap::from([("no-such".to_string(), PlanFigures::default())]),
+        plans: BTreeMap::from([("no-such".to_string(), PlanOverrides::default())]),
         ..Document::default()
     };
     let refused = follower.prepare(whole(2, &unknown)).unwrap_err();
@@ -172,10 +172,10 @@
     take(&mut follower, whole(1, &document(30.0)));
     let prepared = follower.prepare(whole(2, &document(40.0))).unwrap();
     let outcome = AcknowledgementOutcome::Refused("it does not fit".into());
-    let refused = follower.could_not_take_over(&prepared, "it does not fit".into());
+    let refused = follower.reject_prepared(&prepared, "it does not fit".into());
     assert_eq!(refused, Acknowledgement { id: prepared.id, outcome });
     assert_eq!(follower.refused(), Some(&(prepared.id, "it does not fit".to_string())));
-    assert_eq!(follower.took_over(&prepared), in_force(id(1, &document(30.0))));
+    assert_eq!(follower.confirm_applied(&prepared), in_force(id(1, &document(30.0))));
     take(&mut follower, changes((1, &document(30.0)), (3, &document(40.0))));
     assert_eq!(follower.refused(), None);
 }
@@ -193,6 +193,6 @@
     let mut follower = follower();
     for number in 1..=100 {
         follower.prepare(whole(number, &document(number as f64))).unwrap();
-        assert!(follower.prepared.len() <= MOST_PREPARED);
+        assert!(follower.prepared.len() <= MAX_PREPARED);
     }
 }
--- a/src/revisions/mod.rs
+++ b/src/revisions/mod.rs
@@ -101,7 +101,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum UpdateContent {
     /// The whole document, after a restart or a gap.
-    Whole(Document),
+    Full(Document),
     /// What changed since the revision that the initiator holds.
     Changes {
         /// The revision that the changes are made to.
--- a/src/revisions/store.rs
+++ b/src/revisions/store.rs
@@ -13,7 +13,7 @@
 pub use disk::{DiskStore, FILE_NAME};
 pub use memory::{Failure, MemoryStore};
 pub use raft::eraftpb::{Entry, HardState, Snapshot};
-pub use state::Stored;
+pub use state::StoredState;
 
 use super::agreement::VoterId;
 use serde::{Deserialize, Serialize};
@@ -38,7 +38,7 @@
 
 impl GroupId {
     /// The group of these planners: the first half of the SHA-256 of their names in sorted order.
-    pub fn of_names<'a>(names: impl IntoIterator<Item = &'a str>) -> GroupId {
+    pub fn from_names<'a>(names: impl IntoIterator<Item = &'a str>) -> GroupId {
         let mut names: Vec<&str> = names.into_iter().collect();
         names.sort_unstable();
         let mut hash = Sha256::new();
@@ -134,7 +134,7 @@
     /// # Errors
     ///
     /// It can't be read, or what is read does not fit together.
-    fn load(&self) -> Result<Stored, StoreError>;
+    fn load(&self) -> Result<StoredState, StoreError>;
 
     /// Writes a batch. It is durable when this returns, and after a crash it is there as a whole or not at all.
     ///
--- a/src/revisions/store/disk.rs
+++ b/src/revisions/store/disk.rs
@@ -1,6 +1,8 @@
 //! The store on disk: one `redb` file, `Durability::Immediate`.
 
-use super::{Batch, Entry, HardState, Identity, ReplicaStore, Snapshot, SnapshotChange, StoreError, Stored};
+use super::{
+    Batch, Entry, HardState, Identity, ReplicaStore, Snapshot, SnapshotChange, StoreError, StoredState,
+};
 use protobuf::Message;
 use redb::{Builder, Database, Durability, ReadableDatabase, ReadableTable, TableDefinition};
 use std::fs::{self, File};
@@ -80,10 +82,10 @@
         Ok(DiskStore { path: PathBuf::new(), database, identity })
     }
 
-    fn read(&self) -> Result<Stored, redb::Error> {
+    fn read(&self) -> Result<StoredState, redb::Error> {
         let transaction = self.database.begin_read()?;
         let facts = transaction.open_table(FACTS)?;
-        let mut stored = Stored::default();
+        let mut stored = StoredState::default();
         if let Some(bytes) = facts.get(HARD_STATE_KEY)? {
             stored.hard_state = HardState::parse_from_bytes(bytes.value()).map_err(corrupted)?;
         }
@@ -135,7 +137,7 @@
         &self.identity
     }
 
-    fn load(&self) -> Result<Stored, StoreError> {
+    fn load(&self) -> Result<StoredState, StoreError> {
         let read = quietly(|| self.read().map_err(|error| failed(&self.path, error)));
         let stored = read.unwrap_or_else(|_| Err(failed(&self.path, "the file is damaged")))?;
         stored.check(&self.identity).map_err(|error| failed(&self.path, error))?;
--- a/src/revisions/store/memory.rs
+++ b/src/revisions/store/memory.rs
@@ -1,6 +1,6 @@
 //! A store in memory, for simulations: it survives the crash of its replica, and can be made to fail.
 
-use super::{Batch, Identity, ReplicaStore, StoreError, Stored};
+use super::{Batch, Identity, ReplicaStore, StoreError, StoredState};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 /// When a store fails.
@@ -15,7 +15,7 @@
 #[derive(Debug)]
 struct Disk {
     identity: Identity,
-    stored: Stored,
+    stored: StoredState,
     writes: u64,
     failure: Option<Failure>,
     failed: bool,
@@ -34,7 +34,7 @@
     pub fn new(identity: Identity) -> Self {
         let disk = Disk {
             identity: identity.clone(),
-            stored: Stored::default(),
+            stored: StoredState::default(),
             writes: 0,
             failure: None,
             failed: false,
@@ -47,7 +47,7 @@
     }
 
     /// Plans a failure, or takes a planned one back.
-    pub fn fail(&self, failure: Option<Failure>) {
+    pub fn inject_failure(&self, failure: Option<Failure>) {
         self.disk().failure = failure;
     }
 
@@ -64,7 +64,7 @@
     }
 
     /// Puts something else in place of what is stored: for faults of a disk.
-    pub fn replace(&self, stored: Stored) {
+    pub fn replace(&self, stored: StoredState) {
         self.disk().stored = stored;
     }
 }
@@ -100,7 +100,7 @@
         &self.identity
     }
 
-    fn load(&self) -> Result<Stored, StoreError> {
+    fn load(&self) -> Result<StoredState, StoreError> {
         let disk = self.disk();
         disk.stored.check(&disk.identity)?;
         Ok(disk.stored.clone())
--- a/src/revisions/store/state.rs
+++ b/src/revisions/store/state.rs
@@ -5,7 +5,7 @@
 
 /// All that a replica has written: a snapshot, the log after it, and its term, vote and commit index.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Stored {
+pub struct StoredState {
     /// Term, vote and commit index.
     pub hard_state: HardState,
     /// The state up to the log's beginning; its index is 0 before the first.
@@ -14,7 +14,7 @@
     pub entries: VecDeque<Entry>,
 }
 
-impl Stored {
+impl StoredState {
     /// The index of the last entry that the snapshot has.
     pub fn snapshot_index(&self) -> u64 {
         self.snapshot.get_metadata().index
--- a/src/revisions/store/tests.rs
+++ b/src/revisions/store/tests.rs
@@ -27,7 +27,7 @@
 
 pub(super) fn identity() -> Identity {
     let voters = vec![VoterId(1), VoterId(2), VoterId(3)];
-    Identity { group: GroupId::of_names(["a", "b", "c"]), voter: VoterId(2), voters }
+    Identity { group: GroupId::from_names(["a", "b", "c"]), voter: VoterId(2), voters }
 }
 
 fn entry(index: u64, term: u64, length: usize) -> Entry {
@@ -47,7 +47,7 @@
 pub(super) fn batches(count: usize, seed: u64) -> Vec<Batch> {
     let mut random = Random::new(seed);
     let mut pick = move |below: u64| (random.draw() * below as f64) as u64;
-    let mut stored = Stored::default();
+    let mut stored = StoredState::default();
     let mut batches = Vec::new();
     for _ in 0..count {
         let mut batch = Batch::default();
@@ -149,8 +149,8 @@
 
 #[test]
 fn a_group_is_named_by_its_names_in_any_order() {
-    assert_eq!(GroupId::of_names(["a", "b", "c"]), GroupId::of_names(["c", "a", "b"]));
-    assert_ne!(GroupId::of_names(["a", "bc"]), GroupId::of_names(["ab", "c"]));
+    assert_eq!(GroupId::from_names(["a", "b", "c"]), GroupId::from_names(["c", "a", "b"]));
+    assert_ne!(GroupId::from_names(["a", "bc"]), GroupId::from_names(["ab", "c"]));
 }
 
 #[test]
@@ -158,11 +158,11 @@
     let batches = batches(4, 3);
     for (failure, kept) in [(Failure::Before(2), 2), (Failure::After(2), 3)] {
         let store = MemoryStore::new(identity());
-        store.fail(Some(failure));
+        store.inject_failure(Some(failure));
         let mut handle = store.clone();
         let results: Vec<bool> = batches.iter().map(|batch| handle.write(batch).is_ok()).collect();
         assert_eq!(results, [true, true, false, false], "{failure:?}");
-        let mut expected = Stored::default();
+        let mut expected = StoredState::default();
         batches[..kept].iter().for_each(|batch| expected.apply(batch));
         store.restart();
         assert_eq!(store.load().unwrap(), expected, "{failure:?}");
@@ -171,14 +171,14 @@
 
 #[test]
 fn what_does_not_fit_together_is_refused() {
-    let mut sound = Stored::default();
+    let mut sound = StoredState::default();
     batches(30, 9).iter().for_each(|batch| sound.apply(batch));
     let entries = vec![
         entry(sound.last_index() + 1, sound.hard_state.term, 5),
         entry(sound.last_index() + 2, sound.hard_state.term, 5),
     ];
     sound.apply(&Batch { entries, ..Batch::default() });
-    type Change = fn(&mut Stored);
+    type Change = fn(&mut StoredState);
     let spoilt: [(&str, Change); 6] = [
         ("a vote for 9", |it| it.hard_state.vote = 9),
         ("commit index", |it| it.hard_state.commit = it.last_index() + 1),
--- a/src/revisions/store/tests/crash.rs
+++ b/src/revisions/store/tests/crash.rs
@@ -88,7 +88,7 @@
     let mut store = DiskStore::fill(database, identity()).unwrap();
     let created = recorder.operations.lock().unwrap().len();
     // States by the operations that had been done when they were told to be durable.
-    let mut states = vec![(created, Stored::default())];
+    let mut states = vec![(created, StoredState::default())];
     for batch in batches(14, 11) {
         store.write(&batch).unwrap();
         let mut stored = states.last().unwrap().1.clone();
@@ -120,7 +120,7 @@
     let copy = Directory::new("copy-of");
     fs::create_dir_all(&copy.0).unwrap();
     let mut store = DiskStore::create(&directory.0, identity()).unwrap();
-    let mut expected = Stored::default();
+    let mut expected = StoredState::default();
     for (step, batch) in batches(25, 13).iter().enumerate() {
         store.write(batch).unwrap();
         expected.apply(batch);
