--- a/src/revisions/delta.rs
+++ b/src/revisions/delta.rs
@@ -1,32 +1,32 @@
-//! The difference between two documents: what is sent to an initiator that holds the older one.
+//! The difference between two documents, sent to an initiator that has the older one.
 
 use super::document::{ClassOverrides, CostOverrides, Document, LimitOverrides, PlanOverrides};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What changed from one document to another. An absent entry is unchanged, `None` in a map is removed.
+/// The changes from one document to another. A name without an entry is unchanged; `None` in a map removes its entry.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Delta {
-    /// Classes whose figures changed or went.
+    /// Classes whose overrides changed or were removed.
     pub classes: BTreeMap<String, Option<ClassOverrides>>,
-    /// Plans whose figures changed or went.
+    /// Plans whose overrides changed or were removed.
     pub plans: BTreeMap<String, Option<PlanOverrides>>,
-    /// Costs, where any changed.
+    /// All costs, if any of them changed.
     pub costs: Option<CostOverrides>,
-    /// Limits, where any changed.
+    /// All limits, if any of them changed.
     pub limits: Option<LimitOverrides>,
-    /// Nodes taken out since.
+    /// Nodes that the newer document adds to `nodes_out`.
     pub nodes_added: BTreeSet<String>,
-    /// Nodes no longer out.
+    /// Nodes that the newer document removes from `nodes_out`.
     pub nodes_removed: BTreeSet<String>,
 }
 
 impl Delta {
-    /// What leads from one document to the other: `Delta::between(a, b).apply(a) == b`.
+    /// Computes the changes from one document to another: `Delta::between(a, b).apply(a) == b`.
     pub fn between(older: &Document, newer: &Document) -> Delta {
         Delta {
-            classes: changed(&older.classes, &newer.classes),
-            plans: changed(&older.plans, &newer.plans),
+            classes: changed_entries(&older.classes, &newer.classes),
+            plans: changed_entries(&older.plans, &newer.plans),
             costs: (older.costs != newer.costs).then_some(newer.costs),
             limits: (older.limits != newer.limits).then_some(newer.limits),
             nodes_added: newer.nodes_out.difference(&older.nodes_out).cloned().collect(),
@@ -34,11 +34,11 @@
         }
     }
 
-    /// The document with these changes made.
+    /// Returns the document with these changes applied.
     pub fn apply(&self, older: &Document) -> Document {
         let mut document = older.clone();
-        change(&mut document.classes, &self.classes);
-        change(&mut document.plans, &self.plans);
+        apply_changes(&mut document.classes, &self.classes);
+        apply_changes(&mut document.plans, &self.plans);
         document.costs = self.costs.unwrap_or(document.costs);
         document.limits = self.limits.unwrap_or(document.limits);
         document.nodes_out.retain(|name| !self.nodes_removed.contains(name));
@@ -47,8 +47,8 @@
     }
 }
 
-/// Entries that differ; none where the newer map has no entry.
-fn changed<F: Copy + PartialEq>(
+/// The entries that differ; `None` for those that the newer map lacks.
+fn changed_entries<F: Copy + PartialEq>(
     older: &BTreeMap<String, F>,
     newer: &BTreeMap<String, F>,
 ) -> BTreeMap<String, Option<F>> {
@@ -57,11 +57,11 @@
     differs.map(|name| (name.clone(), newer.get(name).copied())).collect()
 }
 
-fn change<F: Copy>(figures: &mut BTreeMap<String, F>, changes: &BTreeMap<String, Option<F>>) {
+fn apply_changes<F: Copy>(overrides: &mut BTreeMap<String, F>, changes: &BTreeMap<String, Option<F>>) {
     for (name, change) in changes {
         match change {
-            Some(change) => figures.insert(name.clone(), *change),
-            None => figures.remove(name),
+            Some(change) => overrides.insert(name.clone(), *change),
+            None => overrides.remove(name),
         };
     }
 }
--- a/src/revisions/delta/tests.rs
+++ b/src/revisions/delta/tests.rs
@@ -4,24 +4,24 @@
 
 proptest! {
     #[test]
-    fn a_difference_leads_from_the_one_to_the_other(older in any_document(), newer in any_document()) {
+    fn applying_a_delta_to_the_older_document_gives_the_newer_one(older in any_document(), newer in any_document()) {
         let delta = Delta::between(&older, &newer);
-        let there = delta.apply(&older);
-        prop_assert_eq!(&there, &newer);
-        prop_assert_eq!(there.hash(), newer.hash());
-        let taken: Delta = postcard::from_bytes(&postcard::to_stdvec(&delta).unwrap()).unwrap();
-        prop_assert_eq!(taken, delta);
+        let applied = delta.apply(&older);
+        prop_assert_eq!(&applied, &newer);
+        prop_assert_eq!(applied.hash(), newer.hash());
+        let decoded: Delta = postcard::from_bytes(&postcard::to_stdvec(&delta).unwrap()).unwrap();
+        prop_assert_eq!(decoded, delta);
     }
 
     #[test]
-    fn what_is_the_same_is_not_sent(document in any_document()) {
+    fn the_delta_between_equal_documents_is_empty(document in any_document()) {
         prop_assert_eq!(Delta::between(&document, &document), Delta::default());
         prop_assert_eq!(Delta::default().apply(&document), document);
     }
 }
 
 #[test]
-fn a_difference_holds_only_what_changed() {
+fn a_delta_holds_only_the_entries_that_changed() {
     let parse = |text| Document::parse(text).unwrap();
     let older =
         parse("nodes_out = ['a', 'b']\n[classes.x]\nworth = 1\n[classes.y]\nworth = 2\n[classes.z]\n");
--- a/src/revisions/document.rs
+++ b/src/revisions/document.rs
@@ -1,8 +1,8 @@
-//! The content of a revision: figures that replace those of an initiator's settings while it runs.
+//! The content of a revision: values that override an initiator's settings while it runs.
 //!
-//! Keys have the names of the settings file. What is absent keeps the value of the initiator's own settings. Names of
-//! classes and plans only refer to what the settings already have. [`figures`] says which keys there are, and in which
-//! range each figure is; [`overlay`] puts a document's figures in place of those of settings.
+//! Keys have the names of the settings file. A key that is absent keeps the value of the initiator's own settings. Classes
+//! and plans can't be added: their names refer to those of the settings. [`figures`] defines the keys and the range of each
+//! value; [`overlay`] applies a document to settings.
 
 mod figures;
 mod overlay;
@@ -14,95 +14,96 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// The longest document, in bytes of its canonical encoding.
+/// Limit on a document's canonical encoding, in bytes.
 pub const MAX_DOCUMENT_BYTES: usize = 64 * 1024;
-/// The longest text that is read as a document, in bytes: comments and blanks count here.
+/// Limit on the TOML text of a document, in bytes, comments and blanks included.
 pub const MAX_TEXT_BYTES: usize = 1024 * 1024;
-/// The longest name, in bytes.
+/// Limit on the name of a class, plan or node, in bytes.
 pub const MAX_NAME_BYTES: usize = 200;
-/// Nodes that may be out at once.
+/// Limit on the nodes that may be out at once.
 pub const MAX_NODES_OUT: usize = 1024;
-/// The longest text of a [`DocumentError`], in characters: it may quote what others wrote.
+/// Limit on the text of a [`DocumentError`], in characters: it may quote operators' input.
 const MAX_ERROR_CHARS: usize = 400;
 
-/// What a revision changes.
+/// The overrides of one revision.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Document {
-    /// Figures of request classes, by the class's name.
+    /// Overrides for request classes, by the class's name.
     pub classes: BTreeMap<String, ClassOverrides>,
-    /// Figures of plans, by the plan's name.
+    /// Overrides for plans, by the plan's name.
     pub plans: BTreeMap<String, PlanOverrides>,
-    /// How units count.
+    /// Overrides for the worth and size of units.
     pub costs: CostOverrides,
-    /// What the deployment permits.
+    /// Overrides for limits on attempts and waits.
     pub limits: LimitOverrides,
-    /// Names of nodes that get nothing new.
+    /// Names of nodes that receive no new requests.
     pub nodes_out: BTreeSet<String>,
 }
 
-/// Figures of a class that may change while running.
+/// The settings of a class that may change while the initiator runs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ClassOverrides {
-    /// An answer within this time has its full worth, in milliseconds; above 0, at most the class's deadline.
+    /// Time within which an answer has its full worth, in milliseconds; above 0, at most the class's deadline.
     pub aim_ms: Option<f64>,
     /// Worth of a mean request answered within the aim; above 0.
     pub worth: Option<f64>,
-    /// Part of the worth that a later answer keeps, 0 to 1.
+    /// Share of the worth that a later answer keeps, 0 to 1.
     pub late_worth: Option<f64>,
 }
 
-/// Figures of a plan that may change while running.
+/// The settings of a plan that may change while the initiator runs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct PlanOverrides {
     /// Units a second that a volume is sized for; not negative.
     pub base_rate: Option<f64>,
-    /// The limit in units a second; 0: no limit.
+    /// Rate limit in units a second; 0: no limit.
     pub ceiling_rate: Option<f64>,
-    /// Units that the limit lets through at once; not negative.
+    /// Burst of the rate limit, in units; not negative.
     pub limit_burst: Option<f64>,
-    /// Units by which the limit's store may be overdrawn; not negative.
+    /// Units by which the limit's token bucket may be overdrawn; not negative.
     pub tolerance: Option<f64>,
-    /// Units a second at full worth; not negative.
+    /// Reserved rate, in units a second at full worth; not negative.
     pub guaranteed: Option<f64>,
-    /// Weight in the sharing of what the reserves leave; above 0.
+    /// Weight in the weighted fair share of the capacity beyond the reserves; above 0.
     pub parts: Option<f64>,
-    /// Factor on the class worth; above 0.
+    /// Factor on the worth of the class; above 0.
     pub value_factor: Option<f64>,
 }
 
-/// How units count.
+/// Worth and size of units.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct CostOverrides {
-    /// Worth of units beyond reserve and share; not negative.
+    /// Worth of units beyond both the reserve and the share; not negative.
     pub idle_worth: Option<f64>,
-    /// Worth of units beyond the reserve and within the share; above 0, at most 1, the worth within the reserve.
+    /// Worth of units beyond the reserve and within the share; above 0, at most 1, which is the worth within the
+    /// reserve.
     pub share_worth: Option<f64>,
     /// Units of the largest request; above 0.
     pub largest: Option<f64>,
     /// Units of a mean request; above 0.
     pub unit_mean: Option<f64>,
-    /// Units that a cold node bears from all initiators within the settings' `fall_ms`; not negative.
+    /// Units that a node in slow start takes from all initiators within the settings' `fall_ms`; not negative.
     pub young_limit: Option<f64>,
 }
 
-/// What the deployment permits.
+/// Limits on attempts and waits.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LimitOverrides {
-    /// Attempts of one request, 1 to 100.
+    /// Limit on the attempts of one request, 1 to 100.
     pub attempts_cap: Option<u32>,
-    /// The longest wait that a client can be asked for, in milliseconds; 0: none is said. Settings that let none be said
-    /// are not overruled.
+    /// The longest wait that a client can be asked for, in milliseconds; 0: clients are not asked to wait. Where the settings
+    /// have 0, only 0 is accepted.
     pub max_retry_after_ms: Option<f64>,
-    /// Attempts may be withdrawn.
+    /// Whether attempts may be cancelled.
     pub may_cancel: Option<bool>,
 }
 
-/// The names that a document may refer to, in the order of the settings.
+/// The names that a document may refer to, by position in the settings' lists of classes and plans.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Names {
     /// Names of the request classes.
@@ -111,7 +112,7 @@
     pub plans: Vec<String>,
 }
 
-/// Why a document is not accepted: one line that names the key and what is allowed.
+/// The reason for refusing a document: one line that names the key and what is allowed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DocumentError(pub String);
 
@@ -124,20 +125,20 @@
 impl std::error::Error for DocumentError {}
 
 impl DocumentError {
-    /// What is wrong, whatever it quotes, in one line of bounded length.
+    /// Cuts the text to [`MAX_ERROR_CHARS`] and replaces line breaks and control characters, which quoted input may have.
     fn new(text: impl AsRef<str>) -> Self {
         let breaks = |character: char| character.is_control() || matches!(character, '\u{2028}' | '\u{2029}');
-        let plain = |character| if breaks(character) { ' ' } else { character };
-        DocumentError(text.as_ref().trim().chars().map(plain).take(MAX_ERROR_CHARS).collect())
+        let replaced = |character| if breaks(character) { ' ' } else { character };
+        DocumentError(text.as_ref().trim().chars().map(replaced).take(MAX_ERROR_CHARS).collect())
     }
 }
 
 impl Document {
-    /// Reads a document as operators write it, in TOML.
+    /// Parses a document from TOML, the form that operators write.
     ///
     /// # Errors
     ///
-    /// One line that names the key: unknown keys, keys that can't change while running, and figures out of range.
+    /// The text is too long or not TOML, or has an unknown key, a key that can't change at run time, or a value out of range.
     pub fn parse(text: &str) -> Result<Document, DocumentError> {
         if text.len() > MAX_TEXT_BYTES {
             let why = format!("a text of {} bytes: at most {MAX_TEXT_BYTES} are allowed", text.len());
@@ -148,9 +149,9 @@
         Ok(document)
     }
 
-    /// The document as operators write it, in TOML.
+    /// The document in TOML, the form that operators write.
     pub fn to_toml(&self) -> String {
-        // Maps with names for keys, figures and lists of names can all be put in this form.
+        // Can't fail: TOML can represent maps with string keys, numbers and lists of strings.
         let mut table = toml::Table::try_from(self.normalized()).unwrap_or_default();
         let is_empty = |value: &toml::Value| match value {
             toml::Value::Table(table) => table.is_empty(),
@@ -163,7 +164,7 @@
 
     /// The canonical encoding: equal documents have equal bytes.
     pub fn encode(&self) -> Vec<u8> {
-        // Only maps of unknown length can't be put in this form, and there are none.
+        // Can't fail: postcard only refuses maps of unknown length, and there are none.
         postcard::to_stdvec(&self.normalized()).unwrap_or_default()
     }
 
@@ -172,7 +173,7 @@
         ContentHash(Sha256::digest(self.encode()).into())
     }
 
-    /// Checks size and figures, as far as that needs no settings.
+    /// Checks the size and the range of each value, as far as that needs no settings.
     ///
     /// # Errors
     ///
@@ -199,17 +200,18 @@
         Ok(())
     }
 
-    /// The settings with this document's figures in place of their own.
+    /// Returns the settings with this document's overrides applied.
     ///
     /// # Errors
     ///
-    /// One line that names the key: a class or plan that the settings don't have, or figures that don't fit theirs.
+    /// The document is invalid, names a class or plan that the settings don't have, or has values that contradict them.
     pub fn apply(&self, base: &Settings, names: &Names) -> Result<Settings, DocumentError> {
         self.check()?;
         overlay::apply(self, base, names)
     }
 
-    /// The same document, with one form for each figure: 0 has no sign, and what is no number has one form.
+    /// The document with one bit pattern per value, so that equal documents have equal hashes: -0 becomes 0, and all NaNs
+    /// become the same.
     fn normalized(&self) -> Document {
         let mut document = self.clone();
         document.classes.values_mut().for_each(ClassOverrides::normalize);
--- a/src/revisions/document/overlay.rs
+++ b/src/revisions/document/overlay.rs
@@ -1,31 +1,32 @@
-//! A document's figures in place of those of settings, and whether they fit together.
+//! Applies a document's overrides to settings, and checks the resulting settings for contradictions.
 
 use super::figures::quoted;
 use super::{ClassOverrides, Document, DocumentError, LimitOverrides, Names, PlanOverrides};
 use crate::interface::{Class, Settings};
 use crate::settings::{limit, millis};
 
-/// The settings with the figures of a checked document.
+/// Returns the settings with the overrides of a document that has passed [`Document::check`].
 pub(super) fn apply(document: &Document, base: &Settings, names: &Names) -> Result<Settings, DocumentError> {
     let mut settings = base.clone();
-    for (name, figures) in &document.classes {
+    for (name, overrides) in &document.classes {
         for class in positions("class", name, &names.classes)? {
             let class = settings.classes.get_mut(class).ok_or_else(|| unknown("class", name))?;
-            figures.change(name, class)?;
+            overrides.apply(name, class)?;
         }
     }
-    for (name, figures) in &document.plans {
+    for (name, overrides) in &document.plans {
         for plan in positions("plan", name, &names.plans)? {
-            figures.change(name, plan, &mut settings)?;
+            overrides.apply(name, plan, &mut settings)?;
         }
     }
-    document.change_costs(&mut settings);
-    document.limits.change(&mut settings)?;
-    fits(&settings, base, names)?;
+    document.apply_costs(&mut settings);
+    document.limits.apply(&mut settings)?;
+    check_consistency(&settings, base, names)?;
     Ok(settings)
 }
 
-/// Where a name stands in the settings. The second front may add a class of the same name as one of the settings.
+/// The positions of a name in the settings. There may be two: the iSCSI front may add a class of the same name as one of
+/// the settings.
 fn positions(kind: &str, name: &str, names: &[String]) -> Result<Vec<usize>, DocumentError> {
     let found: Vec<usize> = (0..names.len()).filter(|position| names[*position] == name).collect();
     match found.is_empty() {
@@ -38,12 +39,12 @@
     DocumentError::new(format!("the settings have no {kind} {name:?}"))
 }
 
-fn replace<T: Copy>(figure: &mut T, with: Option<T>) {
-    *figure = with.unwrap_or(*figure);
+fn replace<T: Copy>(value: &mut T, with: Option<T>) {
+    *value = with.unwrap_or(*value);
 }
 
 impl ClassOverrides {
-    fn change(&self, name: &str, class: &mut Class) -> Result<(), DocumentError> {
+    fn apply(&self, name: &str, class: &mut Class) -> Result<(), DocumentError> {
         if let Some(aim_ms) = self.aim_ms {
             class.aim = millis(aim_ms).map_err(DocumentError::new)?;
             if class.aim > class.deadline {
@@ -62,11 +63,11 @@
 }
 
 impl PlanOverrides {
-    fn change(&self, name: &str, position: usize, settings: &mut Settings) -> Result<(), DocumentError> {
+    fn apply(&self, name: &str, position: usize, settings: &mut Settings) -> Result<(), DocumentError> {
         let plan = settings.plans.get_mut(position).ok_or_else(|| unknown("plan", name))?;
         let (rate, burst, slack) = plan.limit.map_or((0.0, 0.0, 0.0), |it| (it.rate, it.burst, it.slack));
-        let states_some = self.limit_burst.is_some() || self.tolerance.is_some();
-        if states_some && self.ceiling_rate.is_none() && plan.limit.is_none() {
+        let sets_limit_details = self.limit_burst.is_some() || self.tolerance.is_some();
+        if sets_limit_details && self.ceiling_rate.is_none() && plan.limit.is_none() {
             let why = "the plan has no limit, and limit_burst and tolerance are nothing without ceiling_rate";
             return Err(DocumentError::new(format!("plans.{}: {why}", quoted(name))));
         }
@@ -80,7 +81,7 @@
         replace(&mut plan.price, self.value_factor);
         if let Some(base_rate) = self.base_rate {
             let rates = &mut settings.units.base_rates;
-            // A plan without a rate is as one with 0.
+            // A plan without an entry has a base rate of 0.
             rates.resize(rates.len().max(position + 1), 0.0);
             rates[position] = base_rate;
         }
@@ -89,7 +90,7 @@
 }
 
 impl Document {
-    fn change_costs(&self, settings: &mut Settings) {
+    fn apply_costs(&self, settings: &mut Settings) {
         let (units, costs) = (&mut settings.units, &self.costs);
         replace(&mut units.spare_worth, costs.idle_worth);
         replace(&mut units.share_worth, costs.share_worth);
@@ -100,7 +101,7 @@
 }
 
 impl LimitOverrides {
-    fn change(&self, settings: &mut Settings) -> Result<(), DocumentError> {
+    fn apply(&self, settings: &mut Settings) -> Result<(), DocumentError> {
         let limits = &mut settings.limits;
         replace(&mut limits.max_attempts, self.attempts_cap);
         replace(&mut limits.cancel, self.may_cancel);
@@ -118,9 +119,9 @@
     }
 }
 
-/// Refuses figures that contradict each other, where the document has changed one of them: what the settings themselves
-/// state is in force already.
-fn fits(settings: &Settings, base: &Settings, names: &Names) -> Result<(), DocumentError> {
+/// Refuses values that contradict each other where the document has changed one of them. Contradictions in the settings
+/// themselves are not refused: they are in force already.
+fn check_consistency(settings: &Settings, base: &Settings, names: &Names) -> Result<(), DocumentError> {
     let (units, before) = (&settings.units, &base.units);
     if (units.mean, units.largest) != (before.mean, before.largest) && units.mean > units.largest {
         let why = format!("at most costs.largest, {}, is allowed", units.largest);
--- a/src/revisions/document/tests.rs
+++ b/src/revisions/document/tests.rs
@@ -3,19 +3,19 @@
 use proptest::prelude::*;
 use std::time::Duration;
 
-/// Figures in range, with those that are easily written in more than one way.
-fn figure(least: f64, most: f64) -> impl Strategy<Value = Option<f64>> {
-    prop::option::of(prop_oneof![Just(least), Just(most), least..most])
+/// Values in range, often the bounds, among them 0, which has more than one form.
+fn value_in(min: f64, max: f64) -> impl Strategy<Value = Option<f64>> {
+    prop::option::of(prop_oneof![Just(min), Just(max), min..max])
 }
 
 fn class() -> impl Strategy<Value = ClassOverrides> {
-    (figure(0.001, 1e6), figure(1e-9, 1e12), figure(0.0, 1.0))
+    (value_in(0.001, 1e6), value_in(1e-9, 1e12), value_in(0.0, 1.0))
         .prop_map(|(aim_ms, worth, late_worth)| ClassOverrides { aim_ms, worth, late_worth })
 }
 
 fn plan() -> impl Strategy<Value = PlanOverrides> {
-    let not_negative = || figure(0.0, 1e12);
-    let above_zero = || figure(1e-9, 1e12);
+    let not_negative = || value_in(0.0, 1e12);
+    let above_zero = || value_in(1e-9, 1e12);
     let rates = (not_negative(), not_negative(), not_negative(), not_negative(), not_negative());
     (rates, above_zero(), above_zero()).prop_map(|(rates, parts, value_factor)| PlanOverrides {
         base_rate: rates.0,
@@ -29,21 +29,21 @@
 }
 
 fn costs() -> impl Strategy<Value = CostOverrides> {
-    let above_zero = || figure(1e-9, 1e12);
-    (figure(0.0, 1e12), figure(1e-9, 1.0), above_zero(), above_zero(), figure(0.0, 1e12)).prop_map(|it| {
-        CostOverrides {
+    let above_zero = || value_in(1e-9, 1e12);
+    (value_in(0.0, 1e12), value_in(1e-9, 1.0), above_zero(), above_zero(), value_in(0.0, 1e12)).prop_map(
+        |it| CostOverrides {
             idle_worth: it.0,
             share_worth: it.1,
             largest: it.2,
             unit_mean: it.3,
             young_limit: it.4,
-        }
-    })
+        },
+    )
 }
 
 fn limits() -> impl Strategy<Value = LimitOverrides> {
     let attempts = prop::option::of(1u32..=100);
-    (attempts, figure(0.0, 1e6), prop::option::of(any::<bool>())).prop_map(|it| LimitOverrides {
+    (attempts, value_in(0.0, 1e6), prop::option::of(any::<bool>())).prop_map(|it| LimitOverrides {
         attempts_cap: it.0,
         max_retry_after_ms: it.1,
         may_cancel: it.2,
@@ -54,7 +54,7 @@
     prop_oneof!["[a-c]", "[a-c. \"\\\\é\n=\\[\\]']{1,6}"]
 }
 
-/// Any document that is accepted; names are few, so that two of them often have some in common.
+/// Any valid document. Names are drawn from a few, so that two documents often share some.
 pub(in crate::revisions) fn any_document() -> impl Strategy<Value = Document> {
     let classes = prop::collection::btree_map(name(), class(), 0..4);
     let plans = prop::collection::btree_map(name(), plan(), 0..4);
@@ -66,49 +66,49 @@
 
 proptest! {
     #[test]
-    fn what_is_written_is_read_again(document in any_document()) {
+    fn a_document_survives_toml_and_the_canonical_encoding(document in any_document()) {
         prop_assert_eq!(document.check(), Ok(()));
         let text = document.to_toml();
         let read = Document::parse(&text).map_err(|why| TestCaseError::fail(format!("{why}\n{text}")))?;
         prop_assert_eq!(&read, &document);
         prop_assert_eq!(read.hash(), document.hash());
         prop_assert_eq!(read.encode(), document.encode());
-        let taken: Document = postcard::from_bytes(&document.encode()).unwrap();
-        prop_assert_eq!(&taken, &document);
+        let decoded: Document = postcard::from_bytes(&document.encode()).unwrap();
+        prop_assert_eq!(&decoded, &document);
     }
 
     #[test]
-    fn documents_are_equal_where_their_encodings_are(one in any_document(), other in any_document()) {
+    fn documents_are_equal_exactly_if_their_encodings_are(one in any_document(), other in any_document()) {
         prop_assert_eq!(one == other, one.encode() == other.encode());
         prop_assert_eq!(one == other, one.hash() == other.hash());
     }
 
     #[test]
-    fn any_bytes_are_read_or_refused_in_one_line(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn any_bytes_are_parsed_or_refused_in_one_line(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         let text = String::from_utf8_lossy(&bytes);
         if let Err(why) = Document::parse(&text) {
             prop_assert!(is_one_line(&why), "{why:?}");
         }
     }
 
-    /// Texts that are nearly documents get further than any bytes.
+    /// Random edits of a valid text get past the TOML parser more often than random bytes.
     #[test]
-    fn any_piece_of_a_document_is_read_or_refused_in_one_line(
+    fn an_edited_document_is_parsed_or_refused_in_one_line(
         document in any_document(),
         at in any::<prop::sample::Index>(),
-        put in "[\\[\\]{}=.\"'\n0-9a-z\\-]{0,6}",
+        inserted in "[\\[\\]{}=.\"'\n0-9a-z\\-]{0,6}",
     ) {
         let text = document.to_toml();
-        let places: Vec<usize> = text.char_indices().map(|(place, _)| place).chain([text.len()]).collect();
-        let (start, end) = text.split_at(places[at.index(places.len())]);
-        if let Err(why) = Document::parse(&format!("{start}{put}{end}")) {
+        let positions: Vec<usize> = text.char_indices().map(|(position, _)| position).chain([text.len()]).collect();
+        let (start, end) = text.split_at(positions[at.index(positions.len())]);
+        if let Err(why) = Document::parse(&format!("{start}{inserted}{end}")) {
             prop_assert!(is_one_line(&why), "{why:?}");
         }
     }
 
-    /// What passes its check is refused or gives settings that the scheduler works by.
+    /// A valid document is refused, or gives settings that a running scheduler accepts.
     #[test]
-    fn what_is_applied_keeps_what_is_fixed(document in any_document()) {
+    fn the_scheduler_accepts_settings_with_any_applied_document(document in any_document()) {
         let names = Names { classes: vec!["a".into(), "b".into()], plans: vec!["a".into(), "c".into()] };
         match document.apply(&settings(), &names) {
             Err(why) => prop_assert!(is_one_line(&why), "{why:?}"),
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn figures_are_in_place_of_those_of_the_settings_and_all_others_stand() {
+fn values_of_the_document_replace_those_of_the_settings_and_all_others_stay() {
     let text = r#"
         nodes_out = ["s-3"]
         [classes.quick]
@@ -195,13 +195,13 @@
         may_cancel = false
     "#;
     let document = Document::parse(text).unwrap();
-    let mut wanted = settings();
-    wanted.classes[1].aim = Duration::from_millis(150);
-    (wanted.classes[1].worth, wanted.classes[1].late_worth) = (6.0, 0.5);
-    wanted.plans[0].limit = Some(Limit { rate: 40.0, burst: 16.0, slack: 2.0 });
+    let mut expected = settings();
+    expected.classes[1].aim = Duration::from_millis(150);
+    (expected.classes[1].worth, expected.classes[1].late_worth) = (6.0, 0.5);
+    expected.plans[0].limit = Some(Limit { rate: 40.0, burst: 16.0, slack: 2.0 });
     let limit = Some(Limit { rate: 25.0, burst: 32.0, slack: 4.0 });
-    wanted.plans[1] = Plan { reserve: 7.0, limit, weight: 2.0, price: 3.0 };
-    wanted.units = Units {
+    expected.plans[1] = Plan { reserve: 7.0, limit, weight: 2.0, price: 3.0 };
+    expected.units = Units {
         mean: 3.0,
         largest: 9.0,
         share_worth: 0.3,
@@ -210,22 +210,22 @@
         meter: Duration::from_secs(60),
         base_rates: vec![10.0, 12.5],
     };
-    wanted.limits.max_attempts = 2;
-    wanted.limits.max_retry_after = Duration::from_millis(250);
-    wanted.limits.cancel = false;
-    assert_eq!(document.apply(&settings(), &names()), Ok(wanted));
+    expected.limits.max_attempts = 2;
+    expected.limits.max_retry_after = Duration::from_millis(250);
+    expected.limits.cancel = false;
+    assert_eq!(document.apply(&settings(), &names()), Ok(expected));
     assert_eq!(Document::default().apply(&settings(), &names()), Ok(settings()));
 }
 
 #[test]
-fn a_rate_of_zero_takes_a_limit_away() {
+fn a_ceiling_rate_of_zero_removes_the_limit() {
     let none = Document::parse("[plans.gold]\nceiling_rate = 0").unwrap();
     assert_eq!(none.apply(&settings(), &names()).unwrap().plans[1].limit, None);
 }
 
-/// The second front adds such a class for writes to storage that drops no repeats.
+/// The iSCSI front adds a second class of the same name for writes to storage that does not discard repeated requests.
 #[test]
-fn a_class_that_is_there_twice_changes_twice() {
+fn both_classes_of_one_name_are_changed() {
     let mut base = settings();
     base.classes.push(Class { effect: Effect::Unsafe, ..base.classes[1].clone() });
     let mut names = names();
@@ -235,9 +235,10 @@
     assert_eq!(worths(document.apply(&base, &names).unwrap()), [1.0, 3.0, 3.0]);
 }
 
-/// What the settings say stays usable, whatever it is; only a change is measured by the rest.
+/// Contradictory settings stay usable with a document that doesn't touch them; a document that changes one of the values is
+/// checked.
 #[test]
-fn what_the_settings_state_themselves_is_not_refused() {
+fn contradictions_in_the_settings_are_refused_only_where_the_document_changes_them() {
     let mut base = settings();
     base.units.largest = 40.0;
     base.units.mean = 50.0;
@@ -247,8 +248,8 @@
     assert!(same_burst.apply(&base, &names()).is_err());
 }
 
-/// What a text is refused for, in one line.
-fn refused(text: &str) -> String {
+/// The line with which a text is refused.
+fn refusal(text: &str) -> String {
     let why = Document::parse(text).and_then(|document| document.apply(&settings(), &names()));
     let why = why.expect_err(text);
     assert!(is_one_line(&why), "{why:?}");
@@ -301,12 +302,12 @@
         ("[classes.bulk]\nworth = 1\nworth = 2", "line 3: duplicate key"),
     ];
     for (text, why) in cases {
-        assert_eq!(refused(text), why, "{text}");
+        assert_eq!(refusal(text), why, "{text}");
     }
 }
 
 #[test]
-fn nobody_is_asked_to_wait_where_the_settings_let_none_be_asked() {
+fn a_retry_wait_is_refused_where_the_settings_allow_none() {
     let mut base = settings();
     base.limits.max_retry_after = Duration::ZERO;
     let document = |ms: f64| Document {
@@ -319,9 +320,9 @@
 }
 
 #[test]
-fn what_is_too_long_is_refused() {
+fn names_documents_and_texts_that_are_too_long_are_refused() {
     let long = "x".repeat(MAX_NAME_BYTES + 1);
-    let why = refused(&format!("nodes_out = [\"{long}\"]"));
+    let why = refusal(&format!("nodes_out = [\"{long}\"]"));
     assert_eq!(why, "nodes_out: a name of 201 bytes (\"xxxxxxxxxxxxxxxxxxxx\"): 1 to 200");
     let many = |count: usize, length: usize| Document {
         nodes_out: (0..count).map(|at| format!("{at:0length$}")).collect(),
@@ -332,15 +333,15 @@
     assert_eq!(why, "nodes_out: 1025 names: at most 1024");
     let why = many(MAX_NODES_OUT, 100).check().unwrap_err().to_string();
     assert!(why.starts_with("a document of ") && why.ends_with("at most 65536 are allowed"), "{why}");
-    let why = refused(&" ".repeat(MAX_TEXT_BYTES + 1));
+    let why = refusal(&" ".repeat(MAX_TEXT_BYTES + 1));
     assert_eq!(why, "a text of 1048577 bytes: at most 1048576 are allowed");
     assert!(is_one_line(&Document::parse(&"[".repeat(100_000)).unwrap_err()));
 }
 
 #[test]
-fn a_figure_has_one_encoding() {
-    let document = |share| Document {
-        costs: CostOverrides { idle_worth: Some(share), ..Default::default() },
+fn equal_values_have_one_encoding() {
+    let document = |worth| Document {
+        costs: CostOverrides { idle_worth: Some(worth), ..Default::default() },
         ..Document::default()
     };
     assert_eq!(document(0.0).encode(), document(-0.0).encode());
@@ -353,22 +354,22 @@
     assert_ne!(document(0.0).hash(), Document::default().hash());
 }
 
-/// Planners and initiators of several versions agree on hashes: the encoding is part of what they say to each other.
+/// Planners and initiators of different versions compare hashes, so the encoding is part of the protocol.
 #[test]
-fn the_encoding_is_what_it_always_was() {
+fn the_canonical_encoding_does_not_change() {
     let document = Document::parse("nodes_out = [\"s-1\"]\n[classes.quick]\nworth = 2").unwrap();
     let class = [&[1, 5], &b"quick"[..], &[0, 1], &2f64.to_le_bytes(), &[0]].concat();
-    let wanted = [&class[..], &[0], &[0; 5], &[0; 3], &[1, 3], b"s-1"].concat();
-    assert_eq!(document.encode(), wanted);
-    // SHA-256 of eleven zeros, by another program.
+    let expected = [&class[..], &[0], &[0; 5], &[0; 3], &[1, 3], b"s-1"].concat();
+    assert_eq!(document.encode(), expected);
+    // SHA-256 of eleven zero bytes, computed by another program.
     let empty = "71b6c1d53832f789a7f2435a7c629245fa3761ad8487775ebf4957330213a706";
     assert_eq!(Document::default().encode(), [0; 11]);
     assert_eq!(Document::default().hash().to_string(), empty);
 }
 
-/// A document that comes by another way than its text is checked as well.
+/// A document that was not read from text is checked as well.
 #[test]
-fn what_is_out_of_range_is_not_applied() {
+fn values_out_of_range_are_not_applied() {
     for worth in [f64::NAN, 0.0, f64::INFINITY] {
         let class = ClassOverrides { worth: Some(worth), ..ClassOverrides::default() };
         let document = Document { classes: BTreeMap::from([("bulk".into(), class)]), ..Document::default() };
--- a/src/revisions/follower.rs
+++ b/src/revisions/follower.rs
@@ -1,42 +1,43 @@
-//! An initiator's part in live configuration: takes updates, checks them against its own settings, says what is in force.
+//! The initiator's side of live configuration: checks updates against the initiator's own settings, and answers each with
+//! the acknowledgement that the planners receive.
 
 use super::document::{Document, DocumentError, Names};
 use super::{Acknowledgement, AcknowledgementOutcome, RevisionId, RevisionNumber, Update, UpdateContent};
 use crate::interface::Settings;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Revisions that were checked and wait to be taken over; beyond, the oldest is dropped. One waits as a rule, two where an
-/// update came between the fetching of the first and its takeover.
+/// Limit on revisions that were checked and wait to be applied; beyond it the oldest is dropped. Usually one waits; two do
+/// if an update arrives after the first was fetched and before it was applied.
 const MAX_PREPARED: usize = 4;
 
-/// A revision that was checked and is ready to be taken over.
+/// A revision that was checked and is ready to be applied.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Prepared {
-    /// Its id.
+    /// The revision's id.
     pub id: RevisionId,
-    /// The settings from its takeover on.
+    /// The settings with the revision applied.
     pub settings: Settings,
-    /// Names of all nodes that get nothing new from then on. A node that an earlier revision took out and this one does not
-    /// is back.
+    /// Names of all nodes that receive no new requests under this revision. A node that only an earlier revision named
+    /// receives requests again.
     pub nodes_out: BTreeSet<String>,
 }
 
-/// What an initiator holds of the live configuration.
+/// The live configuration at one initiator: the revision in force and the ones prepared.
 pub struct Follower {
-    /// The settings of its files.
+    /// The settings from the initiator's files; each revision is applied to them, not to the previous revision.
     base: Settings,
     names: Names,
     in_force: RevisionId,
     /// The content of the revision in force.
     document: Document,
-    /// Contents of what is ready to be taken over.
+    /// The documents of the prepared revisions.
     prepared: BTreeMap<RevisionNumber, (RevisionId, Document)>,
-    /// The newest revision that was refused, with the reason, until a later one is in force.
+    /// The last revision that was refused, with the reason, until that one or a later one is in force.
     refused: Option<(RevisionId, String)>,
 }
 
 impl Follower {
-    /// Holds nothing but the settings of its files.
+    /// Creates a follower without a revision: only the settings from the files are in force.
     pub fn new(base: Settings, names: Names) -> Self {
         Follower {
             base,
@@ -48,27 +49,29 @@
         }
     }
 
-    /// The revision in force here.
+    /// The revision in force at this initiator.
     pub fn in_force(&self) -> RevisionId {
         self.in_force
     }
 
-    /// The newest revision that was refused since, and why.
+    /// The last revision that was refused since the one in force, and the reason.
     pub fn refused(&self) -> Option<&(RevisionId, String)> {
         self.refused.as_ref()
     }
 
-    /// Checks an update. What is prepared is in force once [`Follower::confirm_applied`] was called; until then it may be replaced
-    /// by a later one.
+    /// Checks an update and prepares its revision. The revision is in force once [`Follower::confirm_applied`] is called;
+    /// until then a later one may replace it.
     ///
     /// # Errors
     ///
-    /// The acknowledgement that tells the planners why it can't be taken. Nothing has changed. An update that is older than or
-    /// the same as what is in force is acknowledged as what is in force, and changes nothing either. So are changes that were
-    /// made to another revision, or that do not lead to the content of the id: a planner sends the whole then.
+    /// The acknowledgement to send to the planners; the revision in force stays. A document that doesn't fit the settings,
+    /// or a full document without the hash of the id, is refused with the reason. The other cases are answered with the
+    /// revision in force: an update that is neither prepared nor newer than the newest revision in force or prepared,
+    /// changes to a base other than the revision in force, and changes whose result doesn't have the hash of the id. In the
+    /// last two cases the planner then sends the full document.
     pub fn prepare(&mut self, update: Update) -> Result<Prepared, Acknowledgement> {
         let id = update.id;
-        if id.number <= self.newest() && !self.is_prepared(id) {
+        if id.number <= self.newest_number() && !self.is_prepared(id) {
             return Err(self.acknowledge_in_force());
         }
         let document = match update.content {
@@ -97,8 +100,8 @@
         Ok(prepared)
     }
 
-    /// What was prepared is in force from now on; says so to the planners. What was not prepared here, or is older than what
-    /// is in force, changes nothing.
+    /// Records that the caller has applied a prepared revision, which is in force from now on. Returns the acknowledgement
+    /// for the planners. A revision that was not prepared here, or isn't newer than the one in force, changes nothing.
     pub fn confirm_applied(&mut self, prepared: &Prepared) -> Acknowledgement {
         let newer = prepared.id.number > self.in_force.number;
         if newer && self.is_prepared(prepared.id) {
@@ -112,7 +115,8 @@
         self.acknowledge_in_force()
     }
 
-    /// What was prepared can't be taken over after all, for this reason; says so to the planners. What is in force is so on.
+    /// Records that the caller could not apply a prepared revision, for this reason. The revision in force stays. Returns
+    /// the refusal for the planners.
     pub fn reject_prepared(&mut self, prepared: &Prepared, why: String) -> Acknowledgement {
         if self.is_prepared(prepared.id) {
             self.prepared.remove(&prepared.id.number);
@@ -120,8 +124,8 @@
         self.refuse(prepared.id, why)
     }
 
-    /// The newest number that is in force or prepared.
-    fn newest(&self) -> RevisionNumber {
+    /// The highest number of a revision in force or prepared.
+    fn newest_number(&self) -> RevisionNumber {
         let prepared = self.prepared.last_key_value().map(|(number, _)| *number);
         prepared.map_or(self.in_force.number, |number| number.max(self.in_force.number))
     }
--- a/src/revisions/mod.rs
+++ b/src/revisions/mod.rs
@@ -1,11 +1,11 @@
-//! Live configuration: numbered revisions of what may change while initiators run.
+//! Live configuration: numbered revisions of the settings that may change while initiators run.
 //!
-//! Operators submit a [`document::Document`] to a planner. The planners agree on it ([`agreement`], Raft over a store on
-//! disk, [`store`]), and it becomes the revision with the next number. Planners hand revisions on to the initiators that
-//! are connected to them ([`distribution`]); an initiator checks each against its own settings and takes it over as a
-//! whole or not at all ([`follower`]).
+//! Operators submit a [`document::Document`] to a planner. The planners agree on it through Raft ([`agreement`]), with a
+//! log on disk ([`store`]), and it becomes the revision with the next number. Planners distribute revisions to the
+//! initiators connected to them ([`distribution`]). An initiator checks each revision against its own settings and applies
+//! it as a whole or refuses it ([`follower`]).
 //!
-//! Nothing in this module does I/O apart from [`store`], and nothing reads a clock: times are handed in.
+//! Only [`store`] does I/O, and no code here reads a clock: the caller passes the time.
 
 pub mod agreement;
 pub mod delta;
@@ -19,12 +19,12 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// The position of a revision among all that were accepted. Zero is the state before the first: the files alone.
+/// The sequence number of an accepted revision. The first is 1; 0 means that only the settings files apply.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RevisionNumber(pub u64);
 
 impl RevisionNumber {
-    /// The number of the revision that follows this one.
+    /// Returns the number of the following revision.
     pub fn next(self) -> Self {
         RevisionNumber(self.0 + 1)
     }
@@ -52,17 +52,17 @@
     }
 }
 
-/// A revision's number and the hash of its content: two revisions with the same id have the same content.
+/// A revision's number and the hash of its content. Two revisions with the same id have the same content.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RevisionId {
-    /// Its number.
+    /// The revision's number.
     pub number: RevisionNumber,
-    /// The hash of its document.
+    /// The hash of the revision's document.
     pub hash: ContentHash,
 }
 
 impl RevisionId {
-    /// What is in force before the first revision: an empty document, which changes nothing.
+    /// The id in force before the first revision: number 0 with an empty document, which overrides nothing.
     pub fn none() -> Self {
         RevisionId { number: RevisionNumber(0), hash: Document::default().hash() }
     }
@@ -75,56 +75,56 @@
     }
 }
 
-/// A revision as it was accepted.
+/// An accepted revision.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Revision {
-    /// Its number and hash.
+    /// The number and the content's hash.
     pub id: RevisionId,
-    /// Who submitted it, as they said.
+    /// The author's name as given with the proposal; it is not authenticated.
     pub author: String,
-    /// When it was submitted, in milliseconds of Unix time by the clock of the planner that was asked.
+    /// Time of submission, in milliseconds of Unix time by the clock of the planner that received it.
     pub submitted_ms: u64,
-    /// Its content.
+    /// The content.
     pub document: Document,
 }
 
-/// A revision on its way to an initiator.
+/// A revision as a planner sends it to an initiator.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Update {
-    /// What the initiator holds once it has taken this over.
+    /// The revision that the initiator has after applying the update.
     pub id: RevisionId,
-    /// How it gets there from what it has.
+    /// The full document, or the changes to an earlier one.
     pub content: UpdateContent,
 }
 
 /// The content of an [`Update`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum UpdateContent {
-    /// The whole document, after a restart or a gap.
+    /// The full document: sent after a restart or where the initiator missed revisions.
     Full(Document),
-    /// What changed since the revision that the initiator holds.
+    /// The changes since the revision that the initiator has.
     Changes {
-        /// The revision that the changes are made to.
+        /// The revision that the changes apply to.
         base: RevisionId,
         /// The changes.
         delta: Delta,
     },
 }
 
-/// What an initiator answers to an [`Update`].
+/// An initiator's answer to an [`Update`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Acknowledgement {
-    /// The revision that it was sent, or at the beginning of a connection the one that it holds.
+    /// The revision of the update, or at the start of a connection the revision in force at the initiator.
     pub id: RevisionId,
-    /// What became of it.
+    /// Whether that revision is in force or refused.
     pub outcome: AcknowledgementOutcome,
 }
 
 /// Whether a revision is in force at an initiator.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum AcknowledgementOutcome {
-    /// It is in force.
+    /// The revision is in force.
     InForce,
-    /// The initiator can't take it, for this reason, and goes on with what it has.
+    /// The initiator can't apply the revision, for this reason, and keeps the one that is in force.
     Refused(String),
 }
--- a/src/revisions/store.rs
+++ b/src/revisions/store.rs
@@ -1,8 +1,9 @@
-//! The log and the snapshot of a replica on disk: a `redb` database, one transaction a step, on disk before it returns.
+//! Durable state of a Raft replica: its log, snapshot and hard state (term, vote and commit index).
 //!
-//! A replica writes a [`Batch`] before it says anything that rests on it, and reads all of it back once, at its start.
-//! [`DiskStore`] keeps it on disk, [`MemoryStore`] in memory, for simulations. What was applied needs no index of its own:
-//! it is the snapshot and the entries after it, up to the commit index of the hard state.
+//! A replica writes a [`Batch`] before it sends any message that depends on it, and reads everything back once, when it
+//! starts. [`DiskStore`] keeps the state in a `redb` database, with one durable transaction per batch; [`MemoryStore`]
+//! keeps it in memory, for simulations. No applied index is stored: the applied state is the snapshot and the entries after
+//! it, up to the commit index of the hard state.
 
 mod disk;
 mod memory;
@@ -20,7 +21,7 @@
 use sha2::{Digest, Sha256};
 use std::fmt;
 
-/// The store failed, or what it holds can't be used: one line.
+/// One line that says why a store failed or why its content can't be used.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoreError(pub String);
 
@@ -32,12 +33,13 @@
 
 impl std::error::Error for StoreError {}
 
-/// Names one group of planners that agree with each other: messages and stores of another group are refused.
+/// Identifies one group of planners that run Raft together: messages and stores of another group are refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct GroupId(pub [u8; 16]);
 
 impl GroupId {
-    /// The group of these planners: the first half of the SHA-256 of their names in sorted order.
+    /// Returns the id of the group of these planners: the first half of the SHA-256 of their names in sorted order, each
+    /// after its length.
     pub fn from_names<'a>(names: impl IntoIterator<Item = &'a str>) -> GroupId {
         let mut names: Vec<&str> = names.into_iter().collect();
         names.sort_unstable();
@@ -59,23 +61,23 @@
     }
 }
 
-/// Whose store it is. It is written once, when the store is created.
+/// The voter and the group that a store belongs to. It is written once, when the store is created.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Identity {
     /// The group.
     pub group: GroupId,
-    /// The voter whose votes and log it holds.
+    /// The voter whose votes and log the store holds.
     pub voter: VoterId,
     /// All voters of the group, in ascending order.
     pub voters: Vec<VoterId>,
 }
 
 impl Identity {
-    /// Checks that the voters are 1, 3 or 5, ascending, not zero, and that the voter is one of them.
+    /// Checks that there are 1, 3 or 5 voters, that their ids are ascending and above zero, and that `voter` is one of them.
     ///
     /// # Errors
     ///
-    /// One line that says which of this does not hold.
+    /// One line that names the first condition that is not met.
     pub fn check(&self) -> Result<(), StoreError> {
         let refuse =
             |why: &str| Err(StoreError(format!("voter {} of {:?}: {why}", self.voter.0, self.ids())));
@@ -91,55 +93,55 @@
         Ok(())
     }
 
-    /// The voters' numbers.
+    /// The voters' ids as the `raft` crate has them.
     pub fn ids(&self) -> Vec<u64> {
         self.voters.iter().map(|voter| voter.0).collect()
     }
 }
 
-/// A new snapshot, and what becomes of the log.
+/// A new snapshot, and how it changes the log.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SnapshotChange {
-    /// It came from the leader and replaces the whole log.
+    /// A snapshot from the leader, which replaces the whole log.
     Installed(Snapshot),
-    /// It was made here and replaces the entries up to its index; those after it stay.
+    /// A snapshot made by this replica, which replaces the entries up to its index; later entries stay.
     Compacted(Snapshot),
 }
 
-/// What one step changes. It is written as a whole or not at all, in the order of the fields.
+/// The changes of one step, written atomically. They apply in the order of the fields.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Batch {
     /// A new snapshot.
     pub snapshot: Option<SnapshotChange>,
-    /// New entries of the log; what it has from the first one's index on is replaced.
+    /// New log entries; existing entries from the first one's index on are replaced.
     pub entries: Vec<Entry>,
-    /// A new term, vote or commit index.
+    /// The new term, vote and commit index.
     pub hard_state: Option<HardState>,
 }
 
 impl Batch {
-    /// Whether there is nothing to write.
+    /// Whether the batch changes nothing.
     pub fn is_empty(&self) -> bool {
         self.snapshot.is_none() && self.entries.is_empty() && self.hard_state.is_none()
     }
 }
 
-/// Where a replica keeps its log, its vote and its snapshot.
+/// Durable storage for a replica's log, hard state and snapshot.
 pub trait ReplicaStore {
-    /// Whose store it is.
+    /// The voter and the group that the store belongs to.
     fn identity(&self) -> &Identity;
 
-    /// All that it holds.
+    /// Reads the complete state.
     ///
     /// # Errors
     ///
-    /// It can't be read, or what is read does not fit together.
+    /// The state can't be read or is inconsistent.
     fn load(&self) -> Result<StoredState, StoreError>;
 
-    /// Writes a batch. It is durable when this returns, and after a crash it is there as a whole or not at all.
+    /// Writes a batch. It is durable when this returns; after a crash either all of it is present or none.
     ///
     /// # Errors
     ///
-    /// It could not be written. Whether it is there is known only after the next [`ReplicaStore::load`].
+    /// The write failed. Only the next [`ReplicaStore::load`] shows whether the batch was stored.
     fn write(&mut self, batch: &Batch) -> Result<(), StoreError>;
 }
