--- a/src/revisions/agreement.rs
+++ b/src/revisions/agreement.rs
@@ -1,13 +1,13 @@
 //! Agreement among planners on the sequence of revisions: the Raft consensus algorithm (Ongaro and Ousterhout, "In Search
 //! of an Understandable Consensus Algorithm", 2014) by the `raft` crate, without I/O and without a clock of its own.
 //!
-//! An entry of the log is a [`Proposal`]. It becomes a revision where it was made against the revision in force at its
-//! place in the log, and is refused otherwise; all replicas decide the same, so no number ever has two contents.
+//! A log entry is a [`Proposal`]. It becomes a revision if it was made against the revision in force at its position in the
+//! log, and is refused otherwise. All replicas decide the same, so no number ever has two contents.
 //!
-//! The voters are fixed: there is no change of membership. Voters of one group run the same version of the program, since
-//! each applies the log by itself.
+//! The set of voters is fixed: membership changes are not supported. Voters of one group run the same version of the
+//! program, since each applies the log by itself.
 //!
-//! A message that can't be one of a sound replica changes nothing; it is dropped with a line at the level `debug`.
+//! A message that a correct replica can't have sent is dropped with a log line at level `debug` and changes nothing.
 
 mod election;
 mod log;
@@ -30,155 +30,155 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A voter, 1 to 5: the position of its name among the planners' names in sorted order, plus one.
+/// A voter's id, 1 to 5: the position of its name among the planners' names in sorted order, counted from 1.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct VoterId(pub u64);
 
-/// Names one proposal over all planners and restarts, so that its maker knows it again in the log.
+/// Identifies a proposal across planners and restarts, so that the replica it was submitted to recognises it in the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ProposalId(pub u128);
 
-/// A document that somebody wants to be the next revision.
+/// A document submitted to become the next revision.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Proposal {
-    /// Its id.
+    /// The proposal's id.
     pub id: ProposalId,
-    /// The revision that its author saw: it is accepted only if that is still the newest.
+    /// The revision that the author started from: the proposal is accepted only if that is still the newest.
     pub expected: RevisionId,
-    /// Who submitted it.
+    /// The author's name.
     pub author: String,
-    /// When, in milliseconds of Unix time.
+    /// Time of submission, in milliseconds of Unix time.
     pub submitted_ms: u64,
-    /// What it says.
+    /// The content of the revision.
     pub document: Document,
 }
 
-/// Why a proposal became no revision.
+/// The reason why a proposal did not become a revision, as far as is known.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ProposalError {
-    /// Another revision is in force than its author saw. One that is submitted again after [`KEPT_OUTCOMES`] others is
-    /// answered so also where it was accepted the first time.
+    /// The revision in force is not the expected one. A proposal that is submitted again after [`KEPT_OUTCOMES`] others gets
+    /// this answer even if it was accepted the first time.
     Conflict {
-        /// The one in force.
+        /// The revision in force.
         newest: RevisionId,
     },
-    /// No majority of the planners is in contact; it was not passed on.
+    /// No majority of the planners is in contact. The proposal was not passed to Raft.
     NoQuorum,
-    /// Too many proposals wait here; it was not passed on.
+    /// Too many proposals are pending at this replica. The proposal was not passed to Raft.
     Busy,
-    /// It was passed on, and whether it was accepted is not known: it may still be.
+    /// The proposal timed out after it was passed to Raft. It may have been accepted, or may still be.
     Unknown,
-    /// It is no document that can be accepted.
+    /// The author or the document is invalid, for this reason.
     Invalid(String),
 }
 
-/// What happens to a replica.
+/// An input of a replica.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A message of another voter has come, as [`Action::Send`] gave it there.
+    /// A message from another voter's [`Action::Send`] arrived.
     Message(Vec<u8>),
-    /// Somebody submits a document here.
+    /// A document is submitted to this replica.
     Propose(Box<Proposal>),
-    /// A timer is due.
+    /// The time of [`Replica::next_timer`] has come.
     Tick,
 }
 
-/// What the owner of a replica is to do, in the order given.
+/// An output of a replica; its owner carries them out in the order given.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send a message to another voter. It may be lost.
+    /// Send a message to another voter. Raft tolerates its loss.
     Send {
-        /// To whom.
+        /// The voter to send it to.
         to: VoterId,
-        /// The message, in the encoding of the `raft` crate.
+        /// The encoded message: a header with group and checksum, then the `raft` crate's encoding.
         message: Vec<u8>,
     },
-    /// A proposal that was made here is decided.
+    /// The outcome of a proposal that was submitted to this replica.
     Decided {
-        /// Which.
+        /// The proposal.
         id: ProposalId,
-        /// The revision that it became, or why it became none.
+        /// The revision that it became, or the reason why it did not become one.
         outcome: Result<RevisionId, ProposalError>,
     },
-    /// A revision is accepted, and held on disk by a majority. Numbers come in order; after a snapshot some are left out.
-    /// What was accepted before the start is not told again: see [`Replica::newest`].
+    /// A revision was accepted, and a majority has it on disk. Numbers ascend; after a snapshot some may be skipped.
+    /// Revisions accepted before the start are not repeated: see [`Replica::newest`].
     Accepted(Revision),
-    /// Whether a majority of the planners is in contact has changed. It is not at the start.
+    /// Whether a majority of the planners is in contact, after a change. Initially it is not.
     QuorumChanged(bool),
 }
 
-/// How a replica is set up.
+/// The configuration of a replica.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Parameters {
-    /// Its id.
+    /// The replica's id.
     pub id: VoterId,
     /// All voters, this one included; an odd number, 1 to 5.
     pub voters: Vec<VoterId>,
-    /// The time between two ticks of the protocol; elections take ten to twenty of them without a leader.
+    /// The time between two Raft ticks. An election starts after 10 to 20 ticks without a leader.
     pub tick: Duration,
-    /// How long a proposal made here waits for its decision.
+    /// Time after which a proposal without an outcome is answered [`ProposalError::Unknown`].
     pub proposal_timeout: Duration,
 }
 
-/// Revisions that are kept to show, compare and go back to.
+/// The number of revisions kept, which operators can show, compare and revert to.
 pub const KEPT_REVISIONS: usize = 64;
-/// The longest name of an author, in bytes.
+/// Limit on an author's name, in bytes.
 pub const MAX_AUTHOR_BYTES: usize = 256;
-/// The longest encoded proposal, in bytes: a document and what goes with it.
+/// Limit on an encoded proposal, in bytes: a document and its metadata.
 pub const MAX_PROPOSAL_BYTES: usize = MAX_DOCUMENT_BYTES + 4 * 1024;
-/// The longest message between replicas, in bytes: a snapshot of as many of the longest revisions as are kept.
+/// Limit on a message between replicas, in bytes: a snapshot with [`KEPT_REVISIONS`] revisions of the largest size.
 pub const MAX_MESSAGE_BYTES: usize = KEPT_REVISIONS * MAX_PROPOSAL_BYTES + 256 * 1024;
-/// Proposals made here that may wait for their decision at once.
+/// Limit on the proposals submitted to one replica that have no outcome yet.
 pub const MAX_PENDING_PROPOSALS: usize = 64;
 
-/// Ticks without a leader until an election; at most twice as many, drawn.
+/// Minimum of ticks without a leader until an election; the timeout is drawn from this up to twice as many.
 const ELECTION_TICKS: usize = 10;
-/// Ticks between two heartbeats of a leader.
+/// Ticks between a leader's heartbeats.
 const HEARTBEAT_TICKS: usize = 2;
-/// Ticks after which a snapshot that was not confirmed is taken for lost and sent again.
+/// Ticks after which a snapshot without confirmation is considered lost and sent again.
 const SNAPSHOT_RETRY_TICKS: u32 = 30;
-/// The entries of one message, in bytes, unless a single one is longer.
+/// Limit on the entries in one message, in bytes; a single larger entry is still sent.
 const MESSAGE_ENTRY_BYTES: u64 = 256 * 1024;
-/// Messages with entries that are on their way to one voter at once.
+/// Limit on messages with entries that are in flight to one voter.
 const MESSAGES_IN_FLIGHT: usize = 16;
-/// Bytes of entries that a leader takes on before they are committed.
+/// Limit on a leader's uncommitted entries, in bytes.
 const UNCOMMITTED_BYTES: u64 = 2 << 20;
-/// Bytes of entries that are applied in one step.
+/// Limit on the committed entries that are applied in one step, in bytes.
 const COMMITTED_BYTES: u64 = 1 << 20;
-/// Applied entries after which the log is replaced by a snapshot.
+/// Number of applied log entries at which a snapshot replaces them.
 const COMPACTION_ENTRIES: u64 = 128;
-/// Bytes of applied entries after which it is as well.
+/// Bytes of applied log entries at which a snapshot replaces them.
 const COMPACTION_BYTES: usize = 2 << 20;
 
-/// One replica of the agreement.
+/// One replica of the Raft group. Its owner passes events and time in, and carries out the returned actions.
 pub struct Replica<S: ReplicaStore> {
     parameters: Parameters,
     identity: Identity,
     node: RawNode<Log<S>>,
-    machine: StateMachine,
-    /// The index of the last entry that the machine has applied.
+    state_machine: StateMachine,
+    /// The index of the last entry applied to the state machine.
     applied: u64,
-    /// Proposals made here, and when they are given up.
-    waiting: BTreeMap<ProposalId, Duration>,
+    /// Proposals submitted to this replica that have no outcome yet, with the time at which they time out.
+    pending: BTreeMap<ProposalId, Duration>,
     election_timeouts: ElectionTimeouts,
-    /// Voters that a snapshot is on its way to, and for how many ticks.
-    snapshots_sent: BTreeMap<u64, u32>,
+    /// Ticks since a snapshot was sent, by voter, until the voter confirms it.
+    snapshot_wait_ticks: BTreeMap<u64, u32>,
     next_tick: Duration,
     reported_quorum: bool,
 }
 
 impl<S: ReplicaStore> Replica<S> {
-    /// Goes on from what the store holds.
+    /// Starts a replica with the state in the store.
     ///
     /// # Errors
     ///
-    /// The store can't be read, or holds another voter's or another group's state.
+    /// The store can't be read, or belongs to another voter or group.
     pub fn start(parameters: Parameters, store: S, now: Duration) -> Result<Self, StoreError> {
         let identity = store.identity().clone();
         check_identity(&parameters, &identity)?;
         let log = Log::open(store)?;
-        let (machine, applied) = replay(&log)?;
-        let config = configuration(parameters.id, applied);
+        let (state_machine, applied) = replay(&log)?;
+        let config = raft_config(parameters.id, applied);
         let logger = slog::Logger::root(slog::Discard, slog::o!());
         let node = RawNode::new(&config, log, &logger).map_err(|error| StoreError(error.to_string()))?;
         Ok(Replica {
@@ -187,19 +187,20 @@
             parameters,
             identity,
             node,
-            machine,
+            state_machine,
             applied,
-            waiting: BTreeMap::new(),
-            snapshots_sent: BTreeMap::new(),
+            pending: BTreeMap::new(),
+            snapshot_wait_ticks: BTreeMap::new(),
             reported_quorum: false,
         })
     }
 
-    /// Takes one event at a time that only grows. What it says in actions is on disk before it returns.
+    /// Handles one event and appends the resulting actions. `now` must not decrease between calls. The state that the actions
+    /// depend on is on disk when this returns.
     ///
     /// # Errors
     ///
-    /// The store failed. The replica can't go on then: its owner ends the process, which starts again from the disk.
+    /// The store failed. The replica can't continue: its owner ends the process, which restarts from the state on disk.
     pub fn handle(
         &mut self,
         now: Duration,
@@ -207,51 +208,51 @@
         actions: &mut Vec<Action>,
     ) -> Result<(), StoreError> {
         match event {
-            Event::Message(bytes) => self.take_message(&bytes),
+            Event::Message(bytes) => self.receive_message(&bytes),
             Event::Propose(proposal) => self.propose(now, &proposal, actions),
             Event::Tick => self.tick(now, actions),
         }
-        self.carry_out(actions)?;
+        self.process_ready(actions)?;
         self.compact()?;
         self.report_quorum(actions);
         Ok(())
     }
 
-    /// When [`Event::Tick`] is due.
+    /// The time at which [`Event::Tick`] is due next.
     pub fn next_timer(&self) -> Duration {
-        self.waiting.values().fold(self.next_tick, |earliest, deadline| earliest.min(*deadline))
+        self.pending.values().fold(self.next_tick, |earliest, deadline| earliest.min(*deadline))
     }
 
-    /// The newest accepted revision known here; none before the first.
+    /// The newest accepted revision that this replica has applied, if any.
     pub fn newest(&self) -> Option<&Revision> {
-        self.machine.newest()
+        self.state_machine.newest()
     }
 
-    /// An accepted revision by its number, where it is still kept.
+    /// An accepted revision by its number, if it is among the last [`KEPT_REVISIONS`].
     pub fn revision(&self, number: RevisionNumber) -> Option<&Revision> {
-        self.machine.revision(number)
+        self.state_machine.revision(number)
     }
 
-    /// Whether a majority is in contact, as far as this replica knows: it leads and a majority answers it, or it hears a
-    /// leader. A loss shows after ten to twenty ticks.
+    /// Whether a majority is in contact, as far as this replica knows: it leads and a majority answers, or it receives a
+    /// leader's messages. A loss is detected after 10 to 20 ticks.
     pub fn has_quorum(&self) -> bool {
         self.leader().is_some()
     }
 
-    /// The voter that leads, where one is known.
+    /// The leader, if one is known.
     pub fn leader(&self) -> Option<VoterId> {
         let leader = self.node.raft.leader_id;
         (leader != raft::INVALID_ID).then_some(VoterId(leader))
     }
 
-    fn take_message(&mut self, bytes: &[u8]) {
-        let taken = wire::decode(&self.identity.group, bytes).and_then(|message| {
+    fn receive_message(&mut self, bytes: &[u8]) {
+        let checked = wire::decode(&self.identity.group, bytes).and_then(|message| {
             wire::check(&message, &self.replica_state())?;
             Ok(message)
         });
-        match taken {
+        match checked {
             Ok(message) => self.step(message),
-            Err(why) => tracing::debug!("a planner's message is left out: it is {why}"),
+            Err(why) => tracing::debug!("dropped a message from another planner: it is {why}"),
         }
     }
 
@@ -260,35 +261,35 @@
             identity: &self.identity,
             term: self.node.raft.term,
             last_index: self.node.raft.raft_log.last_index(),
-            leads: self.node.raft.state == StateRole::Leader,
+            is_leader: self.node.raft.state == StateRole::Leader,
         }
     }
 
     fn step(&mut self, message: Message) {
         if let Err(error) = self.node.step(message) {
-            tracing::debug!("a planner's message is left out: {error}");
+            tracing::debug!("dropped a message from another planner: {error}");
         }
     }
 
     fn propose(&mut self, now: Duration, proposal: &Proposal, actions: &mut Vec<Action>) {
         let id = proposal.id;
-        if let Some(outcome) = self.machine.outcome(id) {
+        if let Some(outcome) = self.state_machine.outcome(id) {
             actions.push(Action::Decided { id, outcome: outcome.clone() });
             return;
         }
-        if self.waiting.contains_key(&id) {
-            // It is told once, for both.
+        if self.pending.contains_key(&id) {
+            // The same proposal is pending already; its owner gets one outcome.
             return;
         }
-        match self.pass_on(proposal) {
+        match self.propose_to_raft(proposal) {
             Ok(()) => {
-                self.waiting.insert(id, now + self.parameters.proposal_timeout);
+                self.pending.insert(id, now + self.parameters.proposal_timeout);
             }
             Err(error) => actions.push(Action::Decided { id, outcome: Err(error) }),
         }
     }
 
-    fn pass_on(&mut self, proposal: &Proposal) -> Result<(), ProposalError> {
+    fn propose_to_raft(&mut self, proposal: &Proposal) -> Result<(), ProposalError> {
         machine::check(proposal).map_err(ProposalError::Invalid)?;
         let bytes =
             postcard::to_allocvec(proposal).map_err(|error| ProposalError::Invalid(error.to_string()))?;
@@ -299,53 +300,55 @@
         if !self.has_quorum() {
             return Err(ProposalError::NoQuorum);
         }
-        if self.waiting.len() >= MAX_PENDING_PROPOSALS {
+        if self.pending.len() >= MAX_PENDING_PROPOSALS {
             return Err(ProposalError::Busy);
         }
-        // A leader is known, so it is dropped only for too many bytes that are not committed yet.
+        // A leader is known, so the crate drops the proposal only if too many bytes are uncommitted.
         self.node.propose(Vec::new(), bytes).map_err(|_| ProposalError::Busy)
     }
 
     fn tick(&mut self, now: Duration, actions: &mut Vec<Action>) {
         if now >= self.next_tick {
-            // After a pause the ticks that were missed are not made up for: they would look like silence of the others.
+            // Ticks missed during a pause of this process are skipped: made up for, they would count as silence of the others
+            // and start an election.
             let next = self.next_tick + self.parameters.tick;
             self.next_tick = if next > now { next } else { now + self.parameters.tick };
-            self.election_timeouts.set(&mut self.node.raft);
+            self.election_timeouts.set_timeout(&mut self.node.raft);
             self.node.tick();
-            self.election_timeouts.note(&self.node.raft);
-            self.give_up_snapshots();
+            self.election_timeouts.redraw_after_election(&self.node.raft);
+            self.report_lost_snapshots();
         }
-        let late: Vec<ProposalId> =
-            self.waiting.iter().filter(|(_, deadline)| **deadline <= now).map(|(id, _)| *id).collect();
-        for id in late {
-            self.waiting.remove(&id);
+        let timed_out: Vec<ProposalId> =
+            self.pending.iter().filter(|(_, deadline)| **deadline <= now).map(|(id, _)| *id).collect();
+        for id in timed_out {
+            self.pending.remove(&id);
             actions.push(Action::Decided { id, outcome: Err(ProposalError::Unknown) });
         }
     }
 
-    /// A leader sends nothing more to a voter until it confirms a snapshot, which may be lost.
-    fn give_up_snapshots(&mut self) {
+    /// Reports snapshots without confirmation as failed. A leader sends a voter no further entries until the voter confirms
+    /// the snapshot, and the message may be lost.
+    fn report_lost_snapshots(&mut self) {
         let raft = &self.node.raft;
         let leads = raft.state == StateRole::Leader;
-        let waits = |id: &u64| {
+        let awaits_snapshot = |id: &u64| {
             leads
                 && raft.prs().get(*id).is_some_and(|progress| progress.state == raft::ProgressState::Snapshot)
         };
-        let waiting: Vec<u64> = self.identity.ids().into_iter().filter(waits).collect();
-        self.snapshots_sent.retain(|id, _| waiting.contains(id));
-        for id in waiting {
-            let ticks = self.snapshots_sent.entry(id).or_default();
+        let pending: Vec<u64> = self.identity.ids().into_iter().filter(awaits_snapshot).collect();
+        self.snapshot_wait_ticks.retain(|id, _| pending.contains(id));
+        for id in pending {
+            let ticks = self.snapshot_wait_ticks.entry(id).or_default();
             *ticks += 1;
             if *ticks >= SNAPSHOT_RETRY_TICKS {
-                self.snapshots_sent.remove(&id);
+                self.snapshot_wait_ticks.remove(&id);
                 self.node.report_snapshot(id, SnapshotStatus::Failure);
             }
         }
     }
 
-    /// Carries out what the protocol wants: writes first, then sends, then applies.
-    fn carry_out(&mut self, actions: &mut Vec<Action>) -> Result<(), StoreError> {
+    /// Processes what Raft has ready: writes to the store first, then sends, then applies.
+    fn process_ready(&mut self, actions: &mut Vec<Action>) -> Result<(), StoreError> {
         while self.node.has_ready() {
             let mut ready = self.node.ready();
             let snapshot = Some(ready.snapshot().clone()).filter(|snapshot| !snapshot.is_empty());
@@ -380,15 +383,15 @@
     }
 
     fn install(&mut self, snapshot: &Snapshot, actions: &mut Vec<Action>) -> Result<(), StoreError> {
-        let known = self.machine.number();
-        self.machine = read_machine(snapshot)?;
+        let known_number = self.state_machine.number();
+        self.state_machine = decode_state_machine(snapshot)?;
         self.applied = snapshot.get_metadata().index;
-        actions.extend(self.machine.after(known).cloned().map(Action::Accepted));
+        actions.extend(self.state_machine.after(known_number).cloned().map(Action::Accepted));
         let decided: Vec<ProposalId> =
-            self.waiting.keys().filter(|id| self.machine.outcome(**id).is_some()).copied().collect();
+            self.pending.keys().filter(|id| self.state_machine.outcome(**id).is_some()).copied().collect();
         for id in decided {
-            self.waiting.remove(&id);
-            let outcome = self.machine.outcome(id).cloned();
+            self.pending.remove(&id);
+            let outcome = self.state_machine.outcome(id).cloned();
             actions.extend(outcome.map(|outcome| Action::Decided { id, outcome }));
         }
         Ok(())
@@ -397,23 +400,23 @@
     fn apply(&mut self, entries: Vec<Entry>, actions: &mut Vec<Action>) {
         for entry in entries {
             self.applied = entry.index;
-            let Some(applied) = apply_entry(&mut self.machine, &entry) else { continue };
+            let Some(applied) = apply_entry(&mut self.state_machine, &entry) else { continue };
             actions.extend(applied.accepted.map(Action::Accepted));
-            if self.waiting.remove(&applied.id).is_some() {
+            if self.pending.remove(&applied.id).is_some() {
                 actions.push(Action::Decided { id: applied.id, outcome: applied.outcome });
             }
         }
     }
 
     fn compact(&mut self) -> Result<(), StoreError> {
-        let stored = self.node.store().stored();
+        let stored = self.node.store().state();
         let entries = self.applied - stored.snapshot_index();
         let bytes: usize = stored.entries.iter().take(entries as usize).map(|entry| entry.data.len()).sum();
         if entries < COMPACTION_ENTRIES && bytes < COMPACTION_BYTES {
             return Ok(());
         }
         let Some(term) = stored.term(self.applied) else { return Ok(()) };
-        let mut snapshot = Snapshot { data: self.machine.encode().into(), ..Snapshot::default() };
+        let mut snapshot = Snapshot { data: self.state_machine.encode().into(), ..Snapshot::default() };
         let metadata = snapshot.mut_metadata();
         metadata.index = self.applied;
         metadata.term = term;
@@ -447,7 +450,7 @@
     Ok(())
 }
 
-fn configuration(id: VoterId, applied: u64) -> Config {
+fn raft_config(id: VoterId, applied: u64) -> Config {
     Config {
         id: id.0,
         election_tick: ELECTION_TICKS,
@@ -463,33 +466,36 @@
     }
 }
 
-/// The state that snapshot and committed entries come to, and the index of the last of them.
+/// Rebuilds the state machine from the snapshot and the committed entries. Returns it with the commit index.
 fn replay<S: ReplicaStore>(log: &Log<S>) -> Result<(StateMachine, u64), StoreError> {
-    let stored = log.stored();
-    let mut machine = match stored.snapshot_index() {
+    let stored = log.state();
+    let mut state_machine = match stored.snapshot_index() {
         0 => StateMachine::new(),
-        _ => read_machine(&stored.snapshot)?,
+        _ => decode_state_machine(&stored.snapshot)?,
     };
     let commit = stored.hard_state.commit;
-    for entry in log.between(stored.snapshot_index(), commit) {
-        apply_entry(&mut machine, &entry);
+    for entry in log.entries_between(stored.snapshot_index(), commit) {
+        apply_entry(&mut state_machine, &entry);
     }
-    Ok((machine, commit))
+    Ok((state_machine, commit))
 }
 
-fn read_machine(snapshot: &Snapshot) -> Result<StateMachine, StoreError> {
+fn decode_state_machine(snapshot: &Snapshot) -> Result<StateMachine, StoreError> {
     StateMachine::decode(&snapshot.data).ok_or_else(|| StoreError("the snapshot can't be read".into()))
 }
 
-/// Applies an entry; nothing for the empty one that a new leader begins its term with.
-fn apply_entry(machine: &mut StateMachine, entry: &Entry) -> Option<machine::Applied> {
+/// Applies a log entry. Returns `None` for the empty entry at the start of a leader's term, and for one that can't be decoded.
+fn apply_entry(state_machine: &mut StateMachine, entry: &Entry) -> Option<machine::Applied> {
     if entry.data.is_empty() {
         return None;
     }
     match postcard::from_bytes::<Proposal>(&entry.data) {
-        Ok(proposal) => Some(machine.apply(proposal)),
+        Ok(proposal) => Some(state_machine.apply(proposal)),
         Err(error) => {
-            tracing::warn!("entry {} of the planners' log is left out: {error}", entry.index);
+            tracing::warn!(
+                "skipped entry {} of the planners' log, which can't be decoded: {error}",
+                entry.index
+            );
             None
         }
     }
--- a/src/revisions/agreement/machine.rs
+++ b/src/revisions/agreement/machine.rs
@@ -1,18 +1,20 @@
-//! The state that all replicas come to by the same log: the newest revisions, and what became of the latest proposals.
+//! The replicated state machine: the newest revisions and the outcomes of the latest proposals. Replicas that apply the same
+//! log have the same state.
 
 use super::{Proposal, ProposalError, ProposalId, KEPT_REVISIONS, MAX_AUTHOR_BYTES};
 use crate::revisions::{Revision, RevisionId, RevisionNumber};
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// Proposals whose outcome is remembered, so that one that is submitted again is answered and not tried again. An older
-/// one that was accepted can't be accepted again either: what its author saw is no longer the newest, and it is answered so.
+/// The number of proposals whose outcome is kept, so that a repeated submission is answered with the first outcome. An older
+/// proposal that was accepted can't be accepted twice either: its expected revision is no longer the newest, so the answer is
+/// a conflict.
 pub const KEPT_OUTCOMES: usize = 1024;
 
-/// What became of a proposal.
+/// The outcome of a proposal: the revision that it became, or why it did not become one.
 pub(super) type Outcome = Result<RevisionId, ProposalError>;
 
-/// The state, as it is also kept in snapshots.
+/// The replicated state, which snapshots contain in postcard encoding.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(super) struct StateMachine {
     newest: RevisionId,
@@ -20,71 +22,71 @@
     outcomes: VecDeque<(ProposalId, Outcome)>,
 }
 
-/// What an entry of the log came to.
+/// The result of applying a log entry.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct Applied {
-    /// The proposal.
+    /// The proposal's id.
     pub id: ProposalId,
-    /// What became of it, now or when it was first applied.
+    /// The outcome, from this entry or from an earlier one with the same proposal.
     pub outcome: Outcome,
-    /// The revision that it became, where it did so now.
+    /// The new revision, if this entry created one.
     pub accepted: Option<Revision>,
 }
 
 impl StateMachine {
-    /// The state before the first proposal.
+    /// Creates the state before the first proposal.
     pub fn new() -> Self {
         StateMachine { newest: RevisionId::none(), revisions: VecDeque::new(), outcomes: VecDeque::new() }
     }
 
-    /// Reads a state from a snapshot; nothing where it does not fit together.
+    /// Decodes the state from a snapshot. Returns `None` if it can't be decoded or is inconsistent.
     pub fn decode(bytes: &[u8]) -> Option<StateMachine> {
-        let machine: StateMachine = postcard::from_bytes(bytes).ok()?;
-        machine.fits_together().then_some(machine)
+        let state: StateMachine = postcard::from_bytes(bytes).ok()?;
+        state.is_consistent().then_some(state)
     }
 
-    fn fits_together(&self) -> bool {
+    fn is_consistent(&self) -> bool {
         let numbers = self.revisions.iter().map(|revision| revision.id.number);
-        let follow = numbers.clone().zip(numbers.skip(1)).all(|(number, next)| number.next() == next);
-        let hashes = self.revisions.iter().all(|revision| revision.document.hash() == revision.id.hash);
+        let consecutive = numbers.clone().zip(numbers.skip(1)).all(|(number, next)| number.next() == next);
+        let hashes_match = self.revisions.iter().all(|revision| revision.document.hash() == revision.id.hash);
         let newest = self.revisions.back().map_or_else(RevisionId::none, |revision| revision.id);
         let bounded = self.revisions.len() <= KEPT_REVISIONS && self.outcomes.len() <= KEPT_OUTCOMES;
-        follow && hashes && bounded && newest == self.newest
+        consecutive && hashes_match && bounded && newest == self.newest
     }
 
-    /// The state for a snapshot.
+    /// Encodes the state for a snapshot.
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_allocvec(self).unwrap_or_default()
     }
 
-    /// The newest revision.
+    /// The newest revision, if there is one.
     pub fn newest(&self) -> Option<&Revision> {
         self.revisions.back()
     }
 
-    /// A revision by its number, where it is kept.
+    /// A revision by its number, if it is still kept.
     pub fn revision(&self, number: RevisionNumber) -> Option<&Revision> {
         let first = self.revisions.front()?.id.number;
         let position = number.0.checked_sub(first.0)?;
         self.revisions.get(usize::try_from(position).ok()?)
     }
 
-    /// The revisions after a number that are kept, in their order.
+    /// The kept revisions with higher numbers, in ascending order.
     pub fn after(&self, number: RevisionNumber) -> impl Iterator<Item = &Revision> {
         self.revisions.iter().filter(move |revision| revision.id.number > number)
     }
 
-    /// The number of the newest revision.
+    /// The number of the newest revision; 0 before the first.
     pub fn number(&self) -> RevisionNumber {
         self.newest.number
     }
 
-    /// What became of a proposal, where that is remembered.
+    /// The outcome of a proposal, if it is still kept.
     pub fn outcome(&self, id: ProposalId) -> Option<&Outcome> {
-        self.outcomes.iter().rev().find(|(known, _)| *known == id).map(|(_, outcome)| outcome)
+        self.outcomes.iter().rev().find(|(recorded, _)| *recorded == id).map(|(_, outcome)| outcome)
     }
 
-    /// Applies a proposal at its place in the log.
+    /// Applies the proposal of the next log entry. A proposal that was applied before only returns its outcome.
     pub fn apply(&mut self, proposal: Proposal) -> Applied {
         let id = proposal.id;
         if let Some(outcome) = self.outcome(id) {
@@ -114,7 +116,7 @@
     }
 }
 
-/// Checks what a proposal is refused for whatever the newest revision is.
+/// Checks the parts of a proposal that don't depend on the newest revision: the author's length and the document.
 pub(super) fn check(proposal: &Proposal) -> Result<(), String> {
     if proposal.author.len() > MAX_AUTHOR_BYTES {
         return Err(format!("author: {} bytes, {MAX_AUTHOR_BYTES} are allowed", proposal.author.len()));
@@ -122,9 +124,9 @@
     proposal.document.check().map_err(|error| error.0)
 }
 
-fn push_bounded<T>(queue: &mut VecDeque<T>, item: T, most: usize) {
+fn push_bounded<T>(queue: &mut VecDeque<T>, item: T, max: usize) {
     queue.push_back(item);
-    if queue.len() > most {
+    if queue.len() > max {
         queue.pop_front();
     }
 }
--- a/src/revisions/agreement/tests.rs
+++ b/src/revisions/agreement/tests.rs
@@ -1,4 +1,4 @@
-//! Replicas on a network in memory that loses what it is told to lose. Drawn schedules of faults are in the laboratory.
+//! Replicas on a network in memory that drops selected messages. The lab crate runs random schedules of faults.
 
 mod messages;
 mod recorded;
@@ -32,14 +32,14 @@
     Proposal { id: ProposalId(id), expected, author: "operator".into(), submitted_ms: 5, document }
 }
 
-/// Replicas, the messages between them, and what they said; times go on tick by tick.
+/// A group of replicas with the messages between them and the actions that they returned. Time advances by ticks.
 pub(super) struct Group {
     pub replicas: Vec<Option<Replica<MemoryStore>>>,
     pub stores: Vec<MemoryStore>,
     pub now: Duration,
     pub down: Vec<u64>,
-    /// Which messages are lost.
-    pub loses: fn(&Message) -> bool,
+    /// Selects the messages to drop.
+    pub drops: fn(&Message) -> bool,
     pub decided: Vec<(u64, ProposalId, Result<RevisionId, ProposalError>)>,
     pub accepted: Vec<(u64, Revision)>,
     pub quorums: Vec<(u64, bool)>,
@@ -55,7 +55,7 @@
             stores,
             now: Duration::ZERO,
             down: Vec::new(),
-            loses: |_| false,
+            drops: |_| false,
             decided: Vec::new(),
             accepted: Vec::new(),
             quorums: Vec::new(),
@@ -83,7 +83,7 @@
         self.replicas[voter as usize - 1].as_ref().unwrap()
     }
 
-    /// Hands a replica an event; one whose store fails is stopped.
+    /// Passes an event to a replica. A replica whose store fails is stopped.
     pub fn handle(&mut self, voter: u64, event: Event) {
         let Some(replica) = &mut self.replicas[voter as usize - 1] else { return };
         let mut actions = Vec::new();
@@ -103,7 +103,7 @@
     pub fn deliver(&mut self) {
         while let Some((_, to, bytes)) = self.messages.pop_front() {
             let group = identity(1, 1).group;
-            if !(self.loses)(&wire::decode(&group, &bytes).unwrap()) {
+            if !(self.drops)(&wire::decode(&group, &bytes).unwrap()) {
                 self.handle(to, Event::Message(bytes));
             }
         }
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Proposes against what the replica has, and says what became of it within a few ticks.
+    /// Proposes a document against the replica's newest revision, and returns the outcome after a few ticks.
     pub fn submit(&mut self, voter: u64, id: u128) -> Result<RevisionId, ProposalError> {
         let expected = self.replica(voter).newest().map_or_else(RevisionId::none, |revision| revision.id);
         self.submit_against(voter, id, expected)
@@ -135,9 +135,9 @@
         self.handle(voter, Event::Propose(Box::new(proposal(id, expected))));
         self.deliver();
         self.run(3);
-        let mut found = self.decided.iter().filter(|(at, of, _)| *at == voter && of.0 == id);
+        let mut found = self.decided.iter().filter(|(at, decided_id, _)| *at == voter && decided_id.0 == id);
         let outcome = found.next().unwrap().2.clone();
-        assert_eq!(found.next(), None, "told twice");
+        assert_eq!(found.next(), None, "decided twice");
         outcome
     }
 
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn one_three_and_five_voters_accept_at_leader_and_follower() {
+fn groups_of_one_three_and_five_accept_proposals_at_leader_and_follower() {
     for count in [1, 3, 5] {
         let mut group = Group::new(count);
         group.run(60);
@@ -175,14 +175,14 @@
             assert_eq!(replica.revision(RevisionNumber(1)).unwrap().id, first);
             assert_eq!(replica.leader(), Some(VoterId(leader)));
         }
-        let told = group.accepted.iter().filter(|(_, revision)| revision.id == first).count();
-        assert_eq!(told as u64, count, "each tells it once");
+        let reported = group.accepted.iter().filter(|(_, revision)| revision.id == first).count();
+        assert_eq!(reported as u64, count, "each replica reports it once");
         assert_eq!(group.quorums.len() as u64, count, "{:?}", group.quorums);
     }
 }
 
 #[test]
-fn of_two_that_saw_the_same_revision_one_is_accepted() {
+fn of_two_proposals_against_one_revision_one_is_accepted() {
     let mut group = Group::new(3);
     group.run(60);
     let (leader, follower) = (group.leader(), group.follower());
@@ -200,7 +200,7 @@
 }
 
 #[test]
-fn a_proposal_that_is_submitted_again_is_answered_what_it_became() {
+fn a_repeated_proposal_is_answered_with_its_first_outcome() {
     let mut group = Group::new(3);
     group.run(60);
     let (leader, follower) = (group.leader(), group.follower());
@@ -210,7 +210,7 @@
     assert!(group.submit(leader, 3).is_ok());
     assert_eq!(group.submit_against(follower, 1, RevisionId::none()), first);
     assert_eq!(group.submit_against(follower, 2, RevisionId::none()), refused);
-    // Twice at once, at two replicas: once in the log's order, and told to both.
+    // One proposal is pending at two replicas, at one of them twice: it is applied once, and each replica reports one outcome.
     group.decided.clear();
     let expected = group.replica(leader).newest().unwrap().id;
     group.handle(leader, Event::Propose(Box::new(proposal(4, expected))));
@@ -227,23 +227,23 @@
 }
 
 #[test]
-fn invalid_and_too_many_proposals_are_refused_here() {
+fn invalid_and_excess_proposals_are_refused_without_reaching_the_log() {
     let mut group = Group::new(3);
     group.run(60);
     let leader = group.leader();
     let writes = group.stores[leader as usize - 1].writes();
-    let mut spoilt = proposal(1, RevisionId::none());
-    spoilt.document = document(-1.0);
+    let mut invalid = proposal(1, RevisionId::none());
+    invalid.document = document(-1.0);
     let mut author = proposal(2, RevisionId::none());
     author.author = "a".repeat(MAX_AUTHOR_BYTES + 1);
     let mut long = proposal(3, RevisionId::none());
     long.document.nodes_out.insert("n".repeat(MAX_DOCUMENT_BYTES));
-    for proposal in [spoilt, author, long] {
+    for proposal in [invalid, author, long] {
         group.handle(leader, Event::Propose(Box::new(proposal)));
         assert!(matches!(group.decided.pop(), Some((_, _, Err(ProposalError::Invalid(_))))));
     }
     assert_eq!(group.stores[leader as usize - 1].writes(), writes);
-    group.loses = |_| true;
+    group.drops = |_| true;
     for id in 0..=MAX_PENDING_PROPOSALS as u128 {
         group.handle(leader, Event::Propose(Box::new(proposal(100 + id, RevisionId::none()))));
     }
@@ -252,7 +252,7 @@
 }
 
 #[test]
-fn without_a_majority_proposals_are_unknown_and_then_not_taken() {
+fn without_a_majority_pending_proposals_are_unknown_and_new_ones_are_refused() {
     let mut group = Group::new(3);
     group.run(60);
     let leader = group.leader();
@@ -266,7 +266,7 @@
     assert!(!group.replica(leader).has_quorum());
     assert_eq!(group.quorums.last(), Some(&(leader, false)));
     assert_eq!(group.submit(leader, 2), Err(ProposalError::NoQuorum));
-    // The one that was not known comes to be accepted once the others are back, if its voter is elected again.
+    // The proposal with the unknown outcome is accepted after all if its replica is elected once the others are back.
     (1..=3).filter(|it| *it != leader).for_each(|it| group.start(it));
     group.run(60);
     let numbers = group.numbers();
@@ -275,7 +275,7 @@
 }
 
 #[test]
-fn what_was_accepted_is_there_after_a_restart_of_all() {
+fn accepted_revisions_survive_a_restart_of_all_replicas() {
     let mut group = Group::new(3);
     group.run(60);
     for id in 1..=10 {
@@ -290,13 +290,13 @@
         assert_eq!(group.replica(voter).newest(), Some(&newest), "before any message");
     }
     group.run(60);
-    assert_eq!(group.accepted, [], "not told again");
+    assert_eq!(group.accepted, [], "not reported again");
     let leader = group.leader();
     assert_eq!(group.submit(leader, 11).unwrap().number, RevisionNumber(11));
 }
 
 #[test]
-fn one_that_lags_gets_a_snapshot_also_where_the_first_is_lost() {
+fn a_lagging_replica_receives_a_snapshot_even_if_the_first_is_lost() {
     let mut group = Group::new(3);
     group.run(60);
     let follower = group.follower();
@@ -311,24 +311,27 @@
     assert!(stored.snapshot_index() > 0 && (stored.entries.len() as u64) < COMPACTION_ENTRIES);
     group.accepted.clear();
     group.start(follower);
-    group.loses = |message| message.get_msg_type() == raft::eraftpb::MessageType::MsgSnapshot;
+    group.drops = |message| message.get_msg_type() == raft::eraftpb::MessageType::MsgSnapshot;
     group.run(20);
     assert_eq!(group.replica(follower).newest(), None);
-    group.loses = |_| false;
+    group.drops = |_| false;
     group.run(SNAPSHOT_RETRY_TICKS + 10);
     assert_eq!(group.replica(follower).newest(), group.replica(leader).newest());
-    let told: Vec<u64> = group.accepted.iter().map(|(_, revision)| revision.id.number.0).collect();
-    let kept = rounds as u64 - told[0] + 1;
-    assert!(told.windows(2).all(|pair| pair[0] + 1 == pair[1]) && told.len() as u64 == kept, "{told:?}");
+    let reported: Vec<u64> = group.accepted.iter().map(|(_, revision)| revision.id.number.0).collect();
+    let kept = rounds as u64 - reported[0] + 1;
+    assert!(
+        reported.windows(2).all(|pair| pair[0] + 1 == pair[1]) && reported.len() as u64 == kept,
+        "{reported:?}"
+    );
     assert!(group.replica(follower).revision(RevisionNumber(1)).is_none());
-    // It starts again from the snapshot.
+    // It restarts from the snapshot.
     group.stop(follower);
     group.start(follower);
     assert_eq!(group.replica(follower).newest(), group.replica(leader).newest());
 }
 
 #[test]
-fn a_crash_at_any_write_loses_nothing_that_was_decided() {
+fn a_crash_at_any_write_loses_no_accepted_revision() {
     let mut crashes = 0;
     for victim in 1..=3 {
         for write in 0..24 {
@@ -361,7 +364,7 @@
 }
 
 #[test]
-fn a_store_of_somebody_else_is_refused() {
+fn the_store_of_another_voter_or_group_is_refused() {
     let start = |identity, parameters| {
         let started = Replica::start(parameters, MemoryStore::new(identity), Duration::ZERO);
         started.map(|_| ()).map_err(|error| error.0)
@@ -374,7 +377,7 @@
 }
 
 #[test]
-fn ticks_that_were_missed_in_a_pause_are_not_made_up_for() {
+fn ticks_missed_in_a_pause_are_skipped() {
     let mut group = Group::new(3);
     group.run(60);
     let leader = group.leader();
--- a/src/revisions/agreement/tests/recorded.rs
+++ b/src/revisions/agreement/tests/recorded.rs
@@ -1,4 +1,4 @@
-//! A store, messages and proposals as the build before has written them: a planner starts with the file that it finds.
+//! A store, messages and proposals recorded with an earlier build: a planner must be able to start with an existing store.
 
 use super::*;
 use crate::fixtures::{hex, record, records};
@@ -15,7 +15,7 @@
 const DOCUMENT: &str = include_str!("../../../../tests/fixtures/revisions/document.toml");
 const DOCUMENT_BYTES: &str = include_str!("../../../../tests/fixtures/revisions/document.hex");
 
-/// A directory of one test, removed at its end.
+/// A directory for one test, removed on drop.
 struct Directory(PathBuf);
 
 impl Directory {
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_recorded_store_is_opened_and_its_rows_stay_as_they_are() {
+fn opening_a_recorded_store_leaves_its_rows_unchanged() {
     let directory = Directory::new("open");
     let store = open(&directory);
     let identity = store.identity().clone();
@@ -70,8 +70,8 @@
     assert_eq!((hard_state.term, hard_state.vote, hard_state.commit), (4, 3, 11));
     assert_eq!((snapshot.get_metadata().index, snapshot.get_metadata().term), (9, 2));
     assert_eq!(snapshot.get_metadata().get_conf_state().voters, [1, 2, 3]);
-    let places: Vec<_> = entries.iter().map(|entry| (entry.index, entry.term)).collect();
-    assert_eq!(places, [(10, 3), (11, 3), (12, 3)]);
+    let positions: Vec<_> = entries.iter().map(|entry| (entry.index, entry.term)).collect();
+    assert_eq!(positions, [(10, 3), (11, 3), (12, 3)]);
     assert_eq!(rows(&directory.0.join(FILE_NAME)), ROWS);
 }
 
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn recorded_rows_are_encoded_as_they_were() {
+fn recorded_rows_are_decoded_and_encoded_to_the_same_bytes() {
     assert_eq!(record(ROWS, "facts.format"), [1, 0, 0, 0]);
     let bytes = record(ROWS, "facts.identity");
     let identity: Identity = postcard::from_bytes(&bytes).unwrap();
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn recorded_proposals_and_their_outcomes_mean_what_they_meant() {
+fn recorded_proposals_and_outcomes_have_the_expected_content() {
     let snapshot = Snapshot::parse_from_bytes(&record(ROWS, "facts.snapshot")).unwrap();
     let machine = StateMachine::decode(&snapshot.data).unwrap();
     let outcomes = [1, 2, 3, 4].map(|id| machine.outcome(ProposalId(id)).unwrap().clone());
@@ -135,9 +135,9 @@
     assert_eq!(proposal.document.to_toml(), DOCUMENT);
 }
 
-/// Replicas of both builds come to the same state, down to the reasons of refusals.
+/// Replicas of both builds reach the same state, including the reasons of refusals.
 #[test]
-fn the_recorded_state_is_what_its_proposals_come_to() {
+fn applying_the_recorded_proposals_gives_the_recorded_state() {
     let snapshot = Snapshot::parse_from_bytes(&record(ROWS, "facts.snapshot")).unwrap();
     let mut machine = StateMachine::new();
     let first = machine.apply(proposal(1, RevisionId::none())).outcome.unwrap();
@@ -149,9 +149,9 @@
     assert_eq!(hex(&machine.encode()), hex(&snapshot.data));
 }
 
-/// The snapshot, and the entry of a proposal that was committed after it.
+/// The replica applies the snapshot and the committed entry after it.
 #[test]
-fn a_replica_goes_on_from_the_recorded_store() {
+fn a_replica_starts_from_the_recorded_store() {
     let directory = Directory::new("start");
     let replica = Replica::start(parameters(2, 3), open(&directory), Duration::ZERO).unwrap();
     let newest = replica.newest().unwrap();
@@ -179,8 +179,8 @@
     for (name, bytes) in records(MESSAGES) {
         let message = wire::decode(&own.group, &bytes).unwrap();
         assert_eq!(hex(&wire::encode(&own.group, &message)), hex(&bytes), "{name}");
-        let leads = message.msg_type == MsgPropose;
-        let replica_state = wire::ReplicaState { identity: &own, term: 3, last_index: 12, leads };
+        let is_leader = message.msg_type == MsgPropose;
+        let replica_state = wire::ReplicaState { identity: &own, term: 3, last_index: 12, is_leader };
         assert_eq!(wire::check(&message, &replica_state), Ok(()), "{name}");
         kinds.push(message.msg_type);
     }
--- a/src/revisions/agreement/tests/state.rs
+++ b/src/revisions/agreement/tests/state.rs
@@ -1,4 +1,4 @@
-//! The state machine by itself.
+//! The state machine without Raft.
 
 use super::*;
 use crate::revisions::agreement::machine::StateMachine;
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn only_what_saw_the_newest_becomes_a_revision() {
+fn only_a_proposal_against_the_newest_revision_is_accepted() {
     let mut machine = StateMachine::new();
     fill(&mut machine, 1, 3);
     let newest = machine.newest().unwrap().id;
@@ -26,28 +26,28 @@
 }
 
 #[test]
-fn going_back_is_a_new_revision_with_the_old_content() {
+fn a_revert_is_a_new_revision_with_the_old_content() {
     let mut machine = StateMachine::new();
     fill(&mut machine, 1, 2);
-    let mut back = proposal(3, machine.newest().unwrap().id);
-    back.document = machine.revision(RevisionNumber(1)).unwrap().document.clone();
-    let id = machine.apply(back).outcome.unwrap();
+    let mut revert = proposal(3, machine.newest().unwrap().id);
+    revert.document = machine.revision(RevisionNumber(1)).unwrap().document.clone();
+    let id = machine.apply(revert).outcome.unwrap();
     assert_eq!(
         (id.number, id.hash),
         (RevisionNumber(3), machine.revision(RevisionNumber(1)).unwrap().id.hash)
     );
-    // Its author's view is not taken for the older revision of the same content.
+    // An expected revision of the same content under an older number is a conflict.
     let mut stale = proposal(4, RevisionId { number: RevisionNumber(1), hash: id.hash });
     stale.document = document(50.0);
     assert!(machine.apply(stale).outcome.is_err());
 }
 
 #[test]
-fn an_invalid_document_in_the_log_becomes_nothing() {
+fn an_invalid_document_in_the_log_does_not_become_a_revision() {
     let mut machine = StateMachine::new();
-    let mut spoilt = proposal(1, RevisionId::none());
-    spoilt.document = document(-4.0);
-    assert!(matches!(machine.apply(spoilt).outcome, Err(ProposalError::Invalid(_))));
+    let mut invalid = proposal(1, RevisionId::none());
+    invalid.document = document(-4.0);
+    assert!(matches!(machine.apply(invalid).outcome, Err(ProposalError::Invalid(_))));
     assert_eq!(machine.newest(), None);
 }
 
@@ -62,7 +62,7 @@
     assert!(machine.revision(RevisionNumber(newest - KEPT_REVISIONS as u64 + 1)).is_some());
     assert!(machine.revision(RevisionNumber(newest + 1)).is_none());
     assert_eq!(machine.after(RevisionNumber(newest - 2)).count(), 2);
-    // One whose outcome is no longer remembered is not accepted again.
+    // A proposal whose outcome is no longer kept is not accepted again.
     assert!(machine.apply(proposal(1, RevisionId::none())).outcome.is_err());
     assert_eq!(StateMachine::decode(&machine.encode()), Some(machine.clone()));
     let mut bytes = machine.encode();
@@ -71,7 +71,7 @@
     assert_eq!(StateMachine::decode(&machine.encode()[..50]), None);
 }
 
-/// A document to which no further name can be added, other for each mark.
+/// A document so large that no further name fits, different for each mark.
 fn longest_document(mark: u128) -> Document {
     let mut document = document(1.0);
     for position in 0..MAX_DOCUMENT_BYTES {
--- a/src/revisions/agreement/wire.rs
+++ b/src/revisions/agreement/wire.rs
@@ -1,6 +1,6 @@
-//! Messages between replicas: a head that says the format, the group and a checksum, then the `raft` crate's encoding.
+//! Messages between replicas: a header with format, group and checksum, then the `raft` crate's encoding.
 //!
-//! The crate panics on some messages that no sound replica sends. All that could is refused here first.
+//! The crate panics on some messages that no correct replica sends. [`check`] refuses all of those first.
 
 use super::machine::StateMachine;
 use super::{Proposal, MAX_MESSAGE_BYTES, MAX_PROPOSAL_BYTES};
@@ -9,22 +9,22 @@
 use raft::eraftpb::{ConfState, Entry, EntryType, Message, MessageType};
 use sha2::{Digest, Sha256};
 
-/// The format of the head and of what follows it.
+/// The version of the message format.
 const FORMAT: u8 = 1;
 const GROUP_END: usize = 17;
 const HEADER_BYTES: usize = 25;
-/// Above all terms and indexes that can occur: additions can't overflow.
+/// Bound above all terms and indexes that can occur, so that additions can't overflow.
 const MAX_TERM_OR_INDEX: u64 = 1 << 60;
 
-/// What a replica knows that a message is held against.
+/// The replica's own state, against which received messages are checked.
 pub(super) struct ReplicaState<'a> {
     pub identity: &'a Identity,
     pub term: u64,
     pub last_index: u64,
-    pub leads: bool,
+    pub is_leader: bool,
 }
 
-/// Encodes a message of this group.
+/// Encodes a message, with its header, for this group.
 pub(super) fn encode(group: &GroupId, message: &Message) -> Vec<u8> {
     let payload = message.write_to_bytes().unwrap_or_default();
     let mut bytes = Vec::with_capacity(HEADER_BYTES + payload.len());
@@ -35,11 +35,11 @@
     bytes
 }
 
-/// Decodes a message.
+/// Checks the header and decodes a message.
 ///
 /// # Errors
 ///
-/// It is none of this group, of another format, spoilt or too long.
+/// The message belongs to another group, has an unknown format, is corrupt or too long.
 pub(super) fn decode(group: &GroupId, bytes: &[u8]) -> Result<Message, &'static str> {
     if bytes.len() < HEADER_BYTES || bytes[0] != FORMAT {
         return Err("of an unknown format");
@@ -67,18 +67,20 @@
     sum
 }
 
-/// Checks what a sound replica always keeps to.
+/// Checks what holds for every message of a correct replica.
 ///
 /// # Errors
 ///
-/// What it does not keep to.
+/// What is wrong with the message, as the predicate of a sentence with "it is".
 pub(super) fn check(message: &Message, replica_state: &ReplicaState) -> Result<(), &'static str> {
-    check_ends(message, replica_state)?;
+    check_endpoints(message, replica_state)?;
     check_bounds(message)?;
-    // A response of a follower speaks of the log of its leader, who is this replica where the terms are the same.
-    let of_our_log = replica_state.leads && message.term == replica_state.term;
+    // A follower's response refers to the log of its leader, which is this replica if it leads in the same term.
+    let refers_to_own_log = replica_state.is_leader && message.term == replica_state.term;
     match message.get_msg_type() {
-        MessageType::MsgPropose if !replica_state.leads => Err("a proposal to a voter that does not lead"),
+        MessageType::MsgPropose if !replica_state.is_leader => {
+            Err("a proposal to a voter that is not the leader")
+        }
         MessageType::MsgPropose => check_forwarded(message),
         _ if message.term == 0 => Err("without a term"),
         MessageType::MsgAppend => check_append(message),
@@ -87,7 +89,7 @@
             Err("a commit beyond the log")
         }
         MessageType::MsgAppendResponse | MessageType::MsgHeartbeatResponse
-            if of_our_log && message.index.max(message.commit) > replica_state.last_index =>
+            if refers_to_own_log && message.index.max(message.commit) > replica_state.last_index =>
         {
             Err("a response beyond the log")
         }
@@ -97,25 +99,25 @@
         | MessageType::MsgRequestVote
         | MessageType::MsgRequestVoteResponse
         | MessageType::MsgRequestPreVote
-        | MessageType::MsgRequestPreVoteResponse => check_bare(message),
+        | MessageType::MsgRequestPreVoteResponse => check_no_payload(message),
         _ => Err("of a kind that is not sent"),
     }
 }
 
-fn check_ends(message: &Message, replica_state: &ReplicaState) -> Result<(), &'static str> {
+fn check_endpoints(message: &Message, replica_state: &ReplicaState) -> Result<(), &'static str> {
     let identity = replica_state.identity;
     if message.to != identity.voter.0 {
-        return Err("to somebody else");
+        return Err("addressed to another voter");
     }
-    let known = identity.voters.iter().any(|voter| voter.0 == message.from);
-    if !known || message.from == identity.voter.0 {
+    let is_voter = identity.voters.iter().any(|voter| voter.0 == message.from);
+    if !is_voter || message.from == identity.voter.0 {
         return Err("from an unknown voter");
     }
     Ok(())
 }
 
 fn check_bounds(message: &Message) -> Result<(), &'static str> {
-    let figures = [
+    let numbers = [
         message.term,
         message.log_term,
         message.index,
@@ -123,25 +125,25 @@
         message.commit_term,
         message.reject_hint,
     ];
-    if figures.iter().any(|figure| *figure >= MAX_TERM_OR_INDEX) {
-        return Err("with a figure out of range");
+    if numbers.iter().any(|number| *number >= MAX_TERM_OR_INDEX) {
+        return Err("with a number out of range");
     }
     if message.request_snapshot != 0 || !message.context.is_empty() {
-        return Err("with a request that is not made");
+        return Err("with a field that is never used");
     }
     Ok(())
 }
 
-fn check_bare(message: &Message) -> Result<(), &'static str> {
+fn check_no_payload(message: &Message) -> Result<(), &'static str> {
     if message.entries.is_empty() && message.snapshot.is_none() {
         Ok(())
     } else {
-        Err("with entries out of place")
+        Err("with an unexpected payload")
     }
 }
 
 fn check_forwarded(message: &Message) -> Result<(), &'static str> {
-    let [entry] = message.get_entries() else { return Err("not with one proposal") };
+    let [entry] = message.get_entries() else { return Err("without exactly one proposal") };
     check_entry(entry)?;
     let proposal: Result<Proposal, _> = postcard::from_bytes(&entry.data);
     proposal.map(|_| ()).map_err(|_| "with a proposal that can't be read")
@@ -149,7 +151,7 @@
 
 fn check_entry(entry: &Entry) -> Result<(), &'static str> {
     if entry.get_entry_type() != EntryType::EntryNormal || !entry.context.is_empty() {
-        return Err("with an entry of a kind that is not made");
+        return Err("with an entry of a kind that is never used");
     }
     if entry.data.len() > MAX_PROPOSAL_BYTES {
         return Err("with an entry that is too long");
@@ -159,10 +161,10 @@
 
 fn check_append(message: &Message) -> Result<(), &'static str> {
     if (message.index == 0) != (message.log_term == 0) || message.log_term > message.term {
-        return Err("with entries after an impossible one");
+        return Err("with an invalid previous index or term");
     }
     if message.snapshot.is_some() {
-        return Err("with a snapshot out of place");
+        return Err("with an unexpected snapshot");
     }
     let mut term = message.log_term.max(1);
     for (position, entry) in message.get_entries().iter().enumerate() {
@@ -178,13 +180,13 @@
 
 fn check_snapshot(message: &Message, replica_state: &ReplicaState) -> Result<(), &'static str> {
     if !message.entries.is_empty() {
-        return Err("with entries out of place");
+        return Err("with unexpected entries");
     }
     let snapshot = message.get_snapshot();
     let metadata = snapshot.get_metadata();
     if !(1..MAX_TERM_OR_INDEX).contains(&metadata.index) || metadata.term == 0 || metadata.term > message.term
     {
-        return Err("with a snapshot of an impossible index");
+        return Err("with a snapshot of an invalid index or term");
     }
     let expected = ConfState { voters: replica_state.identity.ids(), ..ConfState::default() };
     if *metadata.get_conf_state() != expected {
--- a/src/revisions/store/disk.rs
+++ b/src/revisions/store/disk.rs
@@ -1,4 +1,5 @@
-//! The store on disk: one `redb` file, `Durability::Immediate`.
+//! The store on disk: one `redb` file with a table for the log and one for everything else. Each batch is one transaction
+//! with `Durability::Immediate`.
 
 use super::{
     Batch, Entry, HardState, Identity, ReplicaStore, Snapshot, SnapshotChange, StoreError, StoredState,
@@ -9,23 +10,23 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::path::{Path, PathBuf};
 
-/// The name of the file in the directory that is given.
+/// The name of the store's file in its directory.
 pub const FILE_NAME: &str = "agreement.redb";
-/// The name of the file until it is complete.
+/// The name of the file while it is being created.
 const NEW_FILE_NAME: &str = "agreement.redb.new";
-/// The version of what the tables hold.
+/// The version of the tables' content.
 const FORMAT: u32 = 1;
-/// Memory that the database keeps pages in, in bytes: the log is read once, so little is of use.
+/// The database's page cache, in bytes. It is small because the log is only read at the start.
 const CACHE_BYTES: usize = 2 << 20;
 
-const FACTS: TableDefinition<&str, &[u8]> = TableDefinition::new("facts");
-const LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
+const FACTS_TABLE: TableDefinition<&str, &[u8]> = TableDefinition::new("facts");
+const LOG_TABLE: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
 const FORMAT_KEY: &str = "format";
 const IDENTITY_KEY: &str = "identity";
 const HARD_STATE_KEY: &str = "hard-state";
 const SNAPSHOT_KEY: &str = "snapshot";
 
-/// A store in a file. Only one process can have it open.
+/// A store in a file, which only one process can have open.
 #[derive(Debug)]
 pub struct DiskStore {
     path: PathBuf,
@@ -34,57 +35,61 @@
 }
 
 impl DiskStore {
-    /// Makes a new, empty store in a directory, which is made where it is missing. This is done once in the life of a
-    /// voter: one that lost its disk has forgotten its votes, and must not vote again under its old id.
+    /// Creates an empty store in a directory, which is created if it is missing. This is done once per voter: a voter that
+    /// lost its disk no longer knows its votes, and must not vote again under its old id.
     ///
     /// # Errors
     ///
-    /// There is a store already, or the file can't be written.
+    /// The directory has a store already, or the file can't be written.
     pub fn create(directory: &Path, identity: Identity) -> Result<DiskStore, StoreError> {
         identity.check()?;
         let path = directory.join(FILE_NAME);
         if path.exists() {
-            return Err(failed(&path, "there is a store already"));
+            return Err(store_error(&path, "there is a store already"));
         }
-        fs::create_dir_all(directory).map_err(|error| failed(directory, error))?;
-        let new = directory.join(NEW_FILE_NAME);
-        write_new(&new, &identity)?;
-        // A hard link fails where the name is taken, which a rename does not.
-        fs::hard_link(&new, &path).map_err(|error| failed(&path, error))?;
-        fs::remove_file(&new).map_err(|error| failed(&new, error))?;
-        File::open(directory).and_then(|it| it.sync_all()).map_err(|error| failed(directory, error))?;
+        fs::create_dir_all(directory).map_err(|error| store_error(directory, error))?;
+        let new_path = directory.join(NEW_FILE_NAME);
+        create_file(&new_path, &identity)?;
+        // A hard link fails if the name exists; a rename would replace an existing store.
+        fs::hard_link(&new_path, &path).map_err(|error| store_error(&path, error))?;
+        fs::remove_file(&new_path).map_err(|error| store_error(&new_path, error))?;
+        File::open(directory).and_then(|it| it.sync_all()).map_err(|error| store_error(directory, error))?;
         DiskStore::open(directory)
     }
 
-    /// Opens the store that a directory has.
+    /// Opens the store in a directory, and checks its content.
     ///
     /// # Errors
     ///
-    /// There is none, another process has it open, it is damaged, or it is no store of this program.
+    /// There is no store, another process has it open, the file is damaged, or its format is not this program's.
     pub fn open(directory: &Path) -> Result<DiskStore, StoreError> {
         let path = directory.join(FILE_NAME);
         if !path.exists() {
-            return Err(failed(&path, "there is no store; it is created once, when the planner is set up"));
+            return Err(store_error(
+                &path,
+                "there is no store; it is created once, when the planner is set up",
+            ));
         }
-        // `redb` asserts what it can't read: a damaged file must not end the process without a word.
-        let opened = quietly(|| open_database(&path));
-        let (database, identity) = opened.unwrap_or_else(|_| Err(failed(&path, "the file is damaged")))?;
-        identity.check().map_err(|error| failed(&path, error))?;
+        // `redb` panics on some damaged files; the caller receives an error that names the file instead.
+        let opened = catch_panic(|| open_database(&path));
+        let (database, identity) =
+            opened.unwrap_or_else(|_| Err(store_error(&path, "the file is damaged")))?;
+        identity.check().map_err(|error| store_error(&path, error))?;
         let store = DiskStore { path, database, identity };
         store.load()?;
         Ok(store)
     }
 
-    /// A new store in a database that a test has made.
+    /// Creates an empty store in a database that a test provides.
     #[cfg(test)]
-    pub(super) fn fill(database: Database, identity: Identity) -> Result<DiskStore, redb::Error> {
-        fill_new(&database, &identity)?;
+    pub(super) fn create_in(database: Database, identity: Identity) -> Result<DiskStore, redb::Error> {
+        write_initial_rows(&database, &identity)?;
         Ok(DiskStore { path: PathBuf::new(), database, identity })
     }
 
     fn read(&self) -> Result<StoredState, redb::Error> {
         let transaction = self.database.begin_read()?;
-        let facts = transaction.open_table(FACTS)?;
+        let facts = transaction.open_table(FACTS_TABLE)?;
         let mut stored = StoredState::default();
         if let Some(bytes) = facts.get(HARD_STATE_KEY)? {
             stored.hard_state = HardState::parse_from_bytes(bytes.value()).map_err(corrupted)?;
@@ -92,7 +97,7 @@
         if let Some(bytes) = facts.get(SNAPSHOT_KEY)? {
             stored.snapshot = Snapshot::parse_from_bytes(bytes.value()).map_err(corrupted)?;
         }
-        for row in transaction.open_table(LOG)?.iter()? {
+        for row in transaction.open_table(LOG_TABLE)?.iter()? {
             let entry = Entry::parse_from_bytes(row?.1.value()).map_err(corrupted)?;
             stored.entries.push_back(entry);
         }
@@ -103,16 +108,16 @@
         let mut transaction = self.database.begin_write()?;
         transaction.set_durability(Durability::Immediate)?;
         {
-            let mut facts = transaction.open_table(FACTS)?;
-            let mut log = transaction.open_table(LOG)?;
+            let mut facts = transaction.open_table(FACTS_TABLE)?;
+            let mut log = transaction.open_table(LOG_TABLE)?;
             match &batch.snapshot {
                 Some(SnapshotChange::Installed(snapshot)) => {
                     log.retain(|_, _| false)?;
                     facts.insert(SNAPSHOT_KEY, bytes(snapshot)?.as_slice())?;
                 }
                 Some(SnapshotChange::Compacted(snapshot)) => {
-                    let end = snapshot.get_metadata().index;
-                    log.retain_in(..=end, |_, _| false)?;
+                    let last_index = snapshot.get_metadata().index;
+                    log.retain_in(..=last_index, |_, _| false)?;
                     facts.insert(SNAPSHOT_KEY, bytes(snapshot)?.as_slice())?;
                 }
                 None => {}
@@ -138,59 +143,59 @@
     }
 
     fn load(&self) -> Result<StoredState, StoreError> {
-        let read = quietly(|| self.read().map_err(|error| failed(&self.path, error)));
-        let stored = read.unwrap_or_else(|_| Err(failed(&self.path, "the file is damaged")))?;
-        stored.check(&self.identity).map_err(|error| failed(&self.path, error))?;
+        let read = catch_panic(|| self.read().map_err(|error| store_error(&self.path, error)));
+        let stored = read.unwrap_or_else(|_| Err(store_error(&self.path, "the file is damaged")))?;
+        stored.check(&self.identity).map_err(|error| store_error(&self.path, error))?;
         Ok(stored)
     }
 
     fn write(&mut self, batch: &Batch) -> Result<(), StoreError> {
-        self.commit(batch).map_err(|error| failed(&self.path, error))
+        self.commit(batch).map_err(|error| store_error(&self.path, error))
     }
 }
 
-fn write_new(path: &Path, identity: &Identity) -> Result<(), StoreError> {
+fn create_file(path: &Path, identity: &Identity) -> Result<(), StoreError> {
     if path.exists() {
-        // Left by a creation that did not come to its end.
-        fs::remove_file(path).map_err(|error| failed(path, error))?;
+        // Left over from a creation that was interrupted.
+        fs::remove_file(path).map_err(|error| store_error(path, error))?;
     }
-    let made = builder().create(path).map_err(|error| failed(path, error))?;
-    fill_new(&made, identity).map_err(|error| failed(path, error))
+    let database = builder().create(path).map_err(|error| store_error(path, error))?;
+    write_initial_rows(&database, identity).map_err(|error| store_error(path, error))
 }
 
-fn fill_new(database: &Database, identity: &Identity) -> Result<(), redb::Error> {
+fn write_initial_rows(database: &Database, identity: &Identity) -> Result<(), redb::Error> {
     let mut transaction = database.begin_write()?;
     transaction.set_durability(Durability::Immediate)?;
     {
-        let mut facts = transaction.open_table(FACTS)?;
+        let mut facts = transaction.open_table(FACTS_TABLE)?;
         facts.insert(FORMAT_KEY, FORMAT.to_le_bytes().as_slice())?;
         let identity = postcard::to_allocvec(identity).map_err(corrupted)?;
         facts.insert(IDENTITY_KEY, identity.as_slice())?;
-        transaction.open_table(LOG)?;
+        transaction.open_table(LOG_TABLE)?;
     }
     transaction.commit()?;
     Ok(())
 }
 
 fn open_database(path: &Path) -> Result<(Database, Identity), StoreError> {
-    let database = builder().open(path).map_err(|error| failed(path, error))?;
-    let (format, identity) = read_identity(&database).map_err(|error| failed(path, error))?;
+    let database = builder().open(path).map_err(|error| store_error(path, error))?;
+    let (format, identity) = read_identity(&database).map_err(|error| store_error(path, error))?;
     if format.as_deref() != Some(FORMAT.to_le_bytes().as_slice()) {
         let found = match format {
             Some(bytes) => format!("{bytes:?}"),
             None => "none".into(),
         };
-        return Err(failed(path, format!("format {found}, where this program has {FORMAT}")));
+        return Err(store_error(path, format!("format {found}, where this program has {FORMAT}")));
     }
     let identity = identity.and_then(|bytes| postcard::from_bytes(&bytes).ok());
-    let identity = identity.ok_or_else(|| failed(path, "it does not say whose store it is"))?;
+    let identity = identity.ok_or_else(|| store_error(path, "the store has no readable identity"))?;
     Ok((database, identity))
 }
 
-type Fact = Option<Vec<u8>>;
+type FactBytes = Option<Vec<u8>>;
 
-fn read_identity(database: &Database) -> Result<(Fact, Fact), redb::Error> {
-    let facts = database.begin_read()?.open_table(FACTS)?;
+fn read_identity(database: &Database) -> Result<(FactBytes, FactBytes), redb::Error> {
+    let facts = database.begin_read()?.open_table(FACTS_TABLE)?;
     let fact = |key| facts.get(key).map(|found| found.map(|bytes| bytes.value().to_vec()));
     Ok((fact(FORMAT_KEY)?, fact(IDENTITY_KEY)?))
 }
@@ -202,8 +207,8 @@
     builder
 }
 
-/// Calls what may panic on a damaged file.
-fn quietly<T>(call: impl FnOnce() -> T) -> std::thread::Result<T> {
+/// Calls a function that may panic on a damaged file, and returns the panic as an error.
+fn catch_panic<T>(call: impl FnOnce() -> T) -> std::thread::Result<T> {
     catch_unwind(AssertUnwindSafe(call))
 }
 
@@ -215,8 +220,8 @@
     redb::Error::Corrupted(error.to_string())
 }
 
-/// One line, whatever the cause says.
-fn failed(path: &Path, error: impl std::fmt::Display) -> StoreError {
+/// An error with the path, on one line even if the cause has several.
+fn store_error(path: &Path, error: impl std::fmt::Display) -> StoreError {
     let cause = error.to_string().split_whitespace().collect::<Vec<_>>().join(" ");
     StoreError(format!("{}: {cause}", path.display()))
 }
--- a/src/revisions/store/memory.rs
+++ b/src/revisions/store/memory.rs
@@ -1,14 +1,15 @@
-//! A store in memory, for simulations: it survives the crash of its replica, and can be made to fail.
+//! A store in memory for simulations. It outlives its replica, as a disk outlives a process, and can inject write failures.
 
 use super::{Batch, Identity, ReplicaStore, StoreError, StoredState};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// When a store fails.
+/// An injected failure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// The write after so many more fails, and nothing of it is there.
+    /// The write after this number of successful ones fails, and its batch is not stored.
     Before(u64),
-    /// The write after so many more fails, but all of it is there: a crash after the write and before it is told.
+    /// The write after this number of successful ones fails, but its batch is stored: a crash between the write and its
+    /// return.
     After(u64),
 }
 
@@ -21,8 +22,8 @@
     failed: bool,
 }
 
-/// A store in memory. Clones share what was written: drop the replica and start another on a clone, and it finds what the
-/// first one had written. Once it has failed it goes on failing until [`MemoryStore::restart`].
+/// A store in memory. Clones share the stored state: to simulate a restart, drop the replica and start another one on a
+/// clone. After a failure, all writes fail until [`MemoryStore::restart`].
 #[derive(Clone, Debug)]
 pub struct MemoryStore {
     identity: Identity,
@@ -30,7 +31,7 @@
 }
 
 impl MemoryStore {
-    /// An empty store.
+    /// Creates an empty store.
     pub fn new(identity: Identity) -> Self {
         let disk = Disk {
             identity: identity.clone(),
@@ -46,24 +47,24 @@
         self.disk.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Plans a failure, or takes a planned one back.
+    /// Plans a failure, or cancels the planned one.
     pub fn inject_failure(&self, failure: Option<Failure>) {
         self.disk().failure = failure;
     }
 
-    /// Works again after a failure, with what was written until then.
+    /// Ends a failure: writes succeed again, and the state written so far stays.
     pub fn restart(&self) {
         let mut disk = self.disk();
         disk.failed = false;
         disk.failure = None;
     }
 
-    /// How many batches were written.
+    /// The number of batches written.
     pub fn writes(&self) -> u64 {
         self.disk().writes
     }
 
-    /// Puts something else in place of what is stored: for faults of a disk.
+    /// Replaces the stored state, to simulate faults of a disk.
     pub fn replace(&self, stored: StoredState) {
         self.disk().stored = stored;
     }
@@ -71,22 +72,22 @@
 
 impl Disk {
     fn write(&mut self, batch: &Batch) -> Result<(), StoreError> {
-        let broken = || Err(StoreError("the store in memory was made to fail".into()));
+        let injected_error = || Err(StoreError("injected failure of the store in memory".into()));
         if self.failed {
-            return broken();
+            return injected_error();
         }
         match &mut self.failure {
             Some(Failure::Before(0)) => {
                 self.failed = true;
-                return broken();
+                return injected_error();
             }
             Some(Failure::After(0)) => {
                 self.stored.apply(batch);
                 self.writes += 1;
                 self.failed = true;
-                return broken();
+                return injected_error();
             }
-            Some(Failure::Before(left) | Failure::After(left)) => *left -= 1,
+            Some(Failure::Before(remaining) | Failure::After(remaining)) => *remaining -= 1,
             None => {}
         }
         self.stored.apply(batch);
--- a/src/revisions/store/state.rs
+++ b/src/revisions/store/state.rs
@@ -1,31 +1,31 @@
-//! What a store holds, in memory.
+//! A replica's durable state, as held in memory.
 
 use super::{Batch, Entry, HardState, Identity, Snapshot, SnapshotChange, StoreError};
 use std::collections::VecDeque;
 
-/// All that a replica has written: a snapshot, the log after it, and its term, vote and commit index.
+/// The durable state of a replica: a snapshot, the log after it, and the hard state.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct StoredState {
     /// Term, vote and commit index.
     pub hard_state: HardState,
-    /// The state up to the log's beginning; its index is 0 before the first.
+    /// The state before the first entry of the log; its index is 0 until there is a snapshot.
     pub snapshot: Snapshot,
-    /// The entries after the snapshot, without a gap.
+    /// The entries after the snapshot, without gaps.
     pub entries: VecDeque<Entry>,
 }
 
 impl StoredState {
-    /// The index of the last entry that the snapshot has.
+    /// The index of the last entry that the snapshot covers; 0 without a snapshot.
     pub fn snapshot_index(&self) -> u64 {
         self.snapshot.get_metadata().index
     }
 
-    /// The index of the last entry; the snapshot's where there is none.
+    /// The index of the last entry, or that of the snapshot if the log is empty.
     pub fn last_index(&self) -> u64 {
         self.snapshot_index() + self.entries.len() as u64
     }
 
-    /// The term of an entry, or of the snapshot's last one.
+    /// The term of an entry, or of the last one that the snapshot covers. `None` for all others.
     pub fn term(&self, index: u64) -> Option<u64> {
         match index.checked_sub(self.snapshot_index())? {
             0 => Some(self.snapshot.get_metadata().term),
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Makes the changes of a batch.
+    /// Applies a batch.
     pub fn apply(&mut self, batch: &Batch) {
         match &batch.snapshot {
             Some(SnapshotChange::Installed(snapshot)) => {
@@ -41,8 +41,8 @@
                 self.snapshot = snapshot.clone();
             }
             Some(SnapshotChange::Compacted(snapshot)) => {
-                let gone = snapshot.get_metadata().index.saturating_sub(self.snapshot_index());
-                self.entries.drain(..self.entries.len().min(gone as usize));
+                let covered = snapshot.get_metadata().index.saturating_sub(self.snapshot_index());
+                self.entries.drain(..self.entries.len().min(covered as usize));
                 self.snapshot = snapshot.clone();
             }
             None => {}
@@ -57,17 +57,17 @@
         }
     }
 
-    /// Checks that it all fits together.
+    /// Checks that voters, indexes and terms are consistent.
     ///
     /// # Errors
     ///
-    /// One line that says what does not.
+    /// One line that names the first inconsistency.
     pub fn check(&self, identity: &Identity) -> Result<(), StoreError> {
-        let refuse = |why: String| Err(StoreError(format!("the store does not fit together: {why}")));
+        let refuse = |why: String| Err(StoreError(format!("the store is inconsistent: {why}")));
         let ids = identity.ids();
         let vote = self.hard_state.vote;
         if vote != 0 && !ids.contains(&vote) {
-            return refuse(format!("a vote for {vote}, who is no voter"));
+            return refuse(format!("a vote for {vote}, which is not a voter"));
         }
         let metadata = self.snapshot.get_metadata();
         if metadata.index > 0 && metadata.get_conf_state().voters != ids {
--- a/src/revisions/store/tests.rs
+++ b/src/revisions/store/tests.rs
@@ -1,4 +1,4 @@
-//! Both stores against each other, crashes between and within writes, damaged and foreign files.
+//! Tests of both stores: equal behaviour, crashes between and during writes, damaged files and files of other programs.
 
 mod crash;
 mod damage;
@@ -8,7 +8,7 @@
 use std::fs;
 use std::path::PathBuf;
 
-/// A directory of one test, removed at its end.
+/// A directory for one test, removed on drop.
 pub(super) struct Directory(pub PathBuf);
 
 impl Directory {
@@ -43,7 +43,7 @@
     snapshot
 }
 
-/// Batches as a replica writes them, which overwrite the log's end, compact it and replace it.
+/// Random batches as a replica writes them: they append to the log, overwrite its end, compact it and replace it.
 pub(super) fn batches(count: usize, seed: u64) -> Vec<Batch> {
     let mut random = Random::new(seed);
     let mut pick = move |below: u64| (random.draw() * below as f64) as u64;
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn both_stores_hold_the_same_after_each_batch_and_after_opening_again() {
+fn both_stores_have_the_same_state_after_each_batch_and_after_reopening() {
     let directory = Directory::new("same");
     let mut disk = DiskStore::create(&directory.0, identity()).unwrap();
     let mut memory = MemoryStore::new(identity());
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn a_store_is_made_once_and_never_made_by_opening() {
+fn a_store_is_created_once_and_never_by_opening() {
     let directory = Directory::new("once");
     let missing = DiskStore::open(&directory.0).unwrap_err().0;
     assert!(
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn a_creation_that_was_cut_off_is_begun_again() {
+fn creation_succeeds_after_an_interrupted_one() {
     let directory = Directory::new("cut-off");
     fs::create_dir_all(&directory.0).unwrap();
     fs::write(directory.0.join("agreement.redb.new"), "half").unwrap();
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn voters_are_one_three_or_five_in_order() {
+fn an_identity_needs_one_three_or_five_voters_in_ascending_order() {
     let with = |voter: u64, voters: &[u64]| {
         let voters = voters.iter().copied().map(VoterId).collect();
         Identity { group: GroupId([0; 16]), voter: VoterId(voter), voters }.check()
@@ -148,13 +148,13 @@
 }
 
 #[test]
-fn a_group_is_named_by_its_names_in_any_order() {
+fn the_group_id_does_not_depend_on_the_order_of_names() {
     assert_eq!(GroupId::from_names(["a", "b", "c"]), GroupId::from_names(["c", "a", "b"]));
     assert_ne!(GroupId::from_names(["a", "bc"]), GroupId::from_names(["ab", "c"]));
 }
 
 #[test]
-fn a_store_in_memory_fails_where_it_is_told_to() {
+fn a_store_in_memory_fails_at_the_planned_write_until_restarted() {
     let batches = batches(4, 3);
     for (failure, kept) in [(Failure::Before(2), 2), (Failure::After(2), 3)] {
         let store = MemoryStore::new(identity());
@@ -170,16 +170,16 @@
 }
 
 #[test]
-fn what_does_not_fit_together_is_refused() {
-    let mut sound = StoredState::default();
-    batches(30, 9).iter().for_each(|batch| sound.apply(batch));
+fn an_inconsistent_state_is_refused() {
+    let mut valid = StoredState::default();
+    batches(30, 9).iter().for_each(|batch| valid.apply(batch));
     let entries = vec![
-        entry(sound.last_index() + 1, sound.hard_state.term, 5),
-        entry(sound.last_index() + 2, sound.hard_state.term, 5),
+        entry(valid.last_index() + 1, valid.hard_state.term, 5),
+        entry(valid.last_index() + 2, valid.hard_state.term, 5),
     ];
-    sound.apply(&Batch { entries, ..Batch::default() });
+    valid.apply(&Batch { entries, ..Batch::default() });
     type Change = fn(&mut StoredState);
-    let spoilt: [(&str, Change); 6] = [
+    let changes: [(&str, Change); 6] = [
         ("a vote for 9", |it| it.hard_state.vote = 9),
         ("commit index", |it| it.hard_state.commit = it.last_index() + 1),
         ("in the place of", |it| it.entries.back_mut().unwrap().index += 1),
@@ -188,13 +188,13 @@
         ("in term 0", |it| it.hard_state.term = 0),
     ];
     let store = MemoryStore::new(identity());
-    for (expected, change) in spoilt {
-        let mut stored = sound.clone();
+    for (expected, change) in changes {
+        let mut stored = valid.clone();
         change(&mut stored);
         store.replace(stored);
         let error = store.load().unwrap_err().0;
         assert!(error.contains(expected), "{error}");
     }
-    store.replace(sound);
+    store.replace(valid);
     store.load().unwrap();
 }
--- a/src/revisions/store/tests/crash.rs
+++ b/src/revisions/store/tests/crash.rs
@@ -1,4 +1,4 @@
-//! Crashes at each write that the database makes to its file: what is found then is the state before the batch or after it.
+//! Crashes at each write that the database makes to its file: reopening finds the state before the batch or after it.
 
 use super::*;
 use redb::{Database, StorageBackend};
@@ -12,7 +12,7 @@
     Sync,
 }
 
-/// A file in memory that notes what is done to it.
+/// A file in memory that records its operations.
 #[derive(Clone, Debug, Default)]
 struct Recorder {
     image: Arc<Mutex<Vec<u8>>>,
@@ -20,7 +20,7 @@
 }
 
 impl Recorder {
-    fn note(&self, operation: Operation) {
+    fn record(&self, operation: Operation) {
         apply(&mut self.image.lock().unwrap(), &operation);
         self.operations.lock().unwrap().push(operation);
     }
@@ -52,28 +52,30 @@
     }
 
     fn set_len(&self, length: u64) -> io::Result<()> {
-        self.note(Operation::SetLength(length));
+        self.record(Operation::SetLength(length));
         Ok(())
     }
 
     fn sync_data(&self) -> io::Result<()> {
-        self.note(Operation::Sync);
+        self.record(Operation::Sync);
         Ok(())
     }
 
     fn write(&self, offset: u64, data: &[u8]) -> io::Result<()> {
-        self.note(Operation::Write { offset, data: data.to_vec() });
+        self.record(Operation::Write { offset, data: data.to_vec() });
         Ok(())
     }
 }
 
-/// What the disk may hold after a crash: all up to the last sync, and of what came later what the seed draws; `loss` is the
-/// probability that a write is lost, 0 where only the process ended.
+/// A possible content of the disk after a crash: everything up to the last sync, and a random part of the later writes.
+/// `loss` is the probability that a later write is lost; 0 means that only the process crashed.
 fn image_after_crash(operations: &[Operation], loss: f64, random: &mut Random) -> Vec<u8> {
-    let synced = operations.iter().rposition(|operation| matches!(operation, Operation::Sync)).unwrap_or(0);
+    let last_sync =
+        operations.iter().rposition(|operation| matches!(operation, Operation::Sync)).unwrap_or(0);
     let mut image = Vec::new();
     for (position, operation) in operations.iter().enumerate() {
-        let lost = position > synced && matches!(operation, Operation::Write { .. }) && random.draw() < loss;
+        let lost =
+            position > last_sync && matches!(operation, Operation::Write { .. }) && random.draw() < loss;
         if !lost {
             apply(&mut image, operation);
         }
@@ -85,9 +87,9 @@
 fn a_crash_at_any_write_leaves_the_state_before_the_batch_or_after_it() {
     let recorder = Recorder::default();
     let database = Database::builder().create_with_backend(recorder.clone()).unwrap();
-    let mut store = DiskStore::fill(database, identity()).unwrap();
+    let mut store = DiskStore::create_in(database, identity()).unwrap();
     let created = recorder.operations.lock().unwrap().len();
-    // States by the operations that had been done when they were told to be durable.
+    // Each state with the number of operations done when its write returned as durable.
     let mut states = vec![(created, StoredState::default())];
     for batch in batches(14, 11) {
         store.write(&batch).unwrap();
--- a/src/revisions/store/tests/damage.rs
+++ b/src/revisions/store/tests/damage.rs
@@ -1,41 +1,41 @@
-//! Files that are damaged, or are no stores: one line, and never another content than was written.
+//! Damaged files, and files that are not stores: opening gives a one-line error or exactly the state that was written.
 
 use super::*;
 
-fn one_line(error: &StoreError) -> bool {
+fn is_one_line(error: &StoreError) -> bool {
     !error.0.is_empty() && !error.0.contains('\n')
 }
 
 #[test]
-fn a_damaged_file_gives_one_line_or_what_was_written() {
+fn a_damaged_file_gives_a_one_line_error_or_the_state_that_was_written() {
     let directory = Directory::new("damage");
     let mut store = DiskStore::create(&directory.0, identity()).unwrap();
     batches(20, 17).iter().for_each(|batch| store.write(batch).unwrap());
     let expected = store.load().unwrap();
     drop(store);
     let file = directory.0.join(FILE_NAME);
-    let sound = fs::read(&file).unwrap();
+    let original = fs::read(&file).unwrap();
     let mut random = Random::new(4);
     let mut refused = 0;
     for attempt in 0..150 {
-        let mut spoilt = sound.clone();
+        let mut damaged = original.clone();
         match attempt % 3 {
-            0 => spoilt.truncate((random.draw() * sound.len() as f64) as usize),
+            0 => damaged.truncate((random.draw() * original.len() as f64) as usize),
             1 => {
-                let position = (random.draw() * sound.len() as f64) as usize;
-                spoilt[position] ^= 1 << (attempt % 8);
+                let position = (random.draw() * original.len() as f64) as usize;
+                damaged[position] ^= 1 << (attempt % 8);
             }
             _ => {
-                let start = (random.draw() * sound.len() as f64) as usize;
-                let end = sound.len().min(start + 4096);
-                spoilt[start..end].fill(0xA5);
+                let start = (random.draw() * original.len() as f64) as usize;
+                let end = original.len().min(start + 4096);
+                damaged[start..end].fill(0xA5);
             }
         }
-        fs::write(&file, &spoilt).unwrap();
+        fs::write(&file, &damaged).unwrap();
         match DiskStore::open(&directory.0) {
             Ok(store) => assert_eq!(store.load().unwrap(), expected, "attempt {attempt}"),
             Err(error) => {
-                assert!(one_line(&error), "{error}");
+                assert!(is_one_line(&error), "{error}");
                 refused += 1;
             }
         }
@@ -44,24 +44,24 @@
 }
 
 #[test]
-fn a_file_that_is_no_store_is_refused_in_one_line() {
+fn a_file_that_is_not_a_store_is_refused_in_one_line() {
     let directory = Directory::new("foreign");
     fs::create_dir_all(&directory.0).unwrap();
     let file = directory.0.join(FILE_NAME);
     for content in ["", "[planner]\nname = \"a\"\n", "\0\0\0\0"] {
         fs::write(&file, content).unwrap();
         let error = DiskStore::open(&directory.0).unwrap_err();
-        assert!(one_line(&error) && error.0.contains(FILE_NAME), "{error}");
+        assert!(is_one_line(&error) && error.0.contains(FILE_NAME), "{error}");
         assert_eq!(fs::read_to_string(&file).unwrap(), content);
     }
     fs::remove_file(&file).unwrap();
     fs::create_dir(&file).unwrap();
-    assert!(one_line(&DiskStore::open(&directory.0).unwrap_err()));
+    assert!(is_one_line(&DiskStore::open(&directory.0).unwrap_err()));
     fs::remove_dir(&file).unwrap();
-    // A database of something else.
+    // A redb database without the store's tables.
     drop(redb::Database::create(&file).unwrap());
     let error = DiskStore::open(&directory.0).unwrap_err();
-    assert!(one_line(&error), "{error}");
+    assert!(is_one_line(&error), "{error}");
 }
 
 #[test]
