--- a/src/revisions/agreement.rs
+++ b/src/revisions/agreement.rs
@@ -1,8 +1,9 @@
-//! Agreement among planners on the sequence of revisions: the Raft consensus algorithm (Ongaro and Ousterhout, "In Search
-//! of an Understandable Consensus Algorithm", 2014) by the `raft` crate, without I/O and without a clock of its own.
+//! Agreement among planners on the sequence of revisions: the Raft consensus algorithm (Ongaro and Ousterhout, "In
+//! Search of an Understandable Consensus Algorithm", 2014) by the `raft` crate, without I/O and without a clock of its
+//! own.
 //!
-//! A log entry is a [`Proposal`]. It becomes a revision if it was made against the revision in force at its position in the
-//! log, and is refused otherwise. All replicas decide the same, so no number ever has two contents.
+//! A log entry is a [`Proposal`]. It becomes a revision if it was made against the revision in force at its position in
+//! the log, and is refused otherwise. All replicas decide the same, so no number ever has two contents.
 //!
 //! The set of voters is fixed: membership changes are not supported. Voters of one group run the same version of the
 //! program, since each applies the log by itself.
@@ -34,7 +35,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct VoterId(pub u64);
 
-/// Identifies a proposal across planners and restarts, so that the replica it was submitted to recognises it in the log.
+/// Identifies a proposal across planners and restarts, so that the replica it was submitted to recognises it in the
+/// log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ProposalId(pub u128);
 
@@ -56,8 +58,8 @@
 /// The reason why a proposal did not become a revision, as far as is known.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ProposalError {
-    /// The revision in force is not the expected one. A proposal that is submitted again after [`KEPT_OUTCOMES`] others gets
-    /// this answer even if it was accepted the first time.
+    /// The revision in force is not the expected one. A proposal that is submitted again after [`KEPT_OUTCOMES`] others
+    /// gets this answer even if it was accepted the first time.
     Conflict {
         /// The revision in force.
         newest: RevisionId,
@@ -195,8 +197,8 @@
         })
     }
 
-    /// Handles one event and appends the resulting actions. `now` must not decrease between calls. The state that the actions
-    /// depend on is on disk when this returns.
+    /// Handles one event and appends the resulting actions. `now` must not decrease between calls. The state that the
+    /// actions depend on is on disk when this returns.
     ///
     /// # Errors
     ///
@@ -233,8 +235,8 @@
         self.state_machine.revision(number)
     }
 
-    /// Whether a majority is in contact, as far as this replica knows: it leads and a majority answers, or it receives a
-    /// leader's messages. A loss is detected after 10 to 20 ticks.
+    /// Whether a majority is in contact, as far as this replica knows: it leads and a majority answers, or it receives
+    /// a leader's messages. A loss is detected after 10 to 20 ticks.
     pub fn has_quorum(&self) -> bool {
         self.leader().is_some()
     }
@@ -309,8 +311,8 @@
 
     fn tick(&mut self, now: Duration, actions: &mut Vec<Action>) {
         if now >= self.next_tick {
-            // Ticks missed during a pause of this process are skipped: made up for, they would count as silence of the others
-            // and start an election.
+            // Ticks missed during a pause of this process are skipped: made up for, they would count as silence of the
+            // others and start an election.
             let next = self.next_tick + self.parameters.tick;
             self.next_tick = if next > now { next } else { now + self.parameters.tick };
             self.election_timeouts.set_timeout(&mut self.node.raft);
@@ -326,8 +328,8 @@
         }
     }
 
-    /// Reports snapshots without confirmation as failed. A leader sends a voter no further entries until the voter confirms
-    /// the snapshot, and the message may be lost.
+    /// Reports snapshots without confirmation as failed. A leader sends a voter no further entries until the voter
+    /// confirms the snapshot, and the message may be lost.
     fn report_lost_snapshots(&mut self) {
         let raft = &self.node.raft;
         let leads = raft.state == StateRole::Leader;
@@ -484,7 +486,8 @@
     StateMachine::decode(&snapshot.data).ok_or_else(|| StoreError("the snapshot can't be read".into()))
 }
 
-/// Applies a log entry. Returns `None` for the empty entry at the start of a leader's term, and for one that can't be decoded.
+/// Applies a log entry. Returns `None` for the empty entry at the start of a leader's term, and for one that can't be
+/// decoded.
 fn apply_entry(state_machine: &mut StateMachine, entry: &Entry) -> Option<machine::Applied> {
     if entry.data.is_empty() {
         return None;
--- a/src/revisions/agreement/election.rs
+++ b/src/revisions/agreement/election.rs
@@ -1,5 +1,5 @@
-//! Randomised election timeouts. Each attempt draws a new one, so that replicas that start an election together don't keep
-//! doing so. The generator is seeded with the voter's id, so that a run can be reproduced.
+//! Randomised election timeouts. Each attempt draws a new one, so that replicas that start an election together don't
+//! keep doing so. The generator is seeded with the voter's id, so that a run can be reproduced.
 
 use super::{VoterId, ELECTION_TICKS};
 use crate::random::Random;
--- a/src/revisions/agreement/machine.rs
+++ b/src/revisions/agreement/machine.rs
@@ -1,14 +1,14 @@
-//! The replicated state machine: the newest revisions and the outcomes of the latest proposals. Replicas that apply the same
-//! log have the same state.
+//! The replicated state machine: the newest revisions and the outcomes of the latest proposals. Replicas that apply the
+//! same log have the same state.
 
 use super::{Proposal, ProposalError, ProposalId, KEPT_REVISIONS, MAX_AUTHOR_BYTES};
 use crate::revisions::{Revision, RevisionId, RevisionNumber};
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// The number of proposals whose outcome is kept, so that a repeated submission is answered with the first outcome. An older
-/// proposal that was accepted can't be accepted twice either: its expected revision is no longer the newest, so the answer is
-/// a conflict.
+/// The number of proposals whose outcome is kept, so that a repeated submission is answered with the first outcome. An
+/// older proposal that was accepted can't be accepted twice either: its expected revision is no longer the newest, so
+/// the answer is a conflict.
 pub const KEPT_OUTCOMES: usize = 1024;
 
 /// The outcome of a proposal: the revision that it became, or why it did not become one.
--- a/src/revisions/agreement/tests.rs
+++ b/src/revisions/agreement/tests.rs
@@ -210,7 +210,8 @@
     assert!(group.submit(leader, 3).is_ok());
     assert_eq!(group.submit_against(follower, 1, RevisionId::none()), first);
     assert_eq!(group.submit_against(follower, 2, RevisionId::none()), refused);
-    // One proposal is pending at two replicas, at one of them twice: it is applied once, and each replica reports one outcome.
+    // One proposal is pending at two replicas, at one of them twice: it is applied once, and each replica reports one
+    // outcome.
     group.decided.clear();
     let expected = group.replica(leader).newest().unwrap().id;
     group.handle(leader, Event::Propose(Box::new(proposal(4, expected))));
--- a/src/revisions/agreement/tests/recorded.rs
+++ b/src/revisions/agreement/tests/recorded.rs
@@ -1,4 +1,5 @@
-//! A store, messages and proposals recorded with an earlier build: a planner must be able to start with an existing store.
+//! A store, messages and proposals recorded with an earlier build: a planner must be able to start with an existing
+//! store.
 
 use super::*;
 use crate::fixtures::{hex, record, records};
--- a/src/revisions/distribution.rs
+++ b/src/revisions/distribution.rs
@@ -1,4 +1,5 @@
-//! A planner's part in handing revisions on: which initiator holds what, who is to be sent what, who is missing.
+//! A planner's distribution of revisions to initiators. The [`Distributor`] tracks which revision each initiator has,
+//! sends the newest one to subscribed connections at a limited rate, and reports the status of each initiator.
 
 use super::delta::Delta;
 use super::{
@@ -8,148 +9,148 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// One connection of an initiator, by the server's number for it.
+/// The server's id for one connection of an initiator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnectionId(pub usize);
 
-/// What happens to the distributor.
+/// An input of the distributor.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// An initiator has connected and said its name.
+    /// An initiator has connected and sent its name.
     Connected {
-        /// Its connection.
+        /// The initiator's connection.
         connection: ConnectionId,
-        /// Its name.
+        /// The initiator's name.
         initiator: String,
     },
     /// A connection has ended.
     Disconnected(ConnectionId),
-    /// An initiator wants to be sent revisions on this connection, and says what it holds.
+    /// An initiator subscribes to revisions on this connection.
     Subscribed {
-        /// Its connection.
+        /// The initiator's connection.
         connection: ConnectionId,
-        /// What it holds.
+        /// The revision in force at the initiator.
         holds: RevisionId,
     },
-    /// It no longer does.
+    /// An initiator cancels its subscription on this connection.
     Unsubscribed(ConnectionId),
-    /// An initiator says what became of a revision. It tells all planners that it is connected to.
+    /// An initiator acknowledges or refuses a revision. It sends this to every planner that it is connected to.
     Acknowledged {
-        /// Its connection.
+        /// The initiator's connection.
         connection: ConnectionId,
-        /// What it says.
+        /// The acknowledgement.
         acknowledgement: Acknowledgement,
     },
     /// The planners have accepted a revision.
     Accepted(Revision),
-    /// A timer is due.
+    /// The time of [`Distributor::next_timer`] has come.
     Tick,
 }
 
-/// What the distributor's owner is to do.
+/// An output of the distributor, for its owner to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send an update to an initiator.
     Send {
-        /// Its connection.
+        /// The initiator's connection.
         connection: ConnectionId,
-        /// What to send.
+        /// The update.
         update: Update,
     },
 }
 
-/// What is known of one initiator.
+/// The status of one initiator as this planner knows it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct InitiatorStatus {
-    /// Its name.
+    /// The initiator's name.
     pub initiator: String,
-    /// Whether it is connected to this planner.
+    /// Whether the initiator is connected to this planner.
     pub connected: bool,
-    /// The revision that it last said is in force there.
+    /// The revision in force at the initiator, by its last message.
     pub in_force: RevisionId,
-    /// The revision that it refused since, and why.
+    /// The last revision that the initiator refused since, and the reason.
     pub refused: Option<(RevisionId, String)>,
-    /// How long ago it was last heard, in milliseconds; 0 while connected.
+    /// Milliseconds since the initiator disconnected; 0 while it is connected.
     pub silent_ms: u64,
 }
 
-/// The longest name of an initiator, in bytes; one with a longer name is sent nothing.
+/// Limit on an initiator's name, in bytes. An initiator with a longer name receives no updates.
 pub const MAX_INITIATOR_NAME_BYTES: usize = 255;
-/// Initiators that are remembered. With more, those are forgotten first that have not been connected for the longest time.
+/// Limit on the initiators with a status. Beyond it, the one that has been disconnected longest is dropped first.
 pub const MAX_INITIATORS: usize = 8192;
-/// How long an initiator is remembered that is not connected.
+/// Time for which the status of a disconnected initiator is kept.
 pub const INITIATOR_RETENTION: Duration = Duration::from_secs(24 * 60 * 60);
-/// Updates that are on their way at once, not yet acknowledged.
+/// Limit on updates in flight, which are sent and not acknowledged.
 pub const MAX_UNACKNOWLEDGED: usize = 64;
-/// Updates that are sent at most within one [`SEND_INTERVAL`]: 1,600 a second, so that many that come back at once are served one
-/// after the other.
+/// Limit on updates sent per [`SEND_INTERVAL`]: 1,600 a second, so that many initiators that reconnect at once are
+/// served one after the other.
 pub const MAX_UPDATES_PER_INTERVAL: usize = 16;
-/// See [`MAX_UPDATES_PER_INTERVAL`].
+/// The interval in which at most [`MAX_UPDATES_PER_INTERVAL`] updates are sent.
 pub const SEND_INTERVAL: Duration = Duration::from_millis(10);
-/// An update that is not acknowledged within this time is sent again, as a whole. Initiators that are gone without a word
-/// hold up to [`MAX_UNACKNOWLEDGED`] places for so long.
+/// Time after which an update without acknowledgement is sent again, with the full document. For this long, initiators
+/// that vanished without closing their connection can occupy up to [`MAX_UNACKNOWLEDGED`] updates in flight.
 pub const ACKNOWLEDGEMENT_TIMEOUT: Duration = Duration::from_secs(1);
-/// How often one revision is sent on one connection. An initiator that does not acknowledge any of them is left alone until
-/// the next revision, or until it subscribes again. All tries together take longer than a planner bears with a connection
-/// that is silent, so one that was stopped for a while comes back on another connection.
+/// Limit on the times that one revision is sent on one connection. An initiator that acknowledges none of them is sent
+/// nothing until the next revision, or until it subscribes again. All sends together take longer than a planner's
+/// timeout for silent connections, so an initiator that was suspended for a while reconnects and subscribes again.
 pub const MAX_SENDS: u32 = 4;
-/// Revisions that changes can be made to; an initiator that holds an older one gets the whole.
+/// Number of revisions that changes can be based on; an initiator with an older one is sent the full document.
 pub const DELTA_BASE_REVISIONS: usize = 16;
-/// The longest reason of a refusal that is kept, in bytes.
+/// Limit on the stored reason of a refusal, in bytes.
 pub const MAX_REASON_BYTES: usize = 512;
 
-/// What is remembered of one initiator.
+/// The state kept for one initiator, by name.
 struct Initiator {
-    /// Its latest connection, while that lasts.
+    /// The initiator's latest connection, while it is open.
     connection: Option<ConnectionId>,
     in_force: RevisionId,
     refused: Option<(RevisionId, String)>,
-    /// When it was connected last, where it is not.
-    heard: Duration,
+    /// The time of the last disconnect; not used while the initiator is connected.
+    disconnected_at: Duration,
 }
 
-/// What is known of one connection.
+/// The state of one connection.
 struct Subscriber {
     initiator: String,
     subscribed: bool,
     holds: RevisionId,
-    /// What it refused last, on this connection.
+    /// The last revision that was refused on this connection.
     refused: Option<RevisionId>,
-    /// How often the newest revision was sent.
-    tries: u32,
-    /// Changes did not get through: it gets the whole next.
-    wants_whole: bool,
-    /// It waits in the queue.
+    /// Number of times the newest revision was sent on this connection.
+    sends: u32,
+    /// Whether the next update has the full document, because changes were not applied or not acknowledged.
+    needs_full: bool,
+    /// Whether the connection is in the queue.
     queued: bool,
 }
 
-/// An update on its way.
+/// An update in flight.
 struct Unacknowledged {
     id: RevisionId,
-    /// When it is sent again.
-    until: Duration,
+    /// The time at which the update is sent again.
+    resend_at: Duration,
 }
 
-/// Hands revisions on to the initiators that are connected to one planner.
+/// Distributes revisions to the initiators that are connected to one planner.
 #[derive(Default)]
 pub struct Distributor {
     initiators: BTreeMap<String, Initiator>,
     connections: BTreeMap<ConnectionId, Subscriber>,
-    /// The newest revisions, in order.
-    known: VecDeque<Revision>,
-    /// Contents of updates to the newest revision, by the revision that they lead on from; none: the whole.
+    /// The newest revisions in ascending order, at most [`DELTA_BASE_REVISIONS`].
+    recent: VecDeque<Revision>,
+    /// Cached contents of updates to the newest revision, by base revision; `None` is the full document.
     contents: BTreeMap<Option<RevisionNumber>, UpdateContent>,
-    /// Who is to be sent the newest revision, in the order of asking.
+    /// Connections that are to be sent the newest revision, first in, first out.
     queue: VecDeque<ConnectionId>,
-    /// Who was sent an update and has not answered.
+    /// Connections with an update in flight.
     unacknowledged: BTreeMap<ConnectionId, Unacknowledged>,
-    /// When the present spacing ends, and how many updates were sent in it.
-    spacing_end: Duration,
-    sent_in_spacing: usize,
+    /// The end of the current send interval, and the number of updates sent in it.
+    interval_end: Duration,
+    sent_in_interval: usize,
 }
 
 impl Distributor {
-    /// Takes one event, at a time that only grows.
+    /// Handles one event and appends the resulting actions. `now` must not decrease between calls.
     pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Connected { connection, initiator } => self.connect(now, connection, initiator),
@@ -162,21 +163,21 @@
             Event::Accepted(revision) => self.accept(revision),
             Event::Tick => {}
         }
-        self.time_out(now);
+        self.resend_overdue(now);
         self.send_queued(now, actions);
     }
 
-    /// When [`Event::Tick`] is due, if it is.
+    /// The time at which [`Event::Tick`] is due next, if any.
     pub fn next_timer(&self) -> Option<Duration> {
-        let timeout = self.unacknowledged.values().map(|sent| sent.until).min();
+        let timeout = self.unacknowledged.values().map(|sent| sent.resend_at).min();
         let may_send = !self.queue.is_empty() && self.unacknowledged.len() < MAX_UNACKNOWLEDGED;
-        timeout.into_iter().chain(may_send.then_some(self.spacing_end)).min()
+        timeout.into_iter().chain(may_send.then_some(self.interval_end)).min()
     }
 
-    /// All initiators that are connected, or were within the last day; sorted by name.
+    /// The status of all initiators that are connected or were within [`INITIATOR_RETENTION`], sorted by name.
     pub fn status(&self, now: Duration) -> Vec<InitiatorStatus> {
-        let remembered = self.initiators.iter().filter(|(_, initiator)| !initiator.is_forgotten(now));
-        remembered.map(|(name, initiator)| initiator.status(name, now)).collect()
+        let kept = self.initiators.iter().filter(|(_, initiator)| !initiator.is_expired(now));
+        kept.map(|(name, initiator)| initiator.status(name, now)).collect()
     }
 
     fn connect(&mut self, now: Duration, connection: ConnectionId, name: String) {
@@ -184,40 +185,42 @@
             return;
         }
         self.disconnect(now, connection);
-        // Of two connections of one name the later counts: the earlier is of a process that has gone.
+        // A new connection replaces an earlier one of the same name, which belongs to a process that has ended.
         if let Some(earlier) = self.initiators.get(&name).and_then(|initiator| initiator.connection) {
             self.disconnect(now, earlier);
         }
-        self.make_room(now, &name);
+        self.make_room_for(now, &name);
         let none = RevisionId::none();
         if self.initiators.len() < MAX_INITIATORS || self.initiators.contains_key(&name) {
-            let fresh = Initiator { connection: None, in_force: none, refused: None, heard: now };
-            self.initiators.entry(name.clone()).or_insert(fresh).connection = Some(connection);
+            let new_initiator =
+                Initiator { connection: None, in_force: none, refused: None, disconnected_at: now };
+            self.initiators.entry(name.clone()).or_insert(new_initiator).connection = Some(connection);
         }
         let subscriber = Subscriber {
             initiator: name,
             subscribed: false,
             holds: none,
             refused: None,
-            tries: 0,
-            wants_whole: false,
+            sends: 0,
+            needs_full: false,
             queued: false,
         };
         self.connections.insert(connection, subscriber);
     }
 
-    /// Forgets who has not been connected for long, where there is no room for another name.
-    fn make_room(&mut self, now: Duration, name: &str) {
+    /// Drops expired initiators if the limit is reached, or else the one that has been disconnected longest.
+    fn make_room_for(&mut self, now: Duration, name: &str) {
         if self.initiators.len() < MAX_INITIATORS || self.initiators.contains_key(name) {
             return;
         }
-        self.initiators.retain(|_, initiator| !initiator.is_forgotten(now));
+        self.initiators.retain(|_, initiator| !initiator.is_expired(now));
         if self.initiators.len() < MAX_INITIATORS {
             return;
         }
-        let gone = self.initiators.iter().filter(|(_, initiator)| initiator.connection.is_none());
-        let longest_gone = gone.min_by_key(|(_, initiator)| initiator.heard).map(|(name, _)| name.clone());
-        if let Some(name) = longest_gone {
+        let disconnected = self.initiators.iter().filter(|(_, initiator)| initiator.connection.is_none());
+        let longest_disconnected =
+            disconnected.min_by_key(|(_, initiator)| initiator.disconnected_at).map(|(name, _)| name.clone());
+        if let Some(name) = longest_disconnected {
             self.initiators.remove(&name);
         }
     }
@@ -230,14 +233,14 @@
         }
         let initiator = self.initiators.get_mut(&subscriber.initiator);
         if let Some(initiator) = initiator.filter(|initiator| initiator.connection == Some(connection)) {
-            (initiator.connection, initiator.heard) = (None, now);
+            (initiator.connection, initiator.disconnected_at) = (None, now);
         }
     }
 
     fn subscribe(&mut self, connection: ConnectionId, holds: RevisionId) {
         let Some(subscriber) = self.connections.get_mut(&connection) else { return };
         subscriber.subscribed = true;
-        (subscriber.holds, subscriber.tries, subscriber.wants_whole) = (holds, 0, false);
+        (subscriber.holds, subscriber.sends, subscriber.needs_full) = (holds, 0, false);
         self.unacknowledged.remove(&connection);
         if let Some(initiator) = self.initiators.get_mut(&subscriber.initiator) {
             initiator.in_force = holds;
@@ -256,7 +259,7 @@
         let Some(subscriber) = self.connections.get_mut(&connection) else { return };
         let initiator = self.initiators.get_mut(&subscriber.initiator);
         let Acknowledgement { id, outcome } = acknowledgement;
-        // It also says what came of updates of other planners, which answers nothing here.
+        // Acknowledgements of other planners' updates arrive here too, and don't answer an update of this planner.
         let sent = self.unacknowledged.get(&connection).map(|sent| sent.id);
         let has_gap = sent.is_some_and(|sent| sent != id)
             && subscriber.holds == id
@@ -266,9 +269,9 @@
         }
         match outcome {
             AcknowledgementOutcome::InForce => {
-                subscriber.wants_whole = has_gap;
+                subscriber.needs_full = has_gap;
                 if id.number > subscriber.holds.number {
-                    subscriber.tries = 0;
+                    subscriber.sends = 0;
                 }
                 subscriber.holds = id;
                 if let Some(initiator) = initiator {
@@ -279,7 +282,7 @@
             AcknowledgementOutcome::Refused(why) => {
                 subscriber.refused = Some(id);
                 if let Some(initiator) = initiator {
-                    initiator.refused = Some((id, shortened(why)));
+                    initiator.refused = Some((id, truncated(why)));
                 }
             }
         }
@@ -287,48 +290,48 @@
     }
 
     fn accept(&mut self, revision: Revision) {
-        if self.known.back().is_some_and(|newest| newest.id.number >= revision.id.number) {
+        if self.recent.back().is_some_and(|newest| newest.id.number >= revision.id.number) {
             return;
         }
-        self.known.push_back(revision);
-        if self.known.len() > DELTA_BASE_REVISIONS {
-            self.known.pop_front();
+        self.recent.push_back(revision);
+        if self.recent.len() > DELTA_BASE_REVISIONS {
+            self.recent.pop_front();
         }
         self.contents.clear();
         for subscriber in self.connections.values_mut() {
-            subscriber.tries = 0;
+            subscriber.sends = 0;
         }
         let connections: Vec<ConnectionId> = self.connections.keys().copied().collect();
         connections.into_iter().for_each(|connection| self.enqueue(connection));
     }
 
-    /// Sends again what was not acknowledged in time.
-    fn time_out(&mut self, now: Duration) {
-        let due = self.unacknowledged.iter().filter(|(_, sent)| sent.until <= now);
+    /// Queues updates that were not acknowledged in time to be sent again.
+    fn resend_overdue(&mut self, now: Duration) {
+        let due = self.unacknowledged.iter().filter(|(_, sent)| sent.resend_at <= now);
         let due: Vec<ConnectionId> = due.map(|(connection, _)| *connection).collect();
         for connection in due {
             self.unacknowledged.remove(&connection);
             if let Some(subscriber) = self.connections.get_mut(&connection) {
-                subscriber.wants_whole = true;
+                subscriber.needs_full = true;
             }
             self.enqueue(connection);
         }
     }
 
-    /// Whether a connection is to be sent the newest revision.
-    fn lacks_newest(&self, connection: ConnectionId) -> bool {
-        let (Some(subscriber), Some(newest)) = (self.connections.get(&connection), self.known.back()) else {
+    /// Whether to send the newest revision on a connection.
+    fn needs_update(&self, connection: ConnectionId) -> bool {
+        let (Some(subscriber), Some(newest)) = (self.connections.get(&connection), self.recent.back()) else {
             return false;
         };
         subscriber.subscribed
             && subscriber.holds.number < newest.id.number
             && subscriber.refused != Some(newest.id)
-            && subscriber.tries < MAX_SENDS
+            && subscriber.sends < MAX_SENDS
             && !self.unacknowledged.contains_key(&connection)
     }
 
     fn enqueue(&mut self, connection: ConnectionId) {
-        if !self.lacks_newest(connection) {
+        if !self.needs_update(connection) {
             return;
         }
         let Some(subscriber) = self.connections.get_mut(&connection) else { return };
@@ -339,36 +342,36 @@
     }
 
     fn send_queued(&mut self, now: Duration, actions: &mut Vec<Action>) {
-        if self.spacing_end <= now {
-            (self.spacing_end, self.sent_in_spacing) = (now + SEND_INTERVAL, 0);
+        if self.interval_end <= now {
+            (self.interval_end, self.sent_in_interval) = (now + SEND_INTERVAL, 0);
         }
         while self.unacknowledged.len() < MAX_UNACKNOWLEDGED
-            && self.sent_in_spacing < MAX_UPDATES_PER_INTERVAL
+            && self.sent_in_interval < MAX_UPDATES_PER_INTERVAL
         {
             let Some(connection) = self.queue.pop_front() else { return };
             if let Some(subscriber) = self.connections.get_mut(&connection) {
                 subscriber.queued = false;
             }
-            // What it lacks may have come to it in another way since.
-            if !self.lacks_newest(connection) {
+            // Another planner may have sent the revision in the meantime.
+            if !self.needs_update(connection) {
                 continue;
             }
             if let Some(update) = self.update_for(connection) {
-                self.sent_in_spacing += 1;
-                let until = now + ACKNOWLEDGEMENT_TIMEOUT;
-                self.unacknowledged.insert(connection, Unacknowledged { id: update.id, until });
+                self.sent_in_interval += 1;
+                let resend_at = now + ACKNOWLEDGEMENT_TIMEOUT;
+                self.unacknowledged.insert(connection, Unacknowledged { id: update.id, resend_at });
                 actions.push(Action::Send { connection, update });
             }
         }
     }
 
-    /// What leads a connection to the newest revision.
+    /// Builds the update to the newest revision for a connection, and counts it as sent.
     fn update_for(&mut self, connection: ConnectionId) -> Option<Update> {
         let subscriber = self.connections.get_mut(&connection)?;
-        subscriber.tries += 1;
-        let newest = self.known.back()?;
-        let held = self.known.iter().find(|revision| revision.id == subscriber.holds);
-        let base = held.filter(|_| !subscriber.wants_whole);
+        subscriber.sends += 1;
+        let newest = self.recent.back()?;
+        let current = self.recent.iter().find(|revision| revision.id == subscriber.holds);
+        let base = current.filter(|_| !subscriber.needs_full);
         let key = base.map(|revision| revision.id.number);
         let content = self.contents.entry(key).or_insert_with(|| content_between(base, newest));
         Some(Update { id: newest.id, content: content.clone() })
@@ -376,13 +379,13 @@
 }
 
 impl Initiator {
-    fn is_forgotten(&self, now: Duration) -> bool {
-        self.connection.is_none() && now.saturating_sub(self.heard) >= INITIATOR_RETENTION
+    fn is_expired(&self, now: Duration) -> bool {
+        self.connection.is_none() && now.saturating_sub(self.disconnected_at) >= INITIATOR_RETENTION
     }
 
     fn status(&self, name: &str, now: Duration) -> InitiatorStatus {
         let connected = self.connection.is_some();
-        let silent = if connected { Duration::ZERO } else { now.saturating_sub(self.heard) };
+        let silent = if connected { Duration::ZERO } else { now.saturating_sub(self.disconnected_at) };
         InitiatorStatus {
             initiator: name.to_string(),
             connected,
@@ -393,27 +396,27 @@
     }
 }
 
-/// The changes from one revision to the newest, where they are shorter than the whole; otherwise that.
+/// The changes from the base to the newest revision if they are shorter than the full document, else the full document.
 fn content_between(base: Option<&Revision>, newest: &Revision) -> UpdateContent {
-    let whole = UpdateContent::Full(newest.document.clone());
-    let Some(base) = base else { return whole };
+    let full = UpdateContent::Full(newest.document.clone());
+    let Some(base) = base else { return full };
     let delta = Delta::between(&base.document, &newest.document);
     let changes = UpdateContent::Changes { base: base.id, delta };
-    if encoded_length(&changes) < encoded_length(&whole) {
+    if encoded_length(&changes) < encoded_length(&full) {
         changes
     } else {
-        whole
+        full
     }
 }
 
-/// Bytes of a content on the link.
+/// The encoded length of a content, in bytes.
 fn encoded_length(content: &UpdateContent) -> usize {
-    // What can't be encoded is not sent either.
+    // Content that can't be encoded counts as too long to be chosen.
     postcard::to_stdvec(content).map_or(usize::MAX, |bytes| bytes.len())
 }
 
-/// A reason, cut to what is kept of it.
-fn shortened(mut why: String) -> String {
+/// Cuts a reason to [`MAX_REASON_BYTES`].
+fn truncated(mut why: String) -> String {
     why.truncate(why.floor_char_boundary(MAX_REASON_BYTES));
     why
 }
--- a/src/revisions/distribution/tests.rs
+++ b/src/revisions/distribution/tests.rs
@@ -9,7 +9,7 @@
     Duration::from_millis(count)
 }
 
-/// A document of some size, of which each number changes one figure.
+/// A document with eight plans; the number determines one value.
 fn document(number: u64) -> Document {
     let figures = |rate| PlanOverrides { ceiling_rate: Some(rate), ..PlanOverrides::default() };
     let plans = (0..8).map(|plan| (format!("plan-{plan}"), figures(10.0 + plan as f64)));
@@ -28,14 +28,14 @@
     revision(number).id
 }
 
-struct Bed {
+struct Fixture {
     distributor: Distributor,
     now: Duration,
 }
 
-impl Bed {
+impl Fixture {
     fn new() -> Self {
-        Bed { distributor: Distributor::default(), now: START }
+        Fixture { distributor: Distributor::default(), now: START }
     }
 
     fn handle(&mut self, event: Event) -> Vec<(ConnectionId, Update)> {
@@ -98,309 +98,320 @@
 }
 
 /// The number and the base of the only update.
-fn only(sent: Vec<(ConnectionId, Update)>) -> (u64, Option<u64>) {
+fn number_and_base(sent: Vec<(ConnectionId, Update)>) -> (u64, Option<u64>) {
     assert_eq!(sent.len(), 1, "{sent:?}");
     (sent[0].1.id.number.0, base_of(&sent[0].1))
 }
 
 #[test]
-fn a_subscriber_gets_the_whole_at_first_and_then_what_changed() {
-    let mut bed = Bed::new();
-    bed.connect(1, "i-1");
-    assert!(bed.subscribe(1, 0).is_empty(), "there is no revision yet");
-    assert_eq!(only(bed.accept(1)), (1, None));
-    assert!(bed.in_force(1, 1).is_empty());
-    assert_eq!(only(bed.accept(2)), (2, Some(1)));
-    assert!(bed.in_force(1, 2).is_empty());
-    assert_eq!(bed.distributor.next_timer(), None, "nothing is due while nothing changes");
+fn a_subscriber_is_sent_the_full_document_first_and_then_changes() {
+    let mut fixture = Fixture::new();
+    fixture.connect(1, "i-1");
+    assert!(fixture.subscribe(1, 0).is_empty(), "there is no revision yet");
+    assert_eq!(number_and_base(fixture.accept(1)), (1, None));
+    assert!(fixture.in_force(1, 1).is_empty());
+    assert_eq!(number_and_base(fixture.accept(2)), (2, Some(1)));
+    assert!(fixture.in_force(1, 2).is_empty());
+    assert_eq!(fixture.distributor.next_timer(), None, "no timer is due without a new revision");
 }
 
 #[test]
-fn only_who_subscribed_is_sent_anything() {
-    let mut bed = Bed::new();
-    bed.connect(1, "i-1");
-    assert!(bed.in_force(1, 0).is_empty());
-    assert!(bed.accept(1).is_empty());
-    assert_eq!(only(bed.subscribe(1, 0)), (1, None));
-    assert!(bed.handle(Event::Unsubscribed(ConnectionId(1))).is_empty());
-    assert!(bed.accept(2).is_empty());
-    assert_eq!(bed.distributor.next_timer(), None);
-    assert!(bed.handle(Event::Subscribed { connection: ConnectionId(9), holds: id(0) }).is_empty());
+fn only_subscribed_connections_are_sent_updates() {
+    let mut fixture = Fixture::new();
+    fixture.connect(1, "i-1");
+    assert!(fixture.in_force(1, 0).is_empty());
+    assert!(fixture.accept(1).is_empty());
+    assert_eq!(number_and_base(fixture.subscribe(1, 0)), (1, None));
+    assert!(fixture.handle(Event::Unsubscribed(ConnectionId(1))).is_empty());
+    assert!(fixture.accept(2).is_empty());
+    assert_eq!(fixture.distributor.next_timer(), None);
+    assert!(fixture.handle(Event::Subscribed { connection: ConnectionId(9), holds: id(0) }).is_empty());
 }
 
 #[test]
-fn one_that_missed_a_few_gets_changes_and_one_that_missed_many_the_whole() {
-    let mut bed = Bed::new();
+fn a_recent_base_gets_changes_and_an_old_or_unknown_one_the_full_document() {
+    let mut fixture = Fixture::new();
     for number in 1..=DELTA_BASE_REVISIONS as u64 + 1 {
-        bed.accept(number);
+        fixture.accept(number);
     }
     let newest = DELTA_BASE_REVISIONS as u64 + 1;
-    bed.connect(1, "i-1");
-    assert_eq!(only(bed.subscribe(1, 2)), (newest, Some(2)));
-    bed.connect(2, "i-2");
-    assert_eq!(only(bed.subscribe(2, 1)), (newest, None));
-    // Of the right number, with a content that was never accepted.
-    bed.connect(3, "i-3");
+    fixture.connect(1, "i-1");
+    assert_eq!(number_and_base(fixture.subscribe(1, 2)), (newest, Some(2)));
+    fixture.connect(2, "i-2");
+    assert_eq!(number_and_base(fixture.subscribe(2, 1)), (newest, None));
+    // A number in range with a content that was never accepted.
+    fixture.connect(3, "i-3");
     let foreign = RevisionId { number: RevisionNumber(newest - 1), hash: id(1).hash };
-    let sent = bed.handle(Event::Subscribed { connection: ConnectionId(3), holds: foreign });
-    assert_eq!(only(sent), (newest, None));
+    let sent = fixture.handle(Event::Subscribed { connection: ConnectionId(3), holds: foreign });
+    assert_eq!(number_and_base(sent), (newest, None));
 }
 
 #[test]
-fn changes_that_are_longer_than_the_whole_are_not_sent() {
-    let mut bed = Bed::new();
-    bed.connect(1, "i-1");
-    bed.accept(1);
-    bed.subscribe(1, 1);
+fn the_full_document_is_sent_where_it_is_shorter_than_the_changes() {
+    let mut fixture = Fixture::new();
+    fixture.connect(1, "i-1");
+    fixture.accept(1);
+    fixture.subscribe(1, 1);
     let document = Document::default();
     let id = RevisionId { number: RevisionNumber(2), hash: document.hash() };
     let emptied = Revision { id, document, ..revision(2) };
-    assert_eq!(only(bed.handle(Event::Accepted(emptied))), (2, None));
+    assert_eq!(number_and_base(fixture.handle(Event::Accepted(emptied))), (2, None));
 }
 
 #[test]
-fn who_holds_the_newest_or_a_later_one_is_sent_nothing() {
-    let mut bed = Bed::new();
-    bed.accept(3);
-    bed.connect(1, "i-1");
-    assert!(bed.subscribe(1, 3).is_empty());
-    bed.connect(2, "i-2");
-    assert!(bed.subscribe(2, 4).is_empty(), "this planner is behind");
-    assert!(bed.accept(3).is_empty());
-    assert!(bed.accept(2).is_empty(), "an older one replaces nothing");
-    assert_eq!(bed.distributor.next_timer(), None);
+fn an_initiator_with_the_newest_or_a_later_revision_is_sent_nothing() {
+    let mut fixture = Fixture::new();
+    fixture.accept(3);
+    fixture.connect(1, "i-1");
+    assert!(fixture.subscribe(1, 3).is_empty());
+    fixture.connect(2, "i-2");
+    assert!(fixture.subscribe(2, 4).is_empty(), "this planner is behind");
+    assert!(fixture.accept(3).is_empty());
+    assert!(fixture.accept(2).is_empty(), "an older revision is ignored");
+    assert_eq!(fixture.distributor.next_timer(), None);
 }
 
 #[test]
-fn a_gap_is_answered_with_the_whole() {
-    let mut bed = Bed::new();
-    bed.connect(1, "i-1");
-    bed.accept(1);
-    bed.subscribe(1, 1);
-    assert_eq!(only(bed.accept(2)), (2, Some(1)));
-    // It can't use the changes.
-    assert_eq!(only(bed.in_force(1, 1)), (2, None));
-    assert!(bed.in_force(1, 2).is_empty());
+fn changes_that_are_not_applied_are_followed_by_the_full_document() {
+    let mut fixture = Fixture::new();
+    fixture.connect(1, "i-1");
+    fixture.accept(1);
+    fixture.subscribe(1, 1);
+    assert_eq!(number_and_base(fixture.accept(2)), (2, Some(1)));
+    // It acknowledges its old revision: the base of the changes is missing there.
+    assert_eq!(number_and_base(fixture.in_force(1, 1)), (2, None));
+    assert!(fixture.in_force(1, 2).is_empty());
 }
 
 #[test]
-fn what_came_of_another_planners_update_answers_nothing_here() {
-    let mut bed = Bed::new();
-    bed.connect(1, "i-1");
-    bed.accept(1);
-    bed.subscribe(1, 1);
-    bed.accept(2);
-    assert_eq!(only(bed.accept(3).into_iter().chain(bed.in_force(1, 2)).collect()), (3, Some(2)));
-    assert!(bed.refuse(1, 2).is_empty());
-    let due = bed.distributor.next_timer();
-    assert_eq!(due, Some(START + ACKNOWLEDGEMENT_TIMEOUT), "the third is still out");
-    bed.accept(4);
-    assert!(bed.in_force(1, 4).is_empty(), "it came by another planner");
-    assert_eq!(bed.distributor.next_timer(), due);
-    assert!(bed.in_force(1, 4).is_empty());
+fn acknowledgements_of_other_planners_updates_do_not_answer_an_update_of_this_one() {
+    let mut fixture = Fixture::new();
+    fixture.connect(1, "i-1");
+    fixture.accept(1);
+    fixture.subscribe(1, 1);
+    fixture.accept(2);
+    assert_eq!(
+        number_and_base(fixture.accept(3).into_iter().chain(fixture.in_force(1, 2)).collect()),
+        (3, Some(2))
+    );
+    assert!(fixture.refuse(1, 2).is_empty());
+    let due = fixture.distributor.next_timer();
+    assert_eq!(due, Some(START + ACKNOWLEDGEMENT_TIMEOUT), "the third is still in flight");
+    fixture.accept(4);
+    assert!(fixture.in_force(1, 4).is_empty(), "another planner sent it");
+    assert_eq!(fixture.distributor.next_timer(), due);
+    assert!(fixture.in_force(1, 4).is_empty());
 }
 
 #[test]
-fn a_newer_revision_replaces_one_that_waits_and_follows_one_that_is_out() {
-    let mut bed = Bed::new();
-    bed.connect(1, "i-1");
-    bed.subscribe(1, 0);
-    assert_eq!(only(bed.accept(1)), (1, None));
-    assert!(bed.accept(2).is_empty(), "the first is not acknowledged yet");
-    assert!(bed.accept(3).is_empty());
-    assert_eq!(only(bed.in_force(1, 1)), (3, Some(1)), "the second is left out");
+fn a_newer_revision_replaces_a_waiting_one_and_follows_one_in_flight() {
+    let mut fixture = Fixture::new();
+    fixture.connect(1, "i-1");
+    fixture.subscribe(1, 0);
+    assert_eq!(number_and_base(fixture.accept(1)), (1, None));
+    assert!(fixture.accept(2).is_empty(), "the first is not acknowledged yet");
+    assert!(fixture.accept(3).is_empty());
+    assert_eq!(number_and_base(fixture.in_force(1, 1)), (3, Some(1)), "the second is skipped");
 }
 
 #[test]
-fn what_was_refused_is_not_sent_again_on_the_connection_but_the_next_is() {
-    let mut bed = Bed::new();
-    bed.connect(1, "i-1");
-    bed.accept(1);
-    bed.subscribe(1, 1);
-    bed.accept(2);
-    assert!(bed.refuse(1, 2).is_empty());
-    assert!(bed.tick_at(START + ACKNOWLEDGEMENT_TIMEOUT * 2).is_empty());
-    assert!(bed.subscribe(1, 1).is_empty());
-    let status = bed.status_of("i-1");
+fn a_refused_revision_is_not_sent_again_on_the_connection_but_the_next_is() {
+    let mut fixture = Fixture::new();
+    fixture.connect(1, "i-1");
+    fixture.accept(1);
+    fixture.subscribe(1, 1);
+    fixture.accept(2);
+    assert!(fixture.refuse(1, 2).is_empty());
+    assert!(fixture.tick_at(START + ACKNOWLEDGEMENT_TIMEOUT * 2).is_empty());
+    assert!(fixture.subscribe(1, 1).is_empty());
+    let status = fixture.status_of("i-1");
     assert_eq!((status.in_force, status.refused), (id(1), Some((id(2), "no such plan".into()))));
-    assert_eq!(only(bed.accept(3)), (3, Some(1)));
-    assert!(bed.in_force(1, 3).is_empty());
-    assert_eq!(bed.status_of("i-1").refused, None);
-    bed.accept(4);
-    bed.refuse(1, 4);
-    bed.handle(Event::Disconnected(ConnectionId(1)));
-    bed.connect(2, "i-1");
-    assert_eq!(only(bed.subscribe(2, 3)), (4, Some(3)), "another connection may be another process");
+    assert_eq!(number_and_base(fixture.accept(3)), (3, Some(1)));
+    assert!(fixture.in_force(1, 3).is_empty());
+    assert_eq!(fixture.status_of("i-1").refused, None);
+    fixture.accept(4);
+    fixture.refuse(1, 4);
+    fixture.handle(Event::Disconnected(ConnectionId(1)));
+    fixture.connect(2, "i-1");
+    assert_eq!(
+        number_and_base(fixture.subscribe(2, 3)),
+        (4, Some(3)),
+        "another connection may be another process"
+    );
 }
 
 #[test]
-fn an_update_without_an_answer_is_sent_again_as_a_whole_and_not_for_ever() {
-    let mut bed = Bed::new();
-    bed.connect(1, "i-1");
-    bed.accept(1);
-    bed.subscribe(1, 1);
-    assert_eq!(only(bed.accept(2)), (2, Some(1)));
+fn an_unacknowledged_update_is_sent_again_in_full_a_limited_number_of_times() {
+    let mut fixture = Fixture::new();
+    fixture.connect(1, "i-1");
+    fixture.accept(1);
+    fixture.subscribe(1, 1);
+    assert_eq!(number_and_base(fixture.accept(2)), (2, Some(1)));
     for _ in 1..MAX_SENDS {
-        let due = bed.distributor.next_timer().unwrap();
-        assert_eq!(due, bed.now + ACKNOWLEDGEMENT_TIMEOUT);
-        assert!(bed.tick_at(due - millis(1)).is_empty());
-        assert_eq!(only(bed.tick_at(due)), (2, None));
+        let due = fixture.distributor.next_timer().unwrap();
+        assert_eq!(due, fixture.now + ACKNOWLEDGEMENT_TIMEOUT);
+        assert!(fixture.tick_at(due - millis(1)).is_empty());
+        assert_eq!(number_and_base(fixture.tick_at(due)), (2, None));
     }
-    let due = bed.distributor.next_timer().unwrap();
-    assert!(bed.tick_at(due).is_empty());
-    assert_eq!(bed.distributor.next_timer(), None, "it is left alone");
-    assert_eq!(bed.status_of("i-1").in_force, id(1));
-    assert_eq!(only(bed.accept(3)), (3, None), "until the next revision");
-    let due = (1..MAX_SENDS).fold(bed.now, |now, _| {
-        bed.tick_at(now + ACKNOWLEDGEMENT_TIMEOUT);
-        bed.now
+    let due = fixture.distributor.next_timer().unwrap();
+    assert!(fixture.tick_at(due).is_empty());
+    assert_eq!(fixture.distributor.next_timer(), None, "it is sent nothing more");
+    assert_eq!(fixture.status_of("i-1").in_force, id(1));
+    assert_eq!(number_and_base(fixture.accept(3)), (3, None), "until the next revision");
+    let due = (1..MAX_SENDS).fold(fixture.now, |now, _| {
+        fixture.tick_at(now + ACKNOWLEDGEMENT_TIMEOUT);
+        fixture.now
     });
-    assert!(bed.tick_at(due + ACKNOWLEDGEMENT_TIMEOUT).is_empty());
-    assert_eq!(only(bed.subscribe(1, 1)), (3, Some(1)), "or until it subscribes again");
-    bed.in_force(1, 3);
-    assert_eq!(only(bed.accept(4)), (4, Some(3)), "and then all is as ever");
+    assert!(fixture.tick_at(due + ACKNOWLEDGEMENT_TIMEOUT).is_empty());
+    assert_eq!(number_and_base(fixture.subscribe(1, 1)), (3, Some(1)), "or until it subscribes again");
+    fixture.in_force(1, 3);
+    assert_eq!(number_and_base(fixture.accept(4)), (4, Some(3)), "after that it is sent changes again");
 }
 
 #[test]
-fn many_that_come_back_at_once_are_served_one_after_the_other() {
-    let mut bed = Bed::new();
-    bed.accept(1);
+fn many_initiators_that_reconnect_at_once_are_sent_updates_at_a_limited_rate() {
+    let mut fixture = Fixture::new();
+    fixture.accept(1);
     let count = 460;
     let mut sent = Vec::new();
     for connection in 0..count {
-        bed.connect(connection, &format!("i-{connection}"));
-        sent.extend(bed.subscribe(connection, 0));
+        fixture.connect(connection, &format!("i-{connection}"));
+        sent.extend(fixture.subscribe(connection, 0));
     }
     assert_eq!(sent.len(), MAX_UPDATES_PER_INTERVAL);
-    // Nobody answers: no more than the bound is out.
+    // No acknowledgement arrives: updates in flight stay within the limit.
     for _ in 0..20 {
-        let now = bed.now + SEND_INTERVAL;
-        let more = bed.tick_at(now);
+        let now = fixture.now + SEND_INTERVAL;
+        let more = fixture.tick_at(now);
         assert!(more.len() <= MAX_UPDATES_PER_INTERVAL);
         sent.extend(more);
     }
     assert_eq!(sent.len(), MAX_UNACKNOWLEDGED);
-    // All answer at once: the rest follows, so many in a time.
+    // All are acknowledged at once: the rest follows at the limited rate.
     let (mut served, mut begin) = (BTreeSet::new(), 0);
-    let since = bed.now;
+    let since = fixture.now;
     while served.len() < count {
-        let come: Vec<usize> = sent[begin..].iter().map(|(connection, _)| connection.0).collect();
+        let arrived: Vec<usize> = sent[begin..].iter().map(|(connection, _)| connection.0).collect();
         begin = sent.len();
-        for connection in come {
+        for connection in arrived {
             served.insert(connection);
-            sent.extend(bed.in_force(connection, 1));
+            sent.extend(fixture.in_force(connection, 1));
         }
         if served.len() < count && sent.len() == begin {
-            let due = bed.distributor.next_timer().unwrap();
-            sent.extend(bed.tick_at(due));
+            let due = fixture.distributor.next_timer().unwrap();
+            sent.extend(fixture.tick_at(due));
         }
     }
-    assert_eq!(sent.len(), count, "each once");
+    assert_eq!(sent.len(), count, "one update for each");
     let needed = SEND_INTERVAL * ((count - MAX_UNACKNOWLEDGED) / MAX_UPDATES_PER_INTERVAL) as u32;
-    assert!((needed..=needed + SEND_INTERVAL * 2).contains(&(bed.now - since)), "{:?}", bed.now - since);
-    assert_eq!(bed.distributor.next_timer(), None);
+    assert!(
+        (needed..=needed + SEND_INTERVAL * 2).contains(&(fixture.now - since)),
+        "{:?}",
+        fixture.now - since
+    );
+    assert_eq!(fixture.distributor.next_timer(), None);
 }
 
 #[test]
-fn of_two_connections_of_one_name_the_later_counts() {
-    let mut bed = Bed::new();
-    bed.connect(1, "i-1");
-    bed.accept(1);
-    bed.subscribe(1, 0);
-    bed.connect(2, "i-1");
-    assert!(bed.in_force(1, 1).is_empty());
-    assert_eq!(bed.status_of("i-1").in_force, id(0), "the earlier is not heard any more");
-    assert!(bed.handle(Event::Disconnected(ConnectionId(1))).is_empty());
-    assert!(bed.status_of("i-1").connected);
-    assert_eq!(only(bed.subscribe(2, 0)), (1, None));
-    bed.in_force(2, 1);
-    assert_eq!(only(bed.accept(2)), (2, Some(1)));
-    assert_eq!(bed.distributor.status(bed.now).len(), 1);
+fn a_later_connection_of_the_same_name_replaces_the_earlier() {
+    let mut fixture = Fixture::new();
+    fixture.connect(1, "i-1");
+    fixture.accept(1);
+    fixture.subscribe(1, 0);
+    fixture.connect(2, "i-1");
+    assert!(fixture.in_force(1, 1).is_empty());
+    assert_eq!(fixture.status_of("i-1").in_force, id(0), "the earlier connection is ignored");
+    assert!(fixture.handle(Event::Disconnected(ConnectionId(1))).is_empty());
+    assert!(fixture.status_of("i-1").connected);
+    assert_eq!(number_and_base(fixture.subscribe(2, 0)), (1, None));
+    fixture.in_force(2, 1);
+    assert_eq!(number_and_base(fixture.accept(2)), (2, Some(1)));
+    assert_eq!(fixture.distributor.status(fixture.now).len(), 1);
 }
 
 #[test]
-fn the_end_of_a_connection_that_was_not_remembered_says_nothing_of_a_later_one() {
-    let mut bed = Bed::new();
+fn the_end_of_a_connection_without_status_does_not_affect_a_later_one_of_the_same_name() {
+    let mut fixture = Fixture::new();
     for connection in 0..MAX_INITIATORS {
-        bed.connect(connection, &format!("i-{connection}"));
+        fixture.connect(connection, &format!("i-{connection}"));
     }
-    bed.connect(MAX_INITIATORS, "i-x");
-    assert_eq!(bed.distributor.status(bed.now).len(), MAX_INITIATORS);
-    bed.handle(Event::Disconnected(ConnectionId(0)));
-    bed.connect(MAX_INITIATORS + 1, "i-x");
-    bed.handle(Event::Disconnected(ConnectionId(MAX_INITIATORS)));
-    assert!(bed.status_of("i-x").connected);
+    fixture.connect(MAX_INITIATORS, "i-x");
+    assert_eq!(fixture.distributor.status(fixture.now).len(), MAX_INITIATORS);
+    fixture.handle(Event::Disconnected(ConnectionId(0)));
+    fixture.connect(MAX_INITIATORS + 1, "i-x");
+    fixture.handle(Event::Disconnected(ConnectionId(MAX_INITIATORS)));
+    assert!(fixture.status_of("i-x").connected);
 }
 
 #[test]
-fn who_is_silent_is_told_for_a_day() {
-    let mut bed = Bed::new();
-    bed.connect(1, "i-2");
-    bed.connect(2, "i-1");
-    bed.in_force(1, 0);
-    bed.now += millis(500);
-    bed.handle(Event::Disconnected(ConnectionId(1)));
-    bed.now += millis(1500);
-    let status = bed.distributor.status(bed.now);
+fn a_disconnected_initiator_stays_in_the_status_for_a_day() {
+    let mut fixture = Fixture::new();
+    fixture.connect(1, "i-2");
+    fixture.connect(2, "i-1");
+    fixture.in_force(1, 0);
+    fixture.now += millis(500);
+    fixture.handle(Event::Disconnected(ConnectionId(1)));
+    fixture.now += millis(1500);
+    let status = fixture.distributor.status(fixture.now);
     let names: Vec<&str> = status.iter().map(|one| one.initiator.as_str()).collect();
     assert_eq!(names, ["i-1", "i-2"]);
     assert_eq!((status[0].connected, status[0].silent_ms), (true, 0));
     assert_eq!((status[1].connected, status[1].silent_ms), (false, 1500));
-    bed.now += INITIATOR_RETENTION - millis(1501);
-    assert_eq!(bed.distributor.status(bed.now).len(), 2);
-    bed.now += millis(1);
-    assert_eq!(bed.distributor.status(bed.now).len(), 1);
+    fixture.now += INITIATOR_RETENTION - millis(1501);
+    assert_eq!(fixture.distributor.status(fixture.now).len(), 2);
+    fixture.now += millis(1);
+    assert_eq!(fixture.distributor.status(fixture.now).len(), 1);
 }
 
 #[test]
-fn what_is_remembered_is_bounded() {
-    let mut bed = Bed::new();
-    bed.connect(0, &"x".repeat(MAX_INITIATOR_NAME_BYTES + 1));
-    assert!(bed.distributor.status(bed.now).is_empty());
-    bed.connect(0, &"x".repeat(MAX_INITIATOR_NAME_BYTES));
-    assert_eq!(bed.distributor.status(bed.now).len(), 1);
+fn the_kept_state_is_bounded() {
+    let mut fixture = Fixture::new();
+    fixture.connect(0, &"x".repeat(MAX_INITIATOR_NAME_BYTES + 1));
+    assert!(fixture.distributor.status(fixture.now).is_empty());
+    fixture.connect(0, &"x".repeat(MAX_INITIATOR_NAME_BYTES));
+    assert_eq!(fixture.distributor.status(fixture.now).len(), 1);
     for connection in 1..MAX_INITIATORS + 10 {
-        bed.connect(connection, &format!("i-{connection}"));
-        bed.now += millis(1);
-        bed.handle(Event::Disconnected(ConnectionId(connection)));
+        fixture.connect(connection, &format!("i-{connection}"));
+        fixture.now += millis(1);
+        fixture.handle(Event::Disconnected(ConnectionId(connection)));
     }
-    let status = bed.distributor.status(bed.now);
+    let status = fixture.distributor.status(fixture.now);
     assert_eq!(status.len(), MAX_INITIATORS);
-    assert!(status.iter().any(|one| one.connected), "who is connected is not forgotten");
-    assert!(status.iter().all(|one| one.initiator != "i-1"), "the longest gone is");
-    bed.handle(Event::Acknowledged {
+    assert!(status.iter().any(|one| one.connected), "a connected initiator is kept");
+    assert!(status.iter().all(|one| one.initiator != "i-1"), "the one disconnected longest is dropped");
+    fixture.handle(Event::Acknowledged {
         connection: ConnectionId(0),
         acknowledgement: Acknowledgement {
             id: id(1),
             outcome: AcknowledgementOutcome::Refused("ü".repeat(MAX_REASON_BYTES)),
         },
     });
-    let kept = bed.status_of(&"x".repeat(MAX_INITIATOR_NAME_BYTES)).refused.unwrap().1;
+    let kept = fixture.status_of(&"x".repeat(MAX_INITIATOR_NAME_BYTES)).refused.unwrap().1;
     assert!((MAX_REASON_BYTES - 1..=MAX_REASON_BYTES).contains(&kept.len()));
     for number in 1..100 {
-        bed.accept(number);
+        fixture.accept(number);
     }
-    assert_eq!(bed.distributor.known.len(), DELTA_BASE_REVISIONS);
+    assert_eq!(fixture.distributor.recent.len(), DELTA_BASE_REVISIONS);
 }
 
-/// Initiators of the drawn schedules.
+/// The number of initiators in the random schedules.
 const COUNT: usize = 100;
 
-/// A model of one initiator, on a connection of its own.
+/// A model of one initiator with its own connection.
 struct Model {
     connection: usize,
     connected: bool,
     subscribed: bool,
     holds: u64,
     refused: Option<u64>,
-    /// The update that is on its way to it, and when it was sent.
-    coming: Option<(Update, Duration)>,
-    /// That update will not arrive.
+    /// The update in flight to it, and when that was sent.
+    in_flight: Option<(Update, Duration)>,
+    /// Whether that update is lost.
     is_lost: bool,
 }
 
 struct Schedule {
-    bed: Bed,
+    fixture: Fixture,
     models: Vec<Model>,
     newest: u64,
     next_connection: usize,
@@ -414,63 +425,63 @@
             subscribed: false,
             holds: 0,
             refused: None,
-            coming: None,
+            in_flight: None,
             is_lost: false,
         };
         let models = (0..COUNT).map(model).collect();
-        let mut schedule = Schedule { bed: Bed::new(), models, newest: 0, next_connection: COUNT };
-        for at in 0..COUNT {
-            schedule.connect(at);
-            schedule.subscribe(at);
+        let mut schedule = Schedule { fixture: Fixture::new(), models, newest: 0, next_connection: COUNT };
+        for index in 0..COUNT {
+            schedule.connect(index);
+            schedule.subscribe(index);
         }
         schedule
     }
 
-    /// Hands over an event, and checks what is sent for it.
+    /// Passes an event to the distributor, and checks the updates that it sends.
     fn handle(&mut self, event: Event) {
-        for (connection, update) in self.bed.handle(event) {
+        for (connection, update) in self.fixture.handle(event) {
             let model = self.models.iter_mut().find(|model| model.connection == connection.0).unwrap();
-            assert!(model.connected && model.subscribed, "nobody else is sent anything");
-            assert!(model.holds < self.newest, "nothing is sent to who holds the newest");
-            assert_ne!(model.refused, Some(self.newest), "nothing that was refused is sent again");
+            assert!(model.connected && model.subscribed, "only subscribers are sent updates");
+            assert!(model.holds < self.newest, "an initiator with the newest revision is sent nothing");
+            assert_ne!(model.refused, Some(self.newest), "a refused revision is not sent again");
             assert_eq!(update.id, id(self.newest));
-            (model.coming, model.is_lost) = (Some((update, self.bed.now)), false);
+            (model.in_flight, model.is_lost) = (Some((update, self.fixture.now)), false);
         }
-        let now = self.bed.now;
-        let coming = self.models.iter().filter_map(|model| model.coming.as_ref());
-        let out = coming.filter(|(_, since)| *since + ACKNOWLEDGEMENT_TIMEOUT > now).count();
-        assert!(out <= MAX_UNACKNOWLEDGED, "{out} updates are out");
+        let now = self.fixture.now;
+        let in_flight = self.models.iter().filter_map(|model| model.in_flight.as_ref());
+        let in_flight_count = in_flight.filter(|(_, since)| *since + ACKNOWLEDGEMENT_TIMEOUT > now).count();
+        assert!(in_flight_count <= MAX_UNACKNOWLEDGED, "{in_flight_count} updates are in flight");
     }
 
-    fn connect(&mut self, at: usize) {
+    fn connect(&mut self, index: usize) {
         self.next_connection += 1;
-        let model = &mut self.models[at];
+        let model = &mut self.models[index];
         (model.connection, model.connected, model.subscribed) = (self.next_connection, true, false);
-        (model.refused, model.coming) = (None, None);
+        (model.refused, model.in_flight) = (None, None);
         let connection = ConnectionId(model.connection);
-        self.handle(Event::Connected { connection, initiator: format!("i-{at}") });
-        self.say_in_force(at);
+        self.handle(Event::Connected { connection, initiator: format!("i-{index}") });
+        self.acknowledge_in_force(index);
     }
 
-    fn disconnect(&mut self, at: usize) {
-        let model = &mut self.models[at];
-        (model.connected, model.subscribed, model.coming) = (false, false, None);
+    fn disconnect(&mut self, index: usize) {
+        let model = &mut self.models[index];
+        (model.connected, model.subscribed, model.in_flight) = (false, false, None);
         let connection = ConnectionId(model.connection);
         self.handle(Event::Disconnected(connection));
     }
 
-    fn subscribe(&mut self, at: usize) {
-        let model = &mut self.models[at];
+    fn subscribe(&mut self, index: usize) {
+        let model = &mut self.models[index];
         if model.connected && !model.subscribed {
-            (model.subscribed, model.coming) = (true, None);
+            (model.subscribed, model.in_flight) = (true, None);
             let (connection, holds) = (ConnectionId(model.connection), id(model.holds));
             self.handle(Event::Subscribed { connection, holds });
         }
     }
 
-    fn unsubscribe(&mut self, at: usize) {
-        let model = &mut self.models[at];
-        (model.subscribed, model.coming) = (false, None);
+    fn unsubscribe(&mut self, index: usize) {
+        let model = &mut self.models[index];
+        (model.subscribed, model.in_flight) = (false, None);
         let connection = ConnectionId(model.connection);
         self.handle(Event::Unsubscribed(connection));
     }
@@ -480,17 +491,17 @@
         self.handle(Event::Accepted(revision(self.newest)));
     }
 
-    fn say_in_force(&mut self, at: usize) {
-        let model = &self.models[at];
+    fn acknowledge_in_force(&mut self, index: usize) {
+        let model = &self.models[index];
         let acknowledgement =
             Acknowledgement { id: id(model.holds), outcome: AcknowledgementOutcome::InForce };
         self.handle(Event::Acknowledged { connection: ConnectionId(model.connection), acknowledgement });
     }
 
-    /// The update arrives, and is answered as a follower answers it.
-    fn deliver(&mut self, at: usize, refuses: bool) {
-        let model = &mut self.models[at];
-        let Some((update, _)) = model.coming.take_if(|_| !model.is_lost) else { return };
+    /// Delivers the update in flight, and answers it as a follower does.
+    fn deliver(&mut self, index: usize, refuses: bool) {
+        let model = &mut self.models[index];
+        let Some((update, _)) = model.in_flight.take_if(|_| !model.is_lost) else { return };
         if refuses {
             model.refused = Some(update.id.number.0);
             let outcome = AcknowledgementOutcome::Refused("no".into());
@@ -508,41 +519,41 @@
             assert_eq!(document.hash(), update.id.hash);
             model.holds = model.holds.max(update.id.number.0);
         }
-        self.say_in_force(at);
+        self.acknowledge_in_force(index);
     }
 
-    fn step(&mut self, kind: u8, at: usize, wait: u64) {
-        self.bed.now += millis(wait);
-        match kind {
-            0 => self.disconnect(at),
-            1..=3 => self.connect(at),
-            4..=8 => self.subscribe(at),
-            9 => self.unsubscribe(at),
+    fn step(&mut self, operation: u8, index: usize, wait: u64) {
+        self.fixture.now += millis(wait);
+        match operation {
+            0 => self.disconnect(index),
+            1..=3 => self.connect(index),
+            4..=8 => self.subscribe(index),
+            9 => self.unsubscribe(index),
             10 => self.accept(),
-            11 => self.deliver(at, true),
-            12 => self.models[at].is_lost = true,
-            // It has taken a revision over that another planner sent.
-            13 if self.models[at].connected && self.models[at].holds + 1 < self.newest => {
-                let model = &mut self.models[at];
+            11 => self.deliver(index, true),
+            12 => self.models[index].is_lost = true,
+            // It has applied a revision that another planner sent.
+            13 if self.models[index].connected && self.models[index].holds + 1 < self.newest => {
+                let model = &mut self.models[index];
                 model.holds = self.newest - 1;
-                // Where the same revision is on its way from here too, this is what its answer would be.
-                model.coming.take_if(|(update, _)| update.id == id(model.holds));
-                self.say_in_force(at);
+                // The same acknowledgement also answers an update to that revision from this planner.
+                model.in_flight.take_if(|(update, _)| update.id == id(model.holds));
+                self.acknowledge_in_force(index);
             }
             14..=17 => self.handle(Event::Tick),
-            _ => (0..COUNT).step_by(3).for_each(|step| self.deliver((at + step) % COUNT, false)),
+            _ => (0..COUNT).step_by(3).for_each(|step| self.deliver((index + step) % COUNT, false)),
         }
     }
 
-    /// Nothing fails from now on.
+    /// Delivers updates without further faults until no timer is due.
     fn settle(&mut self) {
         for _ in 0..10_000 {
-            (0..COUNT).for_each(|at| self.deliver(at, false));
-            let Some(due) = self.bed.distributor.next_timer() else { return };
-            self.bed.now = self.bed.now.max(due);
+            (0..COUNT).for_each(|index| self.deliver(index, false));
+            let Some(due) = self.fixture.distributor.next_timer() else { return };
+            self.fixture.now = self.fixture.now.max(due);
             self.handle(Event::Tick);
         }
-        panic!("it does not come to rest");
+        panic!("updates are still due after 10,000 rounds");
     }
 }
 
@@ -550,11 +561,11 @@
     #![proptest_config(ProptestConfig::with_cases(64))]
 
     #[test]
-    fn whoever_stays_and_answers_ends_with_the_newest(
+    fn every_subscriber_that_does_not_refuse_ends_with_the_newest_revision(
         steps in prop::collection::vec((0_u8..24, 0..COUNT, 0_u64..12), 1..120)
     ) {
         let mut schedule = Schedule::new();
-        steps.into_iter().for_each(|(kind, at, wait)| schedule.step(kind, at, wait));
+        steps.into_iter().for_each(|(operation, index, wait)| schedule.step(operation, index, wait));
         schedule.settle();
         let newest = schedule.newest;
         for model in schedule.models.iter().filter(|model| model.subscribed) {
@@ -562,11 +573,11 @@
                 prop_assert_eq!(model.holds, newest);
             }
         }
-        // All is at rest: nothing more is sent, whatever time passes.
-        schedule.bed.now += Duration::from_secs(3600);
-        prop_assert!(schedule.bed.handle(Event::Tick).is_empty());
-        prop_assert_eq!(schedule.bed.distributor.next_timer(), None);
-        for status in schedule.bed.distributor.status(schedule.bed.now) {
+        // Nothing more is sent, however much time passes.
+        schedule.fixture.now += Duration::from_secs(3600);
+        prop_assert!(schedule.fixture.handle(Event::Tick).is_empty());
+        prop_assert_eq!(schedule.fixture.distributor.next_timer(), None);
+        for status in schedule.fixture.distributor.status(schedule.fixture.now) {
             let model = &schedule.models[status.initiator[2..].parse::<usize>().unwrap()];
             prop_assert_eq!(status.connected, model.connected);
             prop_assert_eq!(status.in_force, id(model.holds));
--- a/src/revisions/document.rs
+++ b/src/revisions/document.rs
@@ -1,8 +1,8 @@
 //! The content of a revision: values that override an initiator's settings while it runs.
 //!
-//! Keys have the names of the settings file. A key that is absent keeps the value of the initiator's own settings. Classes
-//! and plans can't be added: their names refer to those of the settings. [`figures`] defines the keys and the range of each
-//! value; [`overlay`] applies a document to settings.
+//! Keys have the names of the settings file. A key that is absent keeps the value of the initiator's own settings.
+//! Classes and plans can't be added: their names refer to those of the settings. [`figures`] defines the keys and the
+//! range of each value; [`overlay`] applies a document to settings.
 
 mod figures;
 mod overlay;
@@ -96,8 +96,8 @@
 pub struct LimitOverrides {
     /// Limit on the attempts of one request, 1 to 100.
     pub attempts_cap: Option<u32>,
-    /// The longest wait that a client can be asked for, in milliseconds; 0: clients are not asked to wait. Where the settings
-    /// have 0, only 0 is accepted.
+    /// The longest wait that a client can be asked for, in milliseconds; 0: clients are not asked to wait. Where the
+    /// settings have 0, only 0 is accepted.
     pub max_retry_after_ms: Option<f64>,
     /// Whether attempts may be cancelled.
     pub may_cancel: Option<bool>,
@@ -125,7 +125,8 @@
 impl std::error::Error for DocumentError {}
 
 impl DocumentError {
-    /// Cuts the text to [`MAX_ERROR_CHARS`] and replaces line breaks and control characters, which quoted input may have.
+    /// Cuts the text to [`MAX_ERROR_CHARS`] and replaces line breaks and control characters, which quoted input may
+    /// have.
     fn new(text: impl AsRef<str>) -> Self {
         let breaks = |character: char| character.is_control() || matches!(character, '\u{2028}' | '\u{2029}');
         let replaced = |character| if breaks(character) { ' ' } else { character };
@@ -138,7 +139,8 @@
     ///
     /// # Errors
     ///
-    /// The text is too long or not TOML, or has an unknown key, a key that can't change at run time, or a value out of range.
+    /// The text is too long or not TOML, or has an unknown key, a key that can't change at run time, or a value out of
+    /// range.
     pub fn parse(text: &str) -> Result<Document, DocumentError> {
         if text.len() > MAX_TEXT_BYTES {
             let why = format!("a text of {} bytes: at most {MAX_TEXT_BYTES} are allowed", text.len());
@@ -210,8 +212,8 @@
         overlay::apply(self, base, names)
     }
 
-    /// The document with one bit pattern per value, so that equal documents have equal hashes: -0 becomes 0, and all NaNs
-    /// become the same.
+    /// The document with one bit pattern per value, so that equal documents have equal hashes: -0 becomes 0, and all
+    /// NaNs become the same.
     fn normalized(&self) -> Document {
         let mut document = self.clone();
         document.classes.values_mut().for_each(ClassOverrides::normalize);
--- a/src/revisions/document/figures.rs
+++ b/src/revisions/document/figures.rs
@@ -24,7 +24,8 @@
 const COST_KEYS: [&str; 5] = ["idle_worth", "share_worth", "largest", "unit_mean", "young_limit"];
 const LIMIT_KEYS: [&str; 3] = ["attempts_cap", "max_retry_after_ms", "may_cancel"];
 
-/// Keys of the settings file and of the configuration file that contains it, in any section, that need a restart to change.
+/// Keys of the settings file and of the configuration file that contains it, in any section, that need a restart to
+/// change.
 const RESTART_ONLY_KEYS: [&str; 43] = [
     "name",
     "listen",
--- a/src/revisions/document/overlay.rs
+++ b/src/revisions/document/overlay.rs
@@ -25,8 +25,8 @@
     Ok(settings)
 }
 
-/// The positions of a name in the settings. There may be two: the iSCSI front may add a class of the same name as one of
-/// the settings.
+/// The positions of a name in the settings. There may be two: the iSCSI front may add a class of the same name as one
+/// of the settings.
 fn positions(kind: &str, name: &str, names: &[String]) -> Result<Vec<usize>, DocumentError> {
     let found: Vec<usize> = (0..names.len()).filter(|position| names[*position] == name).collect();
     match found.is_empty() {
--- a/src/revisions/document/tests.rs
+++ b/src/revisions/document/tests.rs
@@ -235,8 +235,8 @@
     assert_eq!(worths(document.apply(&base, &names).unwrap()), [1.0, 3.0, 3.0]);
 }
 
-/// Contradictory settings stay usable with a document that doesn't touch them; a document that changes one of the values is
-/// checked.
+/// Contradictory settings stay usable with a document that doesn't touch them; a document that changes one of the
+/// values is checked.
 #[test]
 fn contradictions_in_the_settings_are_refused_only_where_the_document_changes_them() {
     let mut base = settings();
--- a/src/revisions/follower.rs
+++ b/src/revisions/follower.rs
@@ -1,13 +1,13 @@
-//! The initiator's side of live configuration: checks updates against the initiator's own settings, and answers each with
-//! the acknowledgement that the planners receive.
+//! The initiator's side of live configuration: checks updates against the initiator's own settings, and answers each
+//! with the acknowledgement that the planners receive.
 
 use super::document::{Document, DocumentError, Names};
 use super::{Acknowledgement, AcknowledgementOutcome, RevisionId, RevisionNumber, Update, UpdateContent};
 use crate::interface::Settings;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Limit on revisions that were checked and wait to be applied; beyond it the oldest is dropped. Usually one waits; two do
-/// if an update arrives after the first was fetched and before it was applied.
+/// Limit on revisions that were checked and wait to be applied; beyond it the oldest is dropped. Usually one waits; two
+/// do if an update arrives after the first was fetched and before it was applied.
 const MAX_PREPARED: usize = 4;
 
 /// A revision that was checked and is ready to be applied.
@@ -59,16 +59,16 @@
         self.refused.as_ref()
     }
 
-    /// Checks an update and prepares its revision. The revision is in force once [`Follower::confirm_applied`] is called;
-    /// until then a later one may replace it.
+    /// Checks an update and prepares its revision. The revision is in force once [`Follower::confirm_applied`] is
+    /// called; until then a later one may replace it.
     ///
     /// # Errors
     ///
-    /// The acknowledgement to send to the planners; the revision in force stays. A document that doesn't fit the settings,
-    /// or a full document without the hash of the id, is refused with the reason. The other cases are answered with the
-    /// revision in force: an update that is neither prepared nor newer than the newest revision in force or prepared,
-    /// changes to a base other than the revision in force, and changes whose result doesn't have the hash of the id. In the
-    /// last two cases the planner then sends the full document.
+    /// The acknowledgement to send to the planners; the revision in force stays. A document that doesn't fit the
+    /// settings, or a full document without the hash of the id, is refused with the reason. The other cases are
+    /// answered with the revision in force: an update that is neither prepared nor newer than the newest revision in
+    /// force or prepared, changes to a base other than the revision in force, and changes whose result doesn't have the
+    /// hash of the id. In the last two cases the planner then sends the full document.
     pub fn prepare(&mut self, update: Update) -> Result<Prepared, Acknowledgement> {
         let id = update.id;
         if id.number <= self.newest_number() && !self.is_prepared(id) {
@@ -100,8 +100,9 @@
         Ok(prepared)
     }
 
-    /// Records that the caller has applied a prepared revision, which is in force from now on. Returns the acknowledgement
-    /// for the planners. A revision that was not prepared here, or isn't newer than the one in force, changes nothing.
+    /// Records that the caller has applied a prepared revision, which is in force from now on. Returns the
+    /// acknowledgement for the planners. A revision that was not prepared here, or isn't newer than the one in force,
+    /// changes nothing.
     pub fn confirm_applied(&mut self, prepared: &Prepared) -> Acknowledgement {
         let newer = prepared.id.number > self.in_force.number;
         if newer && self.is_prepared(prepared.id) {
@@ -115,8 +116,8 @@
         self.acknowledge_in_force()
     }
 
-    /// Records that the caller could not apply a prepared revision, for this reason. The revision in force stays. Returns
-    /// the refusal for the planners.
+    /// Records that the caller could not apply a prepared revision, for this reason. The revision in force stays.
+    /// Returns the refusal for the planners.
     pub fn reject_prepared(&mut self, prepared: &Prepared, why: String) -> Acknowledgement {
         if self.is_prepared(prepared.id) {
             self.prepared.remove(&prepared.id.number);
--- a/src/revisions/mod.rs
+++ b/src/revisions/mod.rs
@@ -1,9 +1,9 @@
 //! Live configuration: numbered revisions of the settings that may change while initiators run.
 //!
-//! Operators submit a [`document::Document`] to a planner. The planners agree on it through Raft ([`agreement`]), with a
-//! log on disk ([`store`]), and it becomes the revision with the next number. Planners distribute revisions to the
-//! initiators connected to them ([`distribution`]). An initiator checks each revision against its own settings and applies
-//! it as a whole or refuses it ([`follower`]).
+//! Operators submit a [`document::Document`] to a planner. The planners agree on it through Raft ([`agreement`]), with
+//! a log on disk ([`store`]), and it becomes the revision with the next number. Planners distribute revisions to the
+//! initiators connected to them ([`distribution`]). An initiator checks each revision against its own settings and
+//! applies it as a whole or refuses it ([`follower`]).
 //!
 //! Only [`store`] does I/O, and no code here reads a clock: the caller passes the time.
 
--- a/src/revisions/store.rs
+++ b/src/revisions/store.rs
@@ -2,8 +2,8 @@
 //!
 //! A replica writes a [`Batch`] before it sends any message that depends on it, and reads everything back once, when it
 //! starts. [`DiskStore`] keeps the state in a `redb` database, with one durable transaction per batch; [`MemoryStore`]
-//! keeps it in memory, for simulations. No applied index is stored: the applied state is the snapshot and the entries after
-//! it, up to the commit index of the hard state.
+//! keeps it in memory, for simulations. No applied index is stored: the applied state is the snapshot and the entries
+//! after it, up to the commit index of the hard state.
 
 mod disk;
 mod memory;
@@ -38,8 +38,8 @@
 pub struct GroupId(pub [u8; 16]);
 
 impl GroupId {
-    /// Returns the id of the group of these planners: the first half of the SHA-256 of their names in sorted order, each
-    /// after its length.
+    /// Returns the id of the group of these planners: the first half of the SHA-256 of their names in sorted order,
+    /// each after its length.
     pub fn from_names<'a>(names: impl IntoIterator<Item = &'a str>) -> GroupId {
         let mut names: Vec<&str> = names.into_iter().collect();
         names.sort_unstable();
@@ -73,7 +73,8 @@
 }
 
 impl Identity {
-    /// Checks that there are 1, 3 or 5 voters, that their ids are ascending and above zero, and that `voter` is one of them.
+    /// Checks that there are 1, 3 or 5 voters, that their ids are ascending and above zero, and that `voter` is one of
+    /// them.
     ///
     /// # Errors
     ///
--- a/src/revisions/store/disk.rs
+++ b/src/revisions/store/disk.rs
@@ -1,5 +1,5 @@
-//! The store on disk: one `redb` file with a table for the log and one for everything else. Each batch is one transaction
-//! with `Durability::Immediate`.
+//! The store on disk: one `redb` file with a table for the log and one for everything else. Each batch is one
+//! transaction with `Durability::Immediate`.
 
 use super::{
     Batch, Entry, HardState, Identity, ReplicaStore, Snapshot, SnapshotChange, StoreError, StoredState,
@@ -35,8 +35,8 @@
 }
 
 impl DiskStore {
-    /// Creates an empty store in a directory, which is created if it is missing. This is done once per voter: a voter that
-    /// lost its disk no longer knows its votes, and must not vote again under its old id.
+    /// Creates an empty store in a directory, which is created if it is missing. This is done once per voter: a voter
+    /// that lost its disk no longer knows its votes, and must not vote again under its old id.
     ///
     /// # Errors
     ///
--- a/src/revisions/store/memory.rs
+++ b/src/revisions/store/memory.rs
@@ -1,4 +1,5 @@
-//! A store in memory for simulations. It outlives its replica, as a disk outlives a process, and can inject write failures.
+//! A store in memory for simulations. It outlives its replica, as a disk outlives a process, and can inject write
+//! failures.
 
 use super::{Batch, Identity, ReplicaStore, StoreError, StoredState};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
--- a/tests/net/configuration.rs
+++ b/tests/net/configuration.rs
@@ -1,4 +1,4 @@
-//! Live configuration with real planners, initiators and operators' commands, under load and with processes killed.
+//! Live configuration with real planners, initiators and operator commands, under load and with killed processes.
 
 use crate::helper::*;
 use serde_json::Value as Json;
@@ -13,21 +13,21 @@
 use topazpath::resp::Value;
 
 const COUNT: usize = 3;
-/// The limit of `base` in the files, in units a second: more than the load here.
+/// The rate limit of plan `base` in the files, in units a second: above the load of these tests.
 const LIMIT: u64 = 100_000;
-/// For `--within` and `--wait`: longer than anything here takes on a loaded machine.
+/// Seconds for `--within` and `--wait`: longer than any step takes on a loaded machine.
 const WAIT: &str = "20";
 
-/// Three planners with live configuration on. Ends them with the test.
+/// Three planners with live configuration enabled. Kills them on drop.
 struct Cluster {
     processes: Vec<Option<Child>>,
     addresses: Vec<SocketAddr>,
     files: PathBuf,
 }
 
-/// What a command said at its end.
+/// The exit code and the output of a command.
 #[derive(Debug)]
-struct Said {
+struct CommandResult {
     code: i32,
     output: String,
     error: String,
@@ -41,23 +41,25 @@
 }
 
 impl Cluster {
-    /// Planners with new stores, and nobody else.
+    /// Starts planners with new stores.
     fn start(test: u8) -> Cluster {
         let mut cluster = Cluster::prepare(test);
         for number in 0..COUNT {
-            let said = cluster.create(number);
-            assert_eq!(said.code, 0, "{said:?}");
+            let result = cluster.create(number);
+            assert_eq!(result.code, 0, "{result:?}");
             cluster.restart(number);
         }
         cluster
     }
 
-    /// Files of planners that have no store yet.
+    /// Writes the files of planners that have no store yet.
     fn prepare(test: u8) -> Cluster {
-        // An address of this test's own: no other test can be given a port on it before a planner takes it.
-        let own = Ipv4Addr::new(127, 121 + test, std::process::id() as u8, 1);
-        let listeners: Vec<_> = (0..COUNT).map(|_| TcpListener::bind((own, 0)).unwrap()).collect();
-        let sockets: Vec<_> = (0..COUNT).map(|_| UdpSocket::bind((own, 0)).unwrap()).collect();
+        // A loopback address for this test alone, so that no other test gets one of its ports before a planner binds
+        // it.
+        let address_of_test = Ipv4Addr::new(127, 121 + test, std::process::id() as u8, 1);
+        let listeners: Vec<_> =
+            (0..COUNT).map(|_| TcpListener::bind((address_of_test, 0)).unwrap()).collect();
+        let sockets: Vec<_> = (0..COUNT).map(|_| UdpSocket::bind((address_of_test, 0)).unwrap()).collect();
         let addresses: Vec<SocketAddr> = listeners.iter().map(|it| it.local_addr().unwrap()).collect();
         let vrrp: Vec<SocketAddr> = sockets.iter().map(|it| it.local_addr().unwrap()).collect();
         drop((listeners, sockets));
@@ -95,7 +97,7 @@
         self.files.join(format!("{number}.toml"))
     }
 
-    fn create(&self, number: usize) -> Said {
+    fn create(&self, number: usize) -> CommandResult {
         run(&["configuration", "create", self.file(number).to_str().unwrap()])
     }
 
@@ -106,7 +108,7 @@
 
     fn kill(&mut self, number: usize) {
         if let Some(mut child) = self.processes[number].take() {
-            // It may have ended already.
+            // The process may have ended already.
             let _ = child.kill();
             let _ = child.wait();
         }
@@ -116,17 +118,18 @@
         strings(&self.addresses).join(",")
     }
 
-    /// A command of `configuration`, to all planners.
-    fn command(&self, words: &[&str]) -> Said {
+    /// Runs a `configuration` subcommand with the addresses of all planners.
+    fn command(&self, arguments: &[&str]) -> CommandResult {
         let planners = self.planners();
-        run(&[&["configuration", words[0], "--planners", &planners], &words[1..]].concat())
+        run(&[&["configuration", arguments[0], "--planners", &planners], &arguments[1..]].concat())
     }
 
-    /// Submits a document against a revision, and waits until it is in force.
-    fn submit(&self, expected: &str, text: &str) -> Said {
+    /// Submits a document against an expected revision, and waits until the new revision is in force.
+    fn submit(&self, expected: &str, text: &str) -> CommandResult {
         let document = self.document(text);
-        let words = ["submit", "--expect", expected, "--author", "test", "--within", WAIT, "--wait", WAIT];
-        self.command(&[&words[..], &[&document]].concat())
+        let arguments =
+            ["submit", "--expect", expected, "--author", "test", "--within", WAIT, "--wait", WAIT];
+        self.command(&[&arguments[..], &[&document]].concat())
     }
 
     fn document(&self, text: &str) -> String {
@@ -136,16 +139,17 @@
     }
 
     fn status(&self) -> Json {
-        let said = self.command(&["status", "--json"]);
-        assert_eq!(said.code, 0, "{said:?}");
-        serde_json::from_str(&said.output).unwrap()
+        let result = self.command(&["status", "--json"]);
+        assert_eq!(result.code, 0, "{result:?}");
+        serde_json::from_str(&result.output).unwrap()
     }
 
-    /// Waits until the planners that run agree, and so many initiators are connected to each.
+    /// Waits until all running planners have a quorum and the newest revision, and this number of initiators is
+    /// connected.
     fn settle(&self, initiators: usize) {
         eventually("the planners agree", || {
-            let said = self.command(&["status", "--json"]);
-            let status: Json = serde_json::from_str(&said.output).ok()?;
+            let result = self.command(&["status", "--json"]);
+            let status: Json = serde_json::from_str(&result.output).ok()?;
             let planners = status["planners"].as_array()?;
             let running = self.processes.iter().filter(|process| process.is_some()).count();
             let agrees = |planner: &&Json| {
@@ -186,39 +190,39 @@
     }
 }
 
-/// Runs `topazpath-planner` to its end. What it says of an error is one line.
-fn run(words: &[&str]) -> Said {
-    let output = Command::new(env!("CARGO_BIN_EXE_topazpath-planner")).args(words).output().unwrap();
+/// Runs `topazpath-planner` until it exits, and checks that it reports an error in one line.
+fn run(arguments: &[&str]) -> CommandResult {
+    let output = Command::new(env!("CARGO_BIN_EXE_topazpath-planner")).args(arguments).output().unwrap();
     let text = |bytes: Vec<u8>| String::from_utf8(bytes).unwrap();
     let code = output.status.code().expect("an exit code");
-    let said = Said { code, output: text(output.stdout), error: text(output.stderr) };
-    assert_eq!(said.error.lines().count(), usize::from(code != 0), "{words:?}: {said:?}");
-    said
+    let result = CommandResult { code, output: text(output.stdout), error: text(output.stderr) };
+    assert_eq!(result.error.lines().count(), usize::from(code != 0), "{arguments:?}: {result:?}");
+    result
 }
 
-/// The revision in force at an initiator, as it says itself.
+/// The revision in force at an initiator, by its own report.
 fn in_force(program: &Program) -> Json {
     Client::connect(program.resp).report("planners")["configuration"].clone()
 }
 
-/// Waits until an initiator says so itself: `INFO` is as it was up to a report ago.
+/// Waits until an initiator reports the revision. Its `INFO` may lag by one report interval.
 fn wait_for_revision(program: &Program, number: u64) {
     eventually(&format!("revision {number}"), || (in_force(program)["number"] == number).then_some(()));
 }
 
-/// Asks an initiator for a volume as fast as answers come. Ends, and checks, with the test.
+/// A client thread that sends an initiator one request after the other until it is stopped.
 struct Load {
     done: Arc<AtomicBool>,
-    at_work: Option<thread::JoinHandle<(usize, usize)>>,
+    worker: Option<thread::JoinHandle<(usize, usize)>>,
 }
 
 impl Load {
-    /// Of a plan with a limit: requests beyond it are refused.
+    /// Load on a plan with a rate limit: requests beyond it are refused.
     fn limited(program: &Program) -> Load {
         Load::start(program, "c=read,t=base,d=4000,volume=00000000000000b7,units=2,shard=3,hosts=3")
     }
 
-    /// Of a plan without a limit.
+    /// Load on a plan without a rate limit.
     fn unlimited(program: &Program) -> Load {
         Load::start(program, "c=read,t=plus,d=4000,volume=00000000000000a0,units=2,shard=3,hosts=3")
     }
@@ -226,7 +230,7 @@
     fn start(program: &Program, list: &'static str) -> Load {
         let done = Arc::new(AtomicBool::new(false));
         let (address, stop) = (program.resp, done.clone());
-        let at_work = thread::spawn(move || {
+        let worker = thread::spawn(move || {
             let (mut client, mut served, mut refused, mut number) = (Client::connect(address), 0, 0, 0_u64);
             while !stop.load(Ordering::Relaxed) {
                 number += 1;
@@ -241,13 +245,13 @@
             }
             (served, refused)
         });
-        Load { done, at_work: Some(at_work) }
+        Load { done, worker: Some(worker) }
     }
 
-    /// How many were served and how many refused. All were answered.
+    /// Stops the load. Returns the numbers of served and refused requests; all were answered.
     fn stop(mut self) -> (usize, usize) {
         self.done.store(true, Ordering::Relaxed);
-        self.at_work.take().unwrap().join().unwrap()
+        self.worker.take().unwrap().join().unwrap()
     }
 }
 
@@ -258,40 +262,40 @@
 }
 
 #[test]
-fn a_lowered_limit_is_in_force_everywhere_and_kept_and_nothing_is_lost_or_refused_for_it() {
+fn a_lowered_limit_holds_at_all_initiators_and_unlimited_requests_are_not_refused() {
     let (limited, free) = (Node::echo(), Node::echo());
     let discovery = Discovery::start(&[("s-1", limited.address, 3)]);
     let other = Discovery::start(&[("s-2", free.address, 3)]);
     let cluster = Cluster::start(0);
     let programs: Vec<Program> =
         (0..3).map(|number| cluster.initiator(&discovery, &format!("f-{number}"))).collect();
-    // One more, with a node of its own, on which nothing is limited.
-    let beside = cluster.initiator(&other, "f-3");
+    // One more initiator with its own node, whose load is not limited.
+    let unlimited_program = cluster.initiator(&other, "f-3");
     cluster.settle(4);
     let loads: Vec<Load> = programs.iter().map(Load::limited).collect();
-    let unlimited = Load::unlimited(&beside);
-    eventually("it is used", || (limited.count() > 100).then_some(()));
-    // The first revision changes nothing that matters here: so many are served without the limit.
-    let said = cluster.submit("0", "[classes.read]\nworth = 2.5\n");
-    assert_eq!(said.code, 0, "{said:?}");
-    assert!(said.output.contains("in force: revision 1 at 4 initiators"), "{said:?}");
-    let said = cluster.submit("1", "[classes.read]\nworth = 2.5\n[plans.base]\nceiling_rate = 30\n");
-    assert_eq!(said.code, 0, "{said:?}");
+    let unlimited = Load::unlimited(&unlimited_program);
+    eventually("the node is used", || (limited.count() > 100).then_some(()));
+    // The first revision doesn't change the limit.
+    let result = cluster.submit("0", "[classes.read]\nworth = 2.5\n");
+    assert_eq!(result.code, 0, "{result:?}");
+    assert!(result.output.contains("in force: revision 1 at 4 initiators"), "{result:?}");
+    let result = cluster.submit("1", "[classes.read]\nworth = 2.5\n[plans.base]\nceiling_rate = 30\n");
+    assert_eq!(result.code, 0, "{result:?}");
     let (start, before) = (Instant::now(), limited.count());
     thread::sleep(Duration::from_secs(3));
     let units = 2 * (limited.count() - before);
-    // The limit for that time, its burst, its tolerance, and one request of each client that was on its way.
+    // The limit over the elapsed time, its burst and tolerance, and the requests in flight, one per client.
     let allowed = 30.0 * start.elapsed().as_secs_f64() + 16.0 + 8.0 + 6.0;
     assert!(units as f64 <= allowed, "{units} units, {allowed} are allowed");
     programs.iter().for_each(|program| wait_for_revision(program, 2));
-    let ends: Vec<(usize, usize)> = loads.into_iter().map(Load::stop).collect();
-    assert!(ends.iter().all(|(served, refused)| *served > 0 && *refused > 0), "{ends:?}");
+    let counts: Vec<(usize, usize)> = loads.into_iter().map(Load::stop).collect();
+    assert!(counts.iter().all(|(served, refused)| *served > 0 && *refused > 0), "{counts:?}");
     let (served, refused) = unlimited.stop();
     assert!(served > 0 && refused == 0, "{served} served, {refused} refused");
 }
 
 #[test]
-fn what_cannot_be_accepted_is_refused_by_exit_code_and_changes_nothing() {
+fn invalid_submissions_and_commands_fail_by_exit_code_and_change_nothing() {
     let node = Node::echo();
     let discovery = Discovery::start(&[("s-1", node.address, 3)]);
     let cluster = Cluster::start(1);
@@ -304,9 +308,9 @@
         "{shown:?}"
     );
     let refused = |code: i32, expected: &str, text: &str, why: &str| {
-        let said = cluster.submit(expected, text);
-        assert_eq!(said.code, code, "{said:?}");
-        assert!(said.error.contains(why), "{why}: {said:?}");
+        let result = cluster.submit(expected, text);
+        assert_eq!(result.code, code, "{result:?}");
+        assert!(result.error.contains(why), "{why}: {result:?}");
     };
     refused(1, "1", "[plans.gold]\nparts = 2\n", "gold");
     refused(1, "1", "[plans.base\nparts = 2\n", "document.toml");
@@ -317,28 +321,28 @@
     refused(2, "soon", "", "a number or `latest`");
     let author = "x".repeat(300);
     let document = cluster.document("");
-    let said = cluster.command(&["submit", "--expect", "1", "--author", &author, &document]);
-    assert_eq!(said.code, 2, "{said:?}");
-    let said = cluster.command(&["submit", "--expect", "1", "--author", "test", "/nowhere/document.toml"]);
-    assert_eq!(said.code, 2, "{said:?}");
+    let result = cluster.command(&["submit", "--expect", "1", "--author", &author, &document]);
+    assert_eq!(result.code, 2, "{result:?}");
+    let result = cluster.command(&["submit", "--expect", "1", "--author", "test", "/nowhere/document.toml"]);
+    assert_eq!(result.code, 2, "{result:?}");
     assert_eq!(run(&["configuration", "status"]).code, 2);
     assert_eq!(run(&["configuration"]).code, 2);
     assert_eq!(run(&[]).code, 2);
     assert_eq!(cluster.command(&["show", "9"]).code, 1);
     assert_eq!(cluster.command(&["revert", "9", "--expect", "1", "--author", "test"]).code, 1);
-    let nobody = free_address().to_string();
-    assert_eq!(run(&["configuration", "status", "--planners", &nobody]).code, 3);
-    let said = run(&["configuration", "wait", "--planners", &nobody, "--seconds", "0"]);
-    assert_eq!(said.code, 3, "{said:?}");
-    let said = cluster.command(&["wait", "2", "--seconds", "0"]);
-    assert_eq!((said.code, said.error.contains("revision 2 is not accepted")), (4, true), "{said:?}");
+    let unused_address = free_address().to_string();
+    assert_eq!(run(&["configuration", "status", "--planners", &unused_address]).code, 3);
+    let result = run(&["configuration", "wait", "--planners", &unused_address, "--seconds", "0"]);
+    assert_eq!(result.code, 3, "{result:?}");
+    let result = cluster.command(&["wait", "2", "--seconds", "0"]);
+    assert_eq!((result.code, result.error.contains("revision 2 is not accepted")), (4, true), "{result:?}");
     assert_eq!(cluster.newest(), 1);
     assert_eq!(cluster.command(&["show"]).output, shown.output);
     assert_eq!(in_force(&program)["number"], 1);
 }
 
 #[test]
-fn changes_go_on_without_one_planner_stop_without_two_and_outlive_all_three() {
+fn changes_continue_without_one_planner_stop_without_two_and_survive_a_restart_of_all() {
     let node = Node::echo();
     let discovery = Discovery::start(&[("s-1", node.address, 3)]);
     let mut cluster = Cluster::start(2);
@@ -348,12 +352,12 @@
     let parts = |number: u64| format!("[plans.base]\nparts = {}\n", number + 1);
     let mut newest = 0;
     let mut change = |cluster: &Cluster| {
-        let said = cluster.submit(&newest.to_string(), &parts(newest));
-        assert_eq!(said.code, 0, "{said:?}");
+        let result = cluster.submit(&newest.to_string(), &parts(newest));
+        assert_eq!(result.code, 0, "{result:?}");
         newest += 1;
-        assert!(said.output.contains(&format!("revision {newest} at 2 initiators")), "{said:?}");
+        assert!(result.output.contains(&format!("revision {newest} at 2 initiators")), "{result:?}");
     };
-    // Each planner is killed once, so the one that leads is as well; it comes back with what it held.
+    // Each planner is killed once, the leader among them, and restarts from its store.
     for number in 0..COUNT {
         change(&cluster);
         cluster.kill(number);
@@ -363,16 +367,17 @@
     cluster.settle(2);
     cluster.kill(0);
     cluster.kill(1);
-    eventually("the last one has no majority", || {
+    eventually("the last planner has no quorum", || {
         let status = cluster.status();
         let planner = status["planners"][2]["status"].clone();
         (planner["quorum"] == false).then_some(())
     });
     let document = cluster.document(&parts(99));
-    let said = cluster.command(&["submit", "--expect", "6", "--author", "test", "--within", "1", &document]);
-    assert_eq!((said.code, said.error.contains("no quorum")), (3, true), "{said:?}");
+    let result =
+        cluster.command(&["submit", "--expect", "6", "--author", "test", "--within", "1", &document]);
+    assert_eq!((result.code, result.error.contains("no quorum")), (3, true), "{result:?}");
     for program in &programs {
-        eventually("the age is told", || (in_force(program)["age_ms"].as_u64()? > 1000).then_some(()));
+        eventually("the age grows", || (in_force(program)["age_ms"].as_u64()? > 1000).then_some(()));
         assert_eq!(in_force(program)["number"], 6);
     }
     cluster.kill(2);
@@ -383,8 +388,8 @@
     assert_eq!(cluster.newest(), 6);
     let shown = cluster.command(&["show"]);
     assert!(shown.output.contains("parts = 6"), "{shown:?}");
-    let said = cluster.submit("6", &parts(6));
-    assert_eq!(said.code, 0, "{said:?}");
+    let result = cluster.submit("6", &parts(6));
+    assert_eq!(result.code, 0, "{result:?}");
     for program in &programs {
         eventually("the age is small again", || (in_force(program)["age_ms"].as_u64()? < 1000).then_some(()));
     }
@@ -393,9 +398,9 @@
     }
 }
 
-/// As the operators' page says how: with the others up and in contact, and the one that leads restarted.
+/// Follows the operators' procedure: the other planners run and are in contact, and the leader is restarted.
 #[test]
-fn a_planner_that_has_lost_its_disk_comes_back_and_counts() {
+fn a_planner_that_lost_its_disk_rejoins_and_counts_for_the_majority() {
     let mut cluster = Cluster::start(8);
     cluster.settle(0);
     assert_eq!(cluster.submit("0", "[plans.base]\nparts = 2\n").code, 0);
@@ -411,17 +416,17 @@
     cluster.restart(leader);
     cluster.settle(0);
     assert_eq!(cluster.newest(), 2);
-    // One of the others goes: it is needed for a majority now.
+    // With another planner down, the majority includes the one with the new store.
     cluster.kill(0);
-    let said = cluster.submit("2", "[plans.base]\nparts = 4\n");
-    assert_eq!(said.code, 0, "{said:?}");
-    let own = cluster.addresses[2].to_string();
-    let shown = run(&["configuration", "show", "--planners", &own, "2"]);
+    let result = cluster.submit("2", "[plans.base]\nparts = 4\n");
+    assert_eq!(result.code, 0, "{result:?}");
+    let address = cluster.addresses[2].to_string();
+    let shown = run(&["configuration", "show", "--planners", &address, "2"]);
     assert!(shown.output.contains("parts = 3"), "{shown:?}");
 }
 
 #[test]
-fn an_initiator_that_starts_again_catches_up_and_one_that_cannot_is_named() {
+fn a_restarted_initiator_catches_up_and_one_that_refuses_a_revision_is_named() {
     let node = Node::echo();
     let discovery = Discovery::start(&[("s-1", node.address, 3)]);
     let cluster = Cluster::start(3);
@@ -434,33 +439,33 @@
     assert_eq!(cluster.submit("1", "[plans.base]\nparts = 3\nvalue_factor = 2\n").code, 0);
     assert_eq!(cluster.submit("2", "[plans.base]\nparts = 3\n").code, 0);
     drop(goes);
-    let again = cluster.initiator(&discovery, "f-goes");
-    let said = cluster.command(&["wait", "3", "--seconds", WAIT]);
-    assert_eq!(said.code, 0, "{said:?}");
-    wait_for_revision(&again, 3);
-    // Its plans have other names.
+    let restarted = cluster.initiator(&discovery, "f-goes");
+    let result = cluster.command(&["wait", "3", "--seconds", WAIT]);
+    assert_eq!(result.code, 0, "{result:?}");
+    wait_for_revision(&restarted, 3);
+    // The plans of this initiator have other names.
     let other = cluster.initiator_with(&discovery, "f-other", vec![("\"base\"", "\"basic\"")]);
     cluster.settle(3);
-    let said = cluster.submit("3", "[plans.base]\nparts = 4\n");
-    assert_eq!(said.code, 4, "{said:?}");
-    assert!(said.error.contains("in force at 2; refused by 1: f-other ("), "{said:?}");
+    let result = cluster.submit("3", "[plans.base]\nparts = 4\n");
+    assert_eq!(result.code, 4, "{result:?}");
+    assert!(result.error.contains("in force at 2; refused by 1: f-other ("), "{result:?}");
     assert!(
-        said.error.contains("no plan \"base\"") && said.output.contains("accepted: revision 4"),
-        "{said:?}"
+        result.error.contains("no plan \"base\"") && result.output.contains("accepted: revision 4"),
+        "{result:?}"
     );
     let status = cluster.command(&["status"]);
     let line = status.output.lines().find(|line| line.starts_with("initiator f-other: "));
     assert!(line.is_some_and(|line| line.contains("refuses 4 (")), "{status:?}");
     assert_eq!(in_force(&other)["number"], 0);
-    [&stays, &again].into_iter().for_each(|program| wait_for_revision(program, 4));
-    // What it can take it takes, also after what it could not.
-    let said = cluster.submit("4", "[plans.plus]\nparts = 2\n");
-    assert_eq!(said.code, 0, "{said:?}");
-    assert!(said.output.contains("revision 5 at 3 initiators"), "{said:?}");
+    [&stays, &restarted].into_iter().for_each(|program| wait_for_revision(program, 4));
+    // It applies later revisions that fit its settings.
+    let result = cluster.submit("4", "[plans.plus]\nparts = 2\n");
+    assert_eq!(result.code, 0, "{result:?}");
+    assert!(result.output.contains("revision 5 at 3 initiators"), "{result:?}");
 }
 
 #[test]
-fn a_node_that_a_revision_takes_out_gets_nothing_until_it_is_reverted() {
+fn a_node_taken_out_by_a_revision_gets_no_requests_until_the_revision_is_reverted() {
     let (one, two) = (Node::echo(), Node::echo());
     let discovery = Discovery::start(&[("s-1", one.address, 3), ("s-2", two.address, 3)]);
     let cluster = Cluster::start(4);
@@ -474,45 +479,45 @@
         }
     };
     ask(20);
-    let said = cluster.submit("latest", "nodes_out = [\"s-1\"]\n");
-    assert_eq!(said.code, 0, "{said:?}");
+    let result = cluster.submit("latest", "nodes_out = [\"s-1\"]\n");
+    assert_eq!(result.code, 0, "{result:?}");
     let before = one.count();
     ask(40);
     assert_eq!(one.count(), before);
     let compared = cluster.command(&["compare", "0", "1"]);
     assert!(compared.output.starts_with("nodes_out: "), "{compared:?}");
-    let said = cluster
+    let result = cluster
         .command(&["revert", "0", "--expect", "1", "--author", "test", "--within", WAIT, "--wait", WAIT]);
-    assert_eq!(said.code, 0, "{said:?}");
+    assert_eq!(result.code, 0, "{result:?}");
     assert_eq!(cluster.command(&["compare", "0", "2"]).output, "");
-    // With the other one out it is the only one that can serve.
-    let said = cluster.submit("2", "nodes_out = [\"s-2\"]\n");
-    assert_eq!(said.code, 0, "{said:?}");
+    // With the other node out, this one is the only one that can serve.
+    let result = cluster.submit("2", "nodes_out = [\"s-2\"]\n");
+    assert_eq!(result.code, 0, "{result:?}");
     let before = one.count();
     ask(1);
     assert_eq!(one.count(), before + 1);
 }
 
 #[test]
-fn a_store_is_made_once_and_belongs_to_one_planner() {
+fn a_store_is_created_once_and_belongs_to_one_planner() {
     let cluster = Cluster::prepare(5);
     let file = cluster.file(0);
     let start = || run(&[file.to_str().unwrap()]);
-    let said = start();
-    assert_eq!((said.code, said.error.contains("no store")), (1, true), "{said:?}");
+    let result = start();
+    assert_eq!((result.code, result.error.contains("no store")), (1, true), "{result:?}");
     assert_eq!(cluster.create(0).code, 0);
-    let said = cluster.create(0);
-    assert_eq!((said.code, said.error.contains("there is a store already")), (2, true), "{said:?}");
-    // Another planner's store in its place.
+    let result = cluster.create(0);
+    assert_eq!((result.code, result.error.contains("there is a store already")), (2, true), "{result:?}");
+    // The store of another planner.
     std::fs::rename(cluster.files.join("store-0"), cluster.files.join("store-1")).unwrap();
-    let said = run(&[cluster.file(1).to_str().unwrap()]);
-    assert_eq!((said.code, said.error.contains("another planner")), (1, true), "{said:?}");
-    let said = run(&["configuration", "create", "/nowhere/planner.toml"]);
-    assert_eq!(said.code, 2, "{said:?}");
+    let result = run(&[cluster.file(1).to_str().unwrap()]);
+    assert_eq!((result.code, result.error.contains("another planner")), (1, true), "{result:?}");
+    let result = run(&["configuration", "create", "/nowhere/planner.toml"]);
+    assert_eq!(result.code, 2, "{result:?}");
 }
 
 #[test]
-fn strangers_and_stalled_commands_cost_nobody_else_anything() {
+fn unknown_peers_and_stalled_commands_do_not_disturb_other_connections() {
     let node = Node::echo();
     let discovery = Discovery::start(&[("s-1", node.address, 3)]);
     let cluster = Cluster::start(6);
@@ -523,44 +528,45 @@
         stream.set_read_timeout(Some(PATIENCE)).unwrap();
         stream
     };
-    let said = |bytes: &[u8]| {
+    let answer_to = |bytes: &[u8]| {
         let mut stream = connect();
         stream.write_all(bytes).unwrap();
         let mut answer = Vec::new();
-        // Until it closes; a reset is an end as well.
+        // Reads until the planner closes the connection or resets it.
         let _ = stream.read_to_end(&mut answer);
         String::from_utf8_lossy(&answer).into_owned()
     };
-    // A planner that is none, one that is this one, another schema, an agreement before the greeting.
-    assert!(said(&[0, 0, 0, 4, 6, 2, 1, b'x']).contains("\"x\" is not among the other planners"));
-    let own = [&[0, 0, 0, 12, 6, 2, 9][..], b"planner-0"].concat();
-    assert!(said(&own).contains("is not among the other planners"));
-    assert!(said(&[0, 0, 0, 3, 8, 3, 2]).contains("schema 3 is not known, 2 is"));
-    assert!(said(&[0, 0, 0, 2, 7, 0]).contains("a greeting comes first"));
-    assert!(said(&[0, 64, 0, 0]).contains("at most"));
-    // Commands that stop half way, and more of them that were answered and do not close.
-    let mut held = Vec::new();
+    // The name of no planner, the planner's own name, an unknown schema, a Raft message before the greeting, and a
+    // frame that is too long.
+    assert!(answer_to(&[0, 0, 0, 4, 6, 2, 1, b'x']).contains("\"x\" is not among the other planners"));
+    let own_name = [&[0, 0, 0, 12, 6, 2, 9][..], b"planner-0"].concat();
+    assert!(answer_to(&own_name).contains("is not among the other planners"));
+    assert!(answer_to(&[0, 0, 0, 3, 8, 3, 2]).contains("schema 3 is not known, 2 is"));
+    assert!(answer_to(&[0, 0, 0, 2, 7, 0]).contains("a greeting comes first"));
+    assert!(answer_to(&[0, 64, 0, 0]).contains("at most"));
+    // Operator connections that stop in the middle of a command, or stay open after the answer.
+    let mut open_connections = Vec::new();
     for number in 0..300 {
         let mut stream = connect();
         let command: &[u8] = if number % 2 == 0 { &[0, 0, 0, 3, 8] } else { &[0, 0, 0, 3, 8, 2, 2] };
         stream.write_all(command).unwrap();
-        held.push(stream);
+        open_connections.push(stream);
     }
-    let said = cluster.submit("0", "[plans.base]\nparts = 2\n");
-    assert_eq!(said.code, 0, "{said:?}");
-    assert!(said.output.contains("revision 1 at 1 initiators"), "{said:?}");
+    let result = cluster.submit("0", "[plans.base]\nparts = 2\n");
+    assert_eq!(result.code, 0, "{result:?}");
+    assert!(result.output.contains("revision 1 at 1 initiators"), "{result:?}");
     wait_for_revision(&program, 1);
-    // All of them are closed after a while.
-    for mut stream in held {
+    // The planner closes all of them after its timeout.
+    for mut stream in open_connections {
         let end = stream.read_to_end(&mut Vec::new());
         let still_open = end.is_err_and(|error| error.kind() == std::io::ErrorKind::WouldBlock);
-        assert!(!still_open, "a connection that says nothing more was never closed");
+        assert!(!still_open, "a silent connection was never closed");
     }
     cluster.settle(1);
 }
 
 #[test]
-fn without_its_section_a_planner_says_that_it_is_off() {
+fn a_planner_without_a_configuration_section_reports_that_live_configuration_is_off() {
     let node = Node::echo();
     let discovery = Discovery::start(&[("s-1", node.address, 3)]);
     let mut cluster = Cluster::prepare(7);
@@ -571,14 +577,22 @@
         cluster.restart(number);
     }
     let program = cluster.initiator(&discovery, "f-1");
-    eventually("partitions are led", || {
+    eventually("all partitions are planned", || {
         let report = Client::connect(program.resp).report("planners");
         report["partitions"].as_array()?.iter().all(|it| it["mode"] == "planned").then_some(())
     });
-    let said = cluster.command(&["status"]);
-    assert_eq!((said.code, said.error.contains("live configuration is off there")), (3, true), "{said:?}");
+    let result = cluster.command(&["status"]);
+    assert_eq!(
+        (result.code, result.error.contains("live configuration is off there")),
+        (3, true),
+        "{result:?}"
+    );
     let document = cluster.document("");
-    let said = cluster.command(&["submit", "--expect", "0", "--author", "test", &document]);
-    assert_eq!((said.code, said.error.contains("live configuration is off there")), (3, true), "{said:?}");
+    let result = cluster.command(&["submit", "--expect", "0", "--author", "test", &document]);
+    assert_eq!(
+        (result.code, result.error.contains("live configuration is off there")),
+        (3, true),
+        "{result:?}"
+    );
     assert_eq!(in_force(&program)["number"], 0);
 }
