--- a/src/revisions/agreement.rs
+++ b/src/revisions/agreement.rs
@@ -81,7 +81,7 @@
     Message(Vec<u8>),
     /// A document is submitted to this replica.
     Propose(Box<Proposal>),
-    /// The time of [`Replica::next_timer`] has come.
+    /// The time returned by [`Replica::next_timer`] is reached.
     Tick,
 }
 
@@ -133,7 +133,7 @@
 /// Limit on the proposals submitted to one replica that have no outcome yet.
 pub const MAX_PENDING_PROPOSALS: usize = 64;
 
-/// Minimum of ticks without a leader until an election; the timeout is drawn from this up to twice as many.
+/// Minimum number of ticks without a leader before an election; the timeout is drawn from this up to twice as many.
 const ELECTION_TICKS: usize = 10;
 /// Ticks between a leader's heartbeats.
 const HEARTBEAT_TICKS: usize = 2;
--- a/src/revisions/distribution.rs
+++ b/src/revisions/distribution.rs
@@ -43,7 +43,7 @@
     },
     /// The planners have accepted a revision.
     Accepted(Revision),
-    /// The time of [`Distributor::next_timer`] has come.
+    /// The time returned by [`Distributor::next_timer`] is reached.
     Tick,
 }
 
