--- a/lab/benches/ledger.rs
+++ b/lab/benches/ledger.rs
@@ -7,7 +7,7 @@
 use std::hint::black_box;
 use std::time::Duration;
 use topazpath::shares::ledger::Ledger;
-use topazpath::shares::Part;
+use topazpath::shares::Share;
 use topazpath::vrrp::timers::Timers;
 
 const MS: fn(u64) -> Duration = Duration::from_millis;
@@ -38,7 +38,7 @@
 fn ledger(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("one move");
     for holders in [3, 30, 300, 1000] {
-        let part = Part(1_000_000 / holders as u32 / 2);
+        let part = Share(1_000_000 / holders as u32 / 2);
         group.bench_with_input(BenchmarkId::new("ledger", holders), &holders, |bench, holders| {
             let (mut ledger, mut version, mut now, mut holder) = (Ledger::default(), 0, MS(0), 0);
             let mut renew = || {
@@ -46,7 +46,7 @@
                 version += 1;
                 // A round of all takes a tenth of a second.
                 now += MS(100) / *holders as u32;
-                ledger.held(now, holder, version - 1, false);
+                ledger.confirm(now, holder, version - 1, false);
                 if holder % 2 == 0 {
                     black_box(ledger.reclaim(now, holder, version, part, RECLAIM));
                 } else {
--- a/lab/src/hollow/initiator.rs
+++ b/lab/src/hollow/initiator.rs
@@ -179,7 +179,7 @@
         let mut asked = self.requests_due(now);
         loop {
             let mut events = self.core.drain_events();
-            let shares = self.planners.before(now, &asked);
+            let shares = self.planners.record_requests(now, &asked);
             asked.clear();
             events.splice(0..0, shares);
             if events.is_empty() {
--- a/lab/src/planners/simulation.rs
+++ b/lab/src/planners/simulation.rs
@@ -9,7 +9,9 @@
 use std::time::{Duration, Instant};
 use topazpath::shares::planner::{Planner, Settings};
 use topazpath::shares::store::Store;
-use topazpath::shares::{deal, Demand, ForwarderId, Part, PlannerId, Probed, Resource, LONGEST};
+use topazpath::shares::{
+    deal, Demand, ForwarderId, PlannerId, ProbeResult, Resource, Share, MAX_MOVE_DURATION,
+};
 
 /// Its parts.
 const PARTS: [&str; 4] = ["faults", "skew", "outage", "scale"];
@@ -131,21 +133,21 @@
             let of = |division| {
                 many(runs, |seed| Play { division, load, time: Duration::from_secs(120), ..base(arguments.seed * 7919 + seed) })
             };
-            let [even, planned, oracle] = [Division::Even, Division::Planned, Division::Oracle].map(of);
-            let way = |of: fn(&Played) -> f64| (of(&planned) - of(&even)) / (of(&oracle) - of(&even));
+            let [even_share, planned, oracle] = [Division::Even, Division::Planned, Division::Oracle].map(of);
+            let way = |of: fn(&Played) -> f64| (of(&planned) - of(&even_share)) / (of(&oracle) - of(&even_share));
             let (units, worth) = (way(|it| it.sent), way(|it| it.worth));
             println!(
                 "  load {load}: units even {:.4} planned {:.4} oracle {:.4}; worth even {:.4} planned {:.4}; of the way: units {units:.3} worth {worth:.3}",
-                even.sent / even.asked,
+                even_share.sent / even_share.asked,
                 planned.sent / planned.asked,
                 oracle.sent / oracle.asked,
-                even.worth / oracle.worth,
+                even_share.worth / oracle.worth,
                 planned.worth / oracle.worth,
             );
             json!({
                 "load": load,
-                "sent": { "even": even.sent / even.asked, "planned": planned.sent / planned.asked, "oracle": oracle.sent / oracle.asked },
-                "worth": { "even": even.worth / oracle.worth, "planned": planned.worth / oracle.worth },
+                "sent": { "even": even_share.sent / even_share.asked, "planned": planned.sent / planned.asked, "oracle": oracle.sent / oracle.asked },
+                "worth": { "even": even_share.worth / oracle.worth, "planned": planned.worth / oracle.worth },
                 "of_the_way_units": units,
                 "of_the_way_worth": worth,
             })
@@ -181,8 +183,8 @@
         };
         inside(Division::Planned).worth / 2.0
     };
-    let even = of(Division::Even, Some(away)).outage_worth;
-    let (over_with, over_even) = (planned.outage_worth / with, planned.outage_worth / even);
+    let even_share = of(Division::Even, Some(away)).outage_worth;
+    let (over_with, over_even) = (planned.outage_worth / with, planned.outage_worth / even_share);
     println!("planners away for 60 s: worth {over_with:.4} of that with planners, {over_even:.4} of the even split; excess {:.3}", planned.excess);
     json!({ "over_with_planners": over_with, "over_even": over_even, "excess_units": planned.excess })
 }
@@ -254,10 +256,10 @@
             by_forwarder[(volume + host * 7) % forwarders].push(volume);
         }
     }
-    let even = Part::even(hosts as f64);
+    let even_share = Share::even(hosts as f64);
     let (mut times, mut bytes, mut took) = (Vec::new(), 0, Duration::ZERO);
     let (count, warm) = (30, 10);
-    let mut now = LONGEST;
+    let mut now = MAX_MOVE_DURATION;
     for round in 0..count {
         now += Duration::from_millis(100);
         for at in 0..forwarders {
@@ -268,20 +270,20 @@
                     .map(|volume| {
                         let leads = (volume + (round / 7) * 7) % forwarders == at;
                         let wanted = if leads { 1.0 } else { 0.05 };
-                        Demand { resource: Resource::Limit(keys[*volume]), even, wanted }
+                        Demand { resource: Resource::Limit(keys[*volume]), even_share, wanted }
                     })
                     .collect();
-                let probed: Vec<Probed> = stores[at]
+                let probed: Vec<ProbeResult> = stores[at]
                     .probes()
-                    .map(|node| Probed {
+                    .map(|node| ProbeResult {
                         node,
-                        answered: Some(Duration::from_millis(1)),
+                        response_time: Some(Duration::from_millis(1)),
                         age: Duration::ZERO,
                     })
                     .collect();
-                let report = stores[at].report(now, partition, demands, probed);
+                let report = stores[at].next_report(now, partition, demands, probed);
                 let start = Instant::now();
-                let plan = planner.take(now, &report);
+                let plan = planner.handle_report(now, &report);
                 let spent = start.elapsed();
                 if round >= warm {
                     times.push(spent.as_secs_f64() * 1e6);
@@ -290,7 +292,7 @@
                 }
                 if let Some(plan) = plan {
                     // Each is newer than the one before: nothing is lost here.
-                    let _ = stores[at].take(now, partition, &plan, |_| Some(even));
+                    let _ = stores[at].apply_plan(now, partition, &plan, |_| Some(even_share));
                 }
             }
         }
--- a/lab/src/planners/world.rs
+++ b/lab/src/planners/world.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 use topazpath::shares::planner::{Planner, Settings};
 use topazpath::shares::store::Store;
-use topazpath::shares::{Demand, ForwarderId, Part, Plan, PlannerId, Report, Resource};
+use topazpath::shares::{Demand, ForwarderId, Plan, PlannerId, Report, Resource, Share};
 
 /// Step of true time.
 const STEP: Duration = Duration::from_millis(10);
@@ -194,7 +194,7 @@
                 let clock = clock(play.faults);
                 let start = clock.at(Duration::ZERO);
                 // Nobody was there before: the floor of a young process is for those that come back.
-                let long_ago = start.saturating_sub(topazpath::shares::LONGEST);
+                let long_ago = start.saturating_sub(topazpath::shares::MAX_MOVE_DURATION);
                 Forwarder {
                     store: Store::new(ForwarderId(at as u64 + 1), 1, 1, long_ago),
                     clock,
@@ -322,7 +322,7 @@
                 forwarder.incarnation += 1;
                 let start = forwarder.clock.at(self.now);
                 let start = match self.play.planted {
-                    Planted::NotYoung => start.saturating_sub(topazpath::shares::LONGEST),
+                    Planted::NotYoung => start.saturating_sub(topazpath::shares::MAX_MOVE_DURATION),
                     _ => start,
                 };
                 let id = ForwarderId(at as u64 + 1);
@@ -379,7 +379,7 @@
                 Some(Message::Report(from, to, report)) => {
                     let server = &mut self.servers[to];
                     let at = server.clock.at(self.now);
-                    let plan = server.planner.as_mut().and_then(|planner| planner.take(at, &report));
+                    let plan = server.planner.as_mut().and_then(|planner| planner.handle_report(at, &report));
                     if let Some(plan) = plan {
                         self.send(from, to, Message::Plan(from, plan));
                     }
@@ -404,7 +404,7 @@
     /// One step of a forwarder: takes plans, asks for units, reports.
     fn run(&mut self, at: usize) {
         let (now, step, count) = (self.now, STEP.as_secs_f64(), self.forwarders.len());
-        let even = Part::even(count as f64);
+        let even_share = Share::even(count as f64);
         let play = self.play;
         for (volume, (lead, _)) in self.leads.iter().enumerate() {
             let part = if *lead == at { 0.85 } else { 0.15 / (count - 1).max(1) as f64 };
@@ -429,12 +429,12 @@
                     }
                 }
             }
-            if forwarder.store.take(own, 0, &plan, |_| Some(even)).is_ok() {
+            if forwarder.store.apply_plan(own, 0, &plan, |_| Some(even_share)).is_ok() {
                 forwarder.heard = now;
                 self.played.plans += 1;
             }
         }
-        forwarder.store.forget(own);
+        forwarder.store.drop_expired(own);
         if forwarder.next_report > now || play.division != Division::Planned || play.planners == 0 {
             return;
         }
@@ -447,25 +447,27 @@
         }
         let demand = |(volume, own): (usize, &Volume)| Demand {
             resource: Resource::Limit(volume as u64),
-            even,
+            even_share,
             wanted: ((own.asked + own.waiting) / RATE) as f32,
         };
         let demands = forwarder.volumes.iter().enumerate().map(demand).collect();
-        let report = forwarder.store.report(own, 0, demands, Vec::new());
+        let report = forwarder.store.next_report(own, 0, demands, Vec::new());
         let planner = forwarder.planner;
         self.send(at, planner, Message::Report(at, planner, report));
     }
 
     /// At one moment of true time: what all may use sums to no more than there is.
     fn check(&mut self) {
-        let even = Part::even(self.forwarders.len() as f64);
+        let even_share = Share::even(self.forwarders.len() as f64);
         for volume in 0..self.play.volumes {
             let mut sum = 0_u64;
             for forwarder in &mut self.forwarders {
                 let at = forwarder.clock.at(self.now);
                 let share = match self.play.division {
-                    Division::Planned => forwarder.store.share(at, Resource::Limit(volume as u64), even),
-                    _ => even,
+                    Division::Planned => {
+                        forwarder.store.usable_share(at, Resource::Limit(volume as u64), even_share)
+                    }
+                    _ => even_share,
                 };
                 let own = &mut forwarder.volumes[volume];
                 // Between two looks a part may have grown: what comes in then comes by the lesser.
@@ -477,7 +479,7 @@
                     sum += u64::from(share.0);
                 }
             }
-            self.played.oversummed += u64::from(sum > u64::from(Part::WHOLE.0));
+            self.played.oversummed += u64::from(sum > u64::from(Share::WHOLE.0));
             self.oracle[volume] = (self.oracle[volume] + RATE * STEP.as_secs_f64()).min(BURST);
             self.buckets[volume] = (self.buckets[volume] - RATE * STEP.as_secs_f64()).max(0.0);
         }
--- a/src/bin/topazpath-planner.rs
+++ b/src/bin/topazpath-planner.rs
@@ -196,7 +196,7 @@
             Ok(())
         }
         Action::Status { planners, json } => {
-            let fleet = Fleet::look(&planners.planners())?;
+            let fleet = Fleet::query(&planners.planners())?;
             if json {
                 println!("{}", fleet.json());
             } else {
--- a/src/forwarder/effects.rs
+++ b/src/forwarder/effects.rs
@@ -32,7 +32,8 @@
                 }
                 // Grants of the planners precede the requests that use them. They also change while there are no
                 // requests.
-                let shares = self.planners.as_mut().and_then(|planners| planners.before(now, &events));
+                let shares =
+                    self.planners.as_mut().and_then(|planners| planners.record_requests(now, &events));
                 events.splice(0..0, shares);
                 if events.is_empty() {
                     return;
--- a/src/planner/client/link.rs
+++ b/src/planner/client/link.rs
@@ -69,7 +69,7 @@
     pub fn queue(&mut self, message: &ToPlanner) {
         let Some(conn) = &mut self.conn else { return };
         let mut output = Vec::new();
-        frame::write(message, &mut output);
+        frame::encode(message, &mut output);
         conn.push(&output);
     }
 
--- a/src/planner/client/mod.rs
+++ b/src/planner/client/mod.rs
@@ -4,7 +4,7 @@
 mod configuration;
 mod link;
 
-use super::frame::{self, FromPlanner, ToPlanner, HEAD, MOST};
+use super::frame::{self, FromPlanner, ToPlanner, LENGTH_BYTES, MAX_MESSAGE_BYTES};
 use crate::clock::Clock;
 use crate::conn::{Conn, Connecting};
 use crate::interface::{Event, Settings, VolumeId};
@@ -13,7 +13,7 @@
 use crate::shares::deal;
 use crate::shares::meter::Meter;
 use crate::shares::store::{Mode, Store};
-use crate::shares::{ForwarderId, Part, Resource, LONGEST};
+use crate::shares::{ForwarderId, Resource, Share, MAX_MOVE_DURATION};
 use crate::tokens::{Kind, Tokens};
 use configuration::{Configuration, ConfigurationReport};
 use link::{Link, State, SILENCE};
@@ -44,7 +44,7 @@
     partitions: Vec<u64>,
     clock: Clock,
     /// Parts that the scheduler was told of, where they are not even.
-    told: BTreeMap<VolumeId, Part>,
+    told: BTreeMap<VolumeId, Share>,
     next_report: Instant,
     reports: u32,
     /// When parts may change by themselves.
@@ -127,28 +127,28 @@
     }
 
     /// Counts what clients ask for, and tells what the scheduler has to know before it hears of that.
-    pub fn before(&mut self, now: Instant, events: &[Event]) -> Option<Event> {
+    pub fn record_requests(&mut self, now: Instant, events: &[Event]) -> Option<Event> {
         let at = self.clock.unix(now);
         let mut asked = false;
         for event in events {
             if let Event::Request(new) = event {
-                asked |= self.meter.even(new.volume).is_none();
-                self.meter.count(at, new, &self.settings);
+                asked |= self.meter.even_share(new.volume).is_none();
+                self.meter.record(at, new, &self.settings);
             }
         }
         if !asked && now < self.next_change {
             return None;
         }
-        self.store.forget(at);
-        let young = self.store.is_young(at).then(|| now + LONGEST.min(REPORTS));
-        let ends = self.store.next_end(at).map(|end| self.clock.instant(end));
-        self.next_change = ends.into_iter().chain(young).min().unwrap_or(now + LONGEST);
+        self.store.drop_expired(at);
+        let young = self.store.is_starting(at).then(|| now + MAX_MOVE_DURATION.min(REPORTS));
+        let ends = self.store.next_expiry(at).map(|end| self.clock.instant(end));
+        self.next_change = ends.into_iter().chain(young).min().unwrap_or(now + MAX_MOVE_DURATION);
         let mut limits = Vec::new();
-        for (volume, even) in self.meter.volumes() {
-            let part = self.store.share(at, Resource::Limit(volume.0), even);
-            if part == even && self.told.remove(&volume).is_some() {
+        for (volume, even_share) in self.meter.volumes() {
+            let part = self.store.usable_share(at, Resource::Limit(volume.0), even_share);
+            if part == even_share && self.told.remove(&volume).is_some() {
                 limits.push((volume, None));
-            } else if part != even && self.told.insert(volume, part) != Some(part) {
+            } else if part != even_share && self.told.insert(volume, part) != Some(part) {
                 limits.push((volume, Some(part.fraction())));
             }
         }
@@ -156,7 +156,7 @@
         // so its part is told before.
         let (meter, told) = (&self.meter, &mut self.told);
         told.retain(|volume, _| {
-            let kept = meter.even(*volume).is_some();
+            let kept = meter.even_share(*volume).is_some();
             if !kept {
                 limits.push((*volume, None));
             }
@@ -206,7 +206,7 @@
             for link in self.links.iter_mut().filter(leads) {
                 let is_of = |volume: VolumeId| deal::pick(volume.0, partitions) == Some(partition);
                 let demands = self.meter.demands(at, is_of);
-                let report = self.store.report(at, partition, demands, Vec::new());
+                let report = self.store.next_report(at, partition, demands, Vec::new());
                 link.send_if_read(&ToPlanner::Report { partition: partition as u16, report });
             }
         }
@@ -218,7 +218,7 @@
             let mode = self.store.mode(at, partition);
             let before = std::mem::replace(&mut self.modes[partition], mode);
             if before != mode {
-                let term = self.store.plan(at, partition).map(|(term, ..)| term.number);
+                let term = self.store.latest_plan(at, partition).map(|(term, ..)| term.number);
                 tracing::info!(partition, from = before.name(), to = mode.name(), term, "planner mode");
             }
         }
@@ -240,11 +240,11 @@
             }
         }
         let Some(conn) = &mut self.links[at].conn else { return };
-        let end = conn.read(MOST + HEAD);
+        let end = conn.read(MAX_MESSAGE_BYTES + LENGTH_BYTES);
         let flushed = conn.flush();
         loop {
             let Some(conn) = &mut self.links[at].conn else { return };
-            match frame::take::<FromPlanner>(&mut conn.input) {
+            match frame::decode::<FromPlanner>(&mut conn.input) {
                 Ok(None) => break,
                 Ok(Some(message)) => self.hear(now, at, message),
                 Err(why) => return self.lose(now, at, &why),
@@ -274,11 +274,11 @@
             FromPlanner::Leads(leads) => link.leads = leads,
             FromPlanner::Plan { partition, plan } if usize::from(partition) < self.partitions.len() => {
                 let (unix, meter) = (self.clock.unix(now), &self.meter);
-                let even = |resource: Resource| match resource {
-                    Resource::Limit(volume) => meter.even(VolumeId(volume)),
-                    Resource::Cold(_) => None,
+                let even_share = |resource: Resource| match resource {
+                    Resource::Limit(volume) => meter.even_share(VolumeId(volume)),
+                    Resource::SlowStart(_) => None,
                 };
-                match self.store.take(unix, usize::from(partition), &plan, even) {
+                match self.store.apply_plan(unix, usize::from(partition), &plan, even_share) {
                     Ok(()) => {
                         self.taken += 1;
                         if !plan.moves.is_empty() {
@@ -344,7 +344,7 @@
     pub fn info(&self, now: Instant) -> (String, String) {
         let at = self.clock.unix(now);
         let partition = |partition: usize| {
-            let plan = self.store.plan(at, partition);
+            let plan = self.store.latest_plan(at, partition);
             let leads = |link: &&Link| link.leads.contains(&(partition as u16));
             PartitionReport {
                 mode: self.store.mode(at, partition).name(),
@@ -357,7 +357,7 @@
         let (reclaimed, granted) = self.store.in_force(at);
         let report = Report {
             partitions: (0..self.partitions.len()).map(partition).collect(),
-            gives_back: !self.store.is_young(at),
+            gives_back: !self.store.is_starting(at),
             reclaimed,
             granted,
             volumes: self.meter.volumes().count(),
--- a/src/planner/client/tests.rs
+++ b/src/planner/client/tests.rs
@@ -30,7 +30,7 @@
 
     fn say(&mut self, message: &FromPlanner) {
         let mut output = Vec::new();
-        frame::write(message, &mut output);
+        frame::encode(message, &mut output);
         self.stream.as_mut().unwrap().write_all(&output).unwrap();
     }
 
@@ -55,7 +55,7 @@
             }
         }
         let mut messages = Vec::new();
-        while let Some(message) = frame::take(&mut self.input).unwrap() {
+        while let Some(message) = frame::decode(&mut self.input).unwrap() {
             messages.push(message);
         }
         messages
@@ -161,7 +161,7 @@
 
 fn length(message: &impl Serialize) -> usize {
     let mut output = Vec::new();
-    frame::write(message, &mut output);
+    frame::encode(message, &mut output);
     output.len()
 }
 
@@ -178,7 +178,7 @@
     let source = bed.planners.configuration.as_ref().unwrap().report(bed.now).source.unwrap();
     let source = bed.planners.links.iter().position(|link| link.address == source).unwrap();
     bed.until("it subscribes", |bed| !bed.said[source].is_empty());
-    assert_eq!(bed.take_said(source), [ToPlanner::Subscribe { holds: RevisionId::none() }]);
+    assert_eq!(bed.take_said(source), [ToPlanner::Subscribe { in_force: RevisionId::none() }]);
     let update = whole(1, document(80.0, 1));
     bed.fakes[source].say(&FromPlanner::Update(update.clone()));
     bed.settle();
@@ -209,14 +209,14 @@
         [Event::Request(new)]
     };
     let at = bed.planners.clock.unix(bed.now);
-    bed.planners.before(bed.now, &request());
+    bed.planners.record_requests(bed.now, &request());
     assert_eq!(bed.planners.meter.demands(at, |_| true)[0].wanted, 4.0 / 20.0);
     bed.fakes[0].say(&FromPlanner::Quorum(true));
     bed.fakes[0].say(&FromPlanner::Update(whole(1, document(80.0, 1))));
     bed.settle();
     let prepared = bed.planners.prepared_configuration().unwrap();
     bed.planners.configuration_taken_over(bed.now, &prepared);
-    bed.planners.before(bed.now, &request());
+    bed.planners.record_requests(bed.now, &request());
     assert_eq!(bed.planners.meter.demands(at, |_| true)[0].wanted, 8.0 / 80.0);
 }
 
--- a/src/planner/connection.rs
+++ b/src/planner/connection.rs
@@ -1,6 +1,6 @@
 //! A connection that somebody has made to a planner: a newcomer until it has said what it is.
 
-use super::frame::{self, ToPlanner, HEAD, MOST};
+use super::frame::{self, ToPlanner, LENGTH_BYTES, MAX_MESSAGE_BYTES};
 use crate::conn::{Conn, ReadEnd};
 use crate::revisions::agreement::{VoterId, LONGEST_MESSAGE};
 use serde::Serialize;
@@ -48,7 +48,7 @@
 
     /// Reads what is there, as far as the longest message that may come.
     pub fn read(&mut self) -> ReadEnd {
-        self.conn.read(self.longest() + HEAD)
+        self.conn.read(self.longest() + LENGTH_BYTES)
     }
 
     /// The next message, once it is whole.
@@ -59,7 +59,7 @@
             return Ok(None);
         }
         let longest = self.longest();
-        let message = frame::take_within(&mut self.conn.input, longest);
+        let message = frame::decode_bounded(&mut self.conn.input, longest);
         self.conn.shed();
         message
     }
@@ -72,7 +72,7 @@
     /// Adds a message to what is to be written.
     pub fn say(&mut self, message: &impl Serialize) {
         let mut output = Vec::new();
-        frame::write(message, &mut output);
+        frame::encode(message, &mut output);
         self.conn.push(&output);
     }
 
@@ -100,7 +100,7 @@
     fn longest(&self) -> usize {
         match self.role {
             Role::Newcomer => LONGEST_GREETING,
-            Role::Initiator(_) => MOST,
+            Role::Initiator(_) => MAX_MESSAGE_BYTES,
             Role::Peer(_) => LONGEST_OF_PEER,
             Role::Operator | Role::Answered => READ_AWAY,
         }
--- a/src/planner/frame.rs
+++ b/src/planner/frame.rs
@@ -14,9 +14,9 @@
 /// The schema that is spoken here.
 pub const SCHEMA: u16 = 2;
 /// A longer message is none of these.
-pub const MOST: usize = 4 * 1024 * 1024;
+pub const MAX_MESSAGE_BYTES: usize = 4 * 1024 * 1024;
 /// Bytes of the length.
-pub const HEAD: usize = 4;
+pub const LENGTH_BYTES: usize = 4;
 
 /// From a forwarder.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -40,7 +40,7 @@
     /// It wants revisions on this connection; said to one planner at a time.
     Subscribe {
         /// The revision in force there.
-        holds: RevisionId,
+        in_force: RevisionId,
     },
     /// It wants none on this connection any more.
     Unsubscribe,
@@ -88,7 +88,7 @@
     /// What the planner knows.
     Status(PlannerStatus),
     /// Live configuration is not switched on at this planner.
-    Off,
+    Disabled,
 }
 
 /// What one planner knows of the live configuration.
@@ -135,7 +135,7 @@
 }
 
 /// Adds a message to an output.
-pub fn write(message: &impl Serialize, output: &mut Vec<u8>) {
+pub fn encode(message: &impl Serialize, output: &mut Vec<u8>) {
     // Only a message with maps of unknown length cannot be put in this form, and there is none.
     let body = postcard::to_stdvec(message).unwrap_or_default();
     output.extend_from_slice(&(body.len() as u32).to_be_bytes());
@@ -143,20 +143,20 @@
 }
 
 /// Takes a message off an input, once it is whole. An error means that the far side says something else.
-pub fn take<M: DeserializeOwned>(input: &mut Vec<u8>) -> Result<Option<M>, String> {
-    take_within(input, MOST)
+pub fn decode<M: DeserializeOwned>(input: &mut Vec<u8>) -> Result<Option<M>, String> {
+    decode_bounded(input, MAX_MESSAGE_BYTES)
 }
 
 /// The same, where no longer message than so many bytes is awaited.
-pub fn take_within<M: DeserializeOwned>(input: &mut Vec<u8>, most: usize) -> Result<Option<M>, String> {
-    let Some(head) = input.first_chunk::<HEAD>() else { return Ok(None) };
+pub fn decode_bounded<M: DeserializeOwned>(input: &mut Vec<u8>, most: usize) -> Result<Option<M>, String> {
+    let Some(head) = input.first_chunk::<LENGTH_BYTES>() else { return Ok(None) };
     let length = u32::from_be_bytes(*head) as usize;
     if length > most {
         return Err(format!("a message of {length} bytes, at most {most} are allowed"));
     }
-    let Some(body) = input.get(HEAD..HEAD + length) else { return Ok(None) };
+    let Some(body) = input.get(LENGTH_BYTES..LENGTH_BYTES + length) else { return Ok(None) };
     let message = postcard::from_bytes(body).map_err(|error| error.to_string())?;
-    input.drain(..HEAD + length);
+    input.drain(..LENGTH_BYTES + length);
     Ok(Some(message))
 }
 
--- a/src/planner/frame/tests/recorded.rs
+++ b/src/planner/frame/tests/recorded.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::fixtures::{hex, records};
 use crate::revisions::{AcknowledgementOutcome, UpdateContent};
-use crate::shares::{Move, Part, Resource};
+use crate::shares::{Move, Resource, Share};
 use std::time::Duration;
 
 const TO_PLANNER: &str = include_str!("../../../../tests/fixtures/planner/to-planner.hex");
@@ -15,18 +15,18 @@
 const OLDER: &str = "527f67c88cebb0bb4affc47830f58336dc89d814f244eca0f241ce0d35f7722d";
 
 fn messages<M: DeserializeOwned>(text: &str) -> Vec<M> {
-    records(text).into_iter().map(|(_, mut bytes)| take(&mut bytes).unwrap().unwrap()).collect()
+    records(text).into_iter().map(|(_, mut bytes)| decode(&mut bytes).unwrap().unwrap()).collect()
 }
 
 fn read_and_write<M: DeserializeOwned + Serialize>(text: &str) {
     for (name, bytes) in records(text) {
         let mut input = bytes.clone();
-        let message = take::<M>(&mut input).unwrap().unwrap();
+        let message = decode::<M>(&mut input).unwrap().unwrap();
         assert!(input.is_empty(), "{name}");
-        let (_, rest): (M, &[u8]) = postcard::take_from_bytes(&bytes[HEAD..]).unwrap();
+        let (_, rest): (M, &[u8]) = postcard::take_from_bytes(&bytes[LENGTH_BYTES..]).unwrap();
         assert!(rest.is_empty(), "{name}");
         let mut output = Vec::new();
-        write(&message, &mut output);
+        encode(&message, &mut output);
         assert_eq!(hex(&output), hex(&bytes), "{name}");
     }
 }
@@ -37,7 +37,7 @@
 
 #[test]
 fn recorded_messages_are_read_and_written_back_unchanged() {
-    assert_eq!((SCHEMA, HEAD), (2, 4));
+    assert_eq!((SCHEMA, LENGTH_BYTES), (2, 4));
     read_and_write::<ToPlanner>(TO_PLANNER);
     read_and_write::<FromPlanner>(FROM_PLANNER);
 }
@@ -45,14 +45,14 @@
 #[test]
 fn recorded_messages_to_planners_mean_what_they_meant() {
     let all = messages::<ToPlanner>(TO_PLANNER);
-    let [ToPlanner::Hello { schema: 2, forwarder }, ToPlanner::Report { partition: 11, report }, ToPlanner::Report { partition: 12, report: first }, ToPlanner::Alive, ToPlanner::Subscribe { holds }, ToPlanner::Unsubscribe, ToPlanner::Acknowledge(in_force), ToPlanner::Acknowledge(refused), ToPlanner::PeerHello { schema: 2, planner }, ToPlanner::Agreement(agreement), ToPlanner::Operator { schema: 2, request: OperatorRequest::Submit(proposal) }, ToPlanner::Operator { schema: 2, request: OperatorRequest::Show(None) }, ToPlanner::Operator { schema: 2, request: OperatorRequest::Show(Some(RevisionNumber(300))) }, ToPlanner::Operator { schema: 2, request: OperatorRequest::Status }] =
+    let [ToPlanner::Hello { schema: 2, forwarder }, ToPlanner::Report { partition: 11, report }, ToPlanner::Report { partition: 12, report: first }, ToPlanner::Alive, ToPlanner::Subscribe { in_force: subscribed }, ToPlanner::Unsubscribe, ToPlanner::Acknowledge(in_force), ToPlanner::Acknowledge(refused), ToPlanner::PeerHello { schema: 2, planner }, ToPlanner::Agreement(agreement), ToPlanner::Operator { schema: 2, request: OperatorRequest::Submit(proposal) }, ToPlanner::Operator { schema: 2, request: OperatorRequest::Show(None) }, ToPlanner::Operator { schema: 2, request: OperatorRequest::Show(Some(RevisionNumber(300))) }, ToPlanner::Operator { schema: 2, request: OperatorRequest::Status }] =
         &all[..]
     else {
         panic!("{all:?}")
     };
     assert_eq!((forwarder.as_str(), planner.as_str()), ("n1", "p1"));
     assert_eq!(agreement, &[1, 2, 3, 255]);
-    assert_eq!(*holds, RevisionId::none());
+    assert_eq!(*subscribed, RevisionId::none());
     assert!(is(&in_force.id, 7, HASH) && in_force.outcome == AcknowledgementOutcome::InForce);
     let why = "plans.x: none".to_string();
     assert!(is(&refused.id, 7, HASH) && refused.outcome == AcknowledgementOutcome::Refused(why));
@@ -61,15 +61,18 @@
     assert_eq!((proposal.author.as_str(), proposal.submitted_ms), ("operator", 1_700_000_000_123));
     assert_eq!(proposal.document.to_toml(), DOCUMENT);
 
-    assert_eq!((report.forwarder.0, report.incarnation, report.number, report.holds), (401, 402, 403, 404));
+    assert_eq!(
+        (report.forwarder.0, report.incarnation, report.number, report.held_version),
+        (401, 402, 403, 404)
+    );
     let term = report.term.unwrap();
-    assert_eq!((term.number, term.planner.0, term.charge), (1001, 1002, 1003));
+    assert_eq!((term.number, term.planner.0, term.nonce), (1001, 1002, 1003));
     assert!(report.gives_back && !first.gives_back && first.term.is_none());
-    assert_eq!(report.refused, [Resource::Limit(303), Resource::Cold(304)]);
-    let demands: Vec<_> = report.demands.iter().map(|it| (it.resource, it.even.0, it.wanted)).collect();
-    assert_eq!(demands, [(Resource::Limit(301), 500_000, 0.75), (Resource::Cold(302), 250_000, 1.5)]);
+    assert_eq!(report.refused, [Resource::Limit(303), Resource::SlowStart(304)]);
+    let demands: Vec<_> = report.demands.iter().map(|it| (it.resource, it.even_share.0, it.wanted)).collect();
+    assert_eq!(demands, [(Resource::Limit(301), 500_000, 0.75), (Resource::SlowStart(302), 250_000, 1.5)]);
     let millis = Duration::from_millis;
-    let probed: Vec<_> = report.probed.iter().map(|it| (it.node, it.answered, it.age)).collect();
+    let probed: Vec<_> = report.probe_results.iter().map(|it| (it.node, it.response_time, it.age)).collect();
     assert_eq!(probed, [(2001, Some(millis(21)), millis(22)), (2002, None, millis(23))]);
 }
 
@@ -82,14 +85,14 @@
         panic!("{all:?}")
     };
     assert_eq!((why.as_str(), &leads[..]), ("another schema", &[0, 3, 300][..]));
-    assert_eq!((plan.term.number, plan.term.planner.0, plan.term.charge), (1001, 1002, 1003));
-    assert_eq!((plan.incarnation, plan.version, plan.answers), (402, 501, 403));
+    assert_eq!((plan.term.number, plan.term.planner.0, plan.term.nonce), (1001, 1002, 1003));
+    assert_eq!((plan.incarnation, plan.version, plan.answers_report), (402, 501, 403));
     let millis = Duration::from_millis;
-    let reclaim = Move::Reclaim(Part(100_000), millis(1500));
-    let grant = Move::Grant(Part(200_000), millis(2500));
-    assert_eq!(plan.moves, [(Resource::Limit(301), reclaim), (Resource::Cold(302), grant)]);
+    let reclaim = Move::Reclaim(Share(100_000), millis(1500));
+    let grant = Move::Grant(Share(200_000), millis(2500));
+    assert_eq!(plan.moves, [(Resource::Limit(301), reclaim), (Resource::SlowStart(302), grant)]);
     assert_eq!(plan.probes, Some(vec![2001, 2002]));
-    let hints: Vec<_> = plan.hints.iter().map(|it| (it.node, it.answered, it.age)).collect();
+    let hints: Vec<_> = plan.hints.iter().map(|it| (it.node, it.response_time, it.age)).collect();
     assert_eq!(hints, [(2001, Some(millis(21)), millis(22)), (2002, None, millis(23))]);
     assert!(empty.probes.is_none() && empty.moves.is_empty() && empty.hints.is_empty());
     let UpdateContent::Whole(document) = &whole.content else { panic!("{whole:?}") };
@@ -111,7 +114,7 @@
         _ => None,
     };
     let replies: Vec<_> = all.iter().filter_map(reply).collect();
-    let [OperatorReply::Accepted(accepted), OperatorReply::Refused(ProposalError::Conflict { newest }), OperatorReply::Refused(ProposalError::NoQuorum), OperatorReply::Refused(ProposalError::Busy), OperatorReply::Refused(ProposalError::Unknown), OperatorReply::Refused(ProposalError::Invalid(invalid)), OperatorReply::Revision(None), OperatorReply::Revision(Some(revision)), OperatorReply::Status(status), OperatorReply::Status(alone), OperatorReply::Off] =
+    let [OperatorReply::Accepted(accepted), OperatorReply::Refused(ProposalError::Conflict { newest }), OperatorReply::Refused(ProposalError::NoQuorum), OperatorReply::Refused(ProposalError::Busy), OperatorReply::Refused(ProposalError::Unknown), OperatorReply::Refused(ProposalError::Invalid(invalid)), OperatorReply::Revision(None), OperatorReply::Revision(Some(revision)), OperatorReply::Status(status), OperatorReply::Status(alone), OperatorReply::Disabled] =
         &replies[..]
     else {
         panic!("{replies:?}")
--- a/src/planner/operator.rs
+++ b/src/planner/operator.rs
@@ -304,7 +304,7 @@
     let mut stream = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT).map_err(not_asked)?;
     stream.set_write_timeout(Some(patience)).map_err(not_asked)?;
     let mut output = Vec::new();
-    frame::write(&ToPlanner::Operator { schema: SCHEMA, request: request.clone() }, &mut output);
+    frame::encode(&ToPlanner::Operator { schema: SCHEMA, request: request.clone() }, &mut output);
     let no_answer = |error: io::Error| AskError::NoAnswer(error.to_string());
     stream.write_all(&output).map_err(no_answer)?;
     match receive(&mut stream, patience)? {
@@ -320,7 +320,7 @@
     let until = Instant::now() + patience;
     let (mut input, mut bytes) = (Vec::new(), vec![0; READ_BYTES]);
     loop {
-        if let Some(message) = frame::take(&mut input).map_err(AskError::NoAnswer)? {
+        if let Some(message) = frame::decode(&mut input).map_err(AskError::NoAnswer)? {
             return Ok(message);
         }
         let left = until.saturating_duration_since(Instant::now());
@@ -345,7 +345,7 @@
 /// Why an answer is none to the question.
 fn unusable(answer: Result<OperatorReply, AskError>) -> String {
     match answer {
-        Ok(OperatorReply::Off) => "live configuration is off there".into(),
+        Ok(OperatorReply::Disabled) => "live configuration is off there".into(),
         Ok(_) => "it answers something else".into(),
         Err(error) => error.to_string(),
     }
--- a/src/planner/operator/fleet.rs
+++ b/src/planner/operator/fleet.rs
@@ -45,8 +45,8 @@
     /// # Errors
     ///
     /// None answers.
-    pub fn look(planners: &Planners) -> Result<Fleet, Failure> {
-        let fleet = Fleet::of(planners.status());
+    pub fn query(planners: &Planners) -> Result<Fleet, Failure> {
+        let fleet = Fleet::from_statuses(planners.status());
         if fleet.planners.iter().all(|(_, status)| status.is_err()) {
             let why = |(address, status): &(SocketAddr, Result<PlannerStatus, String>)| {
                 format!("{address}: {}", status.as_ref().err().map_or("", String::as_str))
@@ -58,7 +58,7 @@
     }
 
     /// Takes together what planners say.
-    pub fn of(planners: Vec<(SocketAddr, Result<PlannerStatus, String>)>) -> Fleet {
+    pub fn from_statuses(planners: Vec<(SocketAddr, Result<PlannerStatus, String>)>) -> Fleet {
         let mut newest = RevisionId::none();
         let mut initiators: BTreeMap<String, InitiatorStatus> = BTreeMap::new();
         for status in planners.iter().filter_map(|(_, status)| status.as_ref().ok()) {
@@ -164,7 +164,7 @@
     let until = Instant::now() + patience;
     let mut wanted = number;
     loop {
-        let failure = match Fleet::look(planners) {
+        let failure = match Fleet::query(planners) {
             Err(failure) => failure,
             Ok(fleet) => {
                 // What is the newest at the beginning is waited for, not what comes later.
--- a/src/planner/operator/fleet/tests.rs
+++ b/src/planner/operator/fleet/tests.rs
@@ -19,7 +19,7 @@
     };
     let mut planners: Vec<_> = statuses.into_iter().map(status).collect();
     planners.push((SocketAddr::from(([127, 0, 0, 1], 2)), Err("it closed".into())));
-    Fleet::of(planners)
+    Fleet::from_statuses(planners)
 }
 
 #[test]
--- a/src/planner/operator/tests.rs
+++ b/src/planner/operator/tests.rs
@@ -12,7 +12,7 @@
             let (mut stream, _) = listener.accept().unwrap();
             let (mut input, mut bytes) = (Vec::new(), [0; 4096]);
             let request = loop {
-                match frame::take::<ToPlanner>(&mut input).unwrap() {
+                match frame::decode::<ToPlanner>(&mut input).unwrap() {
                     Some(ToPlanner::Operator { request, .. }) => break request,
                     Some(other) => panic!("{other:?}"),
                     None => {
@@ -24,7 +24,7 @@
             asked.send(request).unwrap();
             if let Some(reply) = answer {
                 let mut output = Vec::new();
-                frame::write(&FromPlanner::OperatorReply(reply), &mut output);
+                frame::encode(&FromPlanner::OperatorReply(reply), &mut output);
                 stream.write_all(&output).unwrap();
             }
         }
@@ -57,7 +57,7 @@
 fn without_any_planner_nothing_is_repeated() {
     let mut round = Round::default();
     assert!(round.hear(address(), Err(AskError::NotAsked("refused".into()))).is_none());
-    assert!(round.hear(address(), Ok(OperatorReply::Off)).is_none());
+    assert!(round.hear(address(), Ok(OperatorReply::Disabled)).is_none());
     assert!(round.is_hopeless());
     let failure = round.failure(RevisionId::none());
     assert_eq!(
--- a/src/planner/peers.rs
+++ b/src/planner/peers.rs
@@ -1,7 +1,7 @@
 //! A planner's connections to the other planners. Messages of the agreement go out on them; what the others say comes in on
 //! connections that they make. A message that can't be sent is lost: the agreement repeats what matters.
 
-use super::frame::{self, FromPlanner, ToPlanner, HEAD, SCHEMA};
+use super::frame::{self, FromPlanner, ToPlanner, LENGTH_BYTES, SCHEMA};
 use super::settings::Peer;
 use crate::backoff::Backoff;
 use crate::conn::{Conn, Connecting};
@@ -129,8 +129,8 @@
             self.say(now, &ToPlanner::PeerHello { schema: SCHEMA, planner: own.to_string() });
         }
         let Some(conn) = &mut self.conn else { return Ok(()) };
-        let end = conn.read(LONGEST_ANSWER + HEAD);
-        match frame::take_within::<FromPlanner>(&mut conn.input, LONGEST_ANSWER)? {
+        let end = conn.read(LONGEST_ANSWER + LENGTH_BYTES);
+        match frame::decode_bounded::<FromPlanner>(&mut conn.input, LONGEST_ANSWER)? {
             Some(FromPlanner::Refused(why)) => return Err(format!("it refuses: {why}")),
             Some(_) => return Err("it says what is not for a planner".into()),
             None => {}
@@ -147,7 +147,7 @@
         self.said = now;
         if conn.unwritten() < MOST_UNWRITTEN {
             let mut output = Vec::new();
-            frame::write(message, &mut output);
+            frame::encode(message, &mut output);
             conn.push(&output);
         }
         if let Err(error) = conn.flush() {
--- a/src/planner/server.rs
+++ b/src/planner/server.rs
@@ -169,10 +169,10 @@
             }
             changed = true;
             // Another at each time in charge, also after a restart of this process.
-            let charge =
+            let nonce =
                 SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_nanos() as u64);
             let id = PlannerId(deal::hash(&self.config.name));
-            self.leads[partition] = active.then(|| Planner::new(Settings::default(), id, charge));
+            self.leads[partition] = active.then(|| Planner::new(Settings::default(), id, nonce));
             tracing::info!(partition, leads = active, after = ?(now - self.started), "partition");
         }
         if changed {
@@ -299,7 +299,7 @@
                 let Some(connection) = self.connections.get_mut(&id) else { return Ok(Ok(())) };
                 connection.role = Role::Operator;
                 if self.configuration.is_none() {
-                    connection.say_last(now, &FromPlanner::OperatorReply(OperatorReply::Off));
+                    connection.say_last(now, &FromPlanner::OperatorReply(OperatorReply::Disabled));
                 }
                 let connection = ConnectionId(id);
                 self.configure(now, |it, said| it.operator(now, connection, request, said))?;
@@ -349,13 +349,13 @@
                 let Some(connection) = self.connections.get_mut(&id) else { return Ok(()) };
                 // One that does not read gets no plan: the next one tells all that it has not held.
                 let planner = planner.filter(|_| connection.reads());
-                if let Some(plan) = planner.and_then(|planner| planner.take(at, &report)) {
+                if let Some(plan) = planner.and_then(|planner| planner.handle_report(at, &report)) {
                     connection.say(&FromPlanner::Plan { partition, plan });
                 }
             }
             ToPlanner::Alive => {}
-            ToPlanner::Subscribe { holds } => {
-                self.configure_surely(now, |it, said| it.subscribe(now, connection, holds, said));
+            ToPlanner::Subscribe { in_force } => {
+                self.configure_surely(now, |it, said| it.subscribe(now, connection, in_force, said));
             }
             ToPlanner::Unsubscribe => {
                 self.configure_surely(now, |it, said| it.unsubscribe(now, connection, said));
--- a/src/shares/deal.rs
+++ b/src/shares/deal.rs
@@ -31,16 +31,16 @@
 
 /// Keys dealt to candidates that come and go; each key is somebody's as long as there is anybody.
 #[derive(Clone, Debug, Default)]
-pub struct Dealt {
+pub struct Assignments {
     /// Who has each key.
     keys: BTreeMap<u64, Option<u64>>,
     /// The keys of each candidate, sorted.
     candidates: BTreeMap<u64, Vec<u64>>,
 }
 
-impl Dealt {
+impl Assignments {
     /// The keys of a candidate.
-    pub fn of(&self, candidate: u64) -> &[u64] {
+    pub fn keys_of(&self, candidate: u64) -> &[u64] {
         self.candidates.get(&candidate).map_or(&[], Vec::as_slice)
     }
 
--- a/src/shares/deal/tests.rs
+++ b/src/shares/deal/tests.rs
@@ -33,7 +33,7 @@
     fn what_is_dealt_step_by_step_is_what_is_picked(
         steps in prop::collection::vec((0..4_u8, 0..12_u64), 1..80)
     ) {
-        let (mut dealt, mut keys, mut present) = (Dealt::default(), Vec::new(), Vec::new());
+        let (mut dealt, mut keys, mut present) = (Assignments::default(), Vec::new(), Vec::new());
         for (what, number) in steps {
             let before = dealt.clone();
             let told = match what {
@@ -49,9 +49,9 @@
             }
             for candidate in &present {
                 if !told.contains(candidate) {
-                    prop_assert_eq!(dealt.of(*candidate), before.of(*candidate));
+                    prop_assert_eq!(dealt.keys_of(*candidate), before.keys_of(*candidate));
                 }
-                prop_assert!(dealt.of(*candidate).iter().all(|key| dealt.owner(*key) == Some(*candidate)));
+                prop_assert!(dealt.keys_of(*candidate).iter().all(|key| dealt.owner(*key) == Some(*candidate)));
             }
         }
     }
--- a/src/shares/ledger.rs
+++ b/src/shares/ledger.rs
@@ -8,7 +8,7 @@
 //! The sums over all forwarders are kept by slots of time, so that a move costs the same for three forwarders and for a
 //! thousand: docs/planners.md has it measured against summing them up anew.
 
-use super::{Move, Part, DRIFT, LONGEST};
+use super::{Move, Share, CLOCK_DRIFT_DIVISOR, MAX_MOVE_DURATION};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -31,8 +31,8 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Moved {
-    Reclaimed(Part),
-    Granted(Part),
+    Reclaimed(Share),
+    Granted(Share),
 }
 
 /// What was moved to or from one forwarder's process.
@@ -46,25 +46,25 @@
 
 impl Account {
     /// The part that it leaves alone for certain from one time until before another.
-    fn certain(&self, from: Duration, to: Duration) -> Part {
+    fn certain(&self, from: Duration, to: Duration) -> Share {
         // Before it holds one of these it may have nothing in force, or what was forgotten here.
         let holds_one =
             self.sent.first().is_some_and(|first| self.held.is_some_and(|held| held >= first.version));
         if !holds_one {
-            return Part::NONE;
+            return Share::NONE;
         }
         let reclaimed = |sent: &Sent| match sent.moved {
             Moved::Reclaimed(part) if from < sent.until && to <= sent.until => part,
-            _ => Part::NONE,
+            _ => Share::NONE,
         };
         self.sent.iter().map(reclaimed).min().unwrap_or_default()
     }
 
     /// The part that it may use besides its own at a time, at the most.
-    fn possible(&self, at: Duration) -> Part {
+    fn possible(&self, at: Duration) -> Share {
         let granted = |sent: &Sent| match sent.moved {
             Moved::Granted(part) if at < sent.until => part,
-            _ => Part::NONE,
+            _ => Share::NONE,
         };
         self.sent.iter().map(granted).max().unwrap_or_default()
     }
@@ -81,7 +81,7 @@
 }
 
 /// A forwarder's process, by a number that the planner never gives twice.
-pub type Holder = usize;
+pub type HolderId = usize;
 
 /// What is reclaimed less what is granted, in each slot from the present one on.
 #[derive(Clone, Debug, Default)]
@@ -130,7 +130,7 @@
 /// The moves of one planner in one resource.
 #[derive(Clone, Debug, Default)]
 pub struct Ledger {
-    accounts: BTreeMap<Holder, Account>,
+    accounts: BTreeMap<HolderId, Account>,
     cover: Cover,
 }
 
@@ -140,14 +140,14 @@
     pub fn reclaim(
         &mut self,
         now: Duration,
-        holder: Holder,
+        holder: HolderId,
         version: u64,
-        part: Part,
+        part: Share,
         lasts: Duration,
     ) -> bool {
-        let lasts = lasts.min(LONGEST);
+        let lasts = lasts.min(MAX_MOVE_DURATION);
         // Its clock may run fast and ours slowly, and so its time be over before it is by ours.
-        let until = now + lasts - lasts * 2 / DRIFT;
+        let until = now + lasts - lasts * 2 / CLOCK_DRIFT_DIVISOR;
         self.note(now, holder, Sent { version, moved: Moved::Reclaimed(part), until })
     }
 
@@ -155,9 +155,9 @@
     pub fn grant(
         &mut self,
         now: Duration,
-        holder: Holder,
+        holder: HolderId,
         version: u64,
-        part: Part,
+        part: Share,
         (asked, lasts): (Duration, Duration),
     ) -> bool {
         let until = granted_until(asked, lasts);
@@ -165,14 +165,19 @@
     }
 
     /// The most that could be granted to a holder now. What it was granted before is replaced, and what it gave back is its own again.
-    pub fn most(&mut self, now: Duration, holder: Holder, (asked, lasts): (Duration, Duration)) -> Part {
+    pub fn max_grant(
+        &mut self,
+        now: Duration,
+        holder: HolderId,
+        (asked, lasts): (Duration, Duration),
+    ) -> Share {
         self.cover.advance(now);
         let until = slot(granted_until(asked, lasts));
-        Part(u32::try_from(self.cover.least(until, self.accounts.get(&holder))).unwrap_or(0))
+        Share(u32::try_from(self.cover.least(until, self.accounts.get(&holder))).unwrap_or(0))
     }
 
     /// A holder has this version of the plans. The move that is in force there is the newest up to it.
-    pub fn held(&mut self, now: Duration, holder: Holder, version: u64, refused: bool) {
+    pub fn confirm(&mut self, now: Duration, holder: HolderId, version: u64, refused: bool) {
         let Some(account) = self.accounts.get_mut(&holder) else { return };
         if account.held.is_some_and(|held| held >= version) {
             return;
@@ -185,7 +190,7 @@
             let first = &mut account.sent[0];
             // A reclaim that was not taken is none.
             if refused && matches!(first.moved, Moved::Reclaimed(_)) {
-                first.moved = Moved::Reclaimed(Part::NONE);
+                first.moved = Moved::Reclaimed(Share::NONE);
             }
         }
         self.cover.count(account, 1);
@@ -197,13 +202,14 @@
     }
 
     /// What was reclaimed from a holder for certain, and was possibly granted to it, as of now.
-    pub fn of(&self, now: Duration, holder: Holder) -> (Part, Part) {
+    pub fn bounds(&self, now: Duration, holder: HolderId) -> (Share, Share) {
         let account = self.accounts.get(&holder);
-        account.map_or((Part::NONE, Part::NONE), |account| (account.certain(now, now), account.possible(now)))
+        account
+            .map_or((Share::NONE, Share::NONE), |account| (account.certain(now, now), account.possible(now)))
     }
 
     /// The newest move that was sent to a holder: its version, what it was, and until when it counts.
-    pub fn newest(&self, holder: Holder) -> Option<(u64, Move, Duration)> {
+    pub fn newest_move(&self, holder: HolderId) -> Option<(u64, Move, Duration)> {
         let sent = self.accounts.get(&holder)?.sent.last()?;
         let moved = match sent.moved {
             Moved::Reclaimed(part) => Move::Reclaim(part, Duration::ZERO),
@@ -213,7 +219,7 @@
     }
 
     /// Forgets what has ended.
-    pub fn forget(&mut self, now: Duration) {
+    pub fn drop_expired(&mut self, now: Duration) {
         self.cover.advance(now);
         let cover = &mut self.cover;
         self.accounts.retain(|_, account| {
@@ -235,7 +241,7 @@
         self.cover.least(u64::MAX, None) >= 0
     }
 
-    fn note(&mut self, now: Duration, holder: Holder, sent: Sent) -> bool {
+    fn note(&mut self, now: Duration, holder: HolderId, sent: Sent) -> bool {
         self.cover.advance(now);
         let account = self.accounts.entry(holder).or_default();
         // Guards the planner's memory from a forwarder that asks and never takes what it is told.
@@ -260,8 +266,8 @@
 /// The latest end, by the planner's clock, of a grant that counts from a report which came at `asked`: the holder's
 /// clock may run slowly and ours fast, which is a little more than two hundredths together.
 fn granted_until(asked: Duration, lasts: Duration) -> Duration {
-    let lasts = lasts.min(LONGEST);
-    asked + lasts + lasts * 3 / DRIFT
+    let lasts = lasts.min(MAX_MOVE_DURATION);
+    asked + lasts + lasts * 3 / CLOCK_DRIFT_DIVISOR
 }
 
 #[cfg(test)]
--- a/src/shares/ledger/tests.rs
+++ b/src/shares/ledger/tests.rs
@@ -2,7 +2,7 @@
 use proptest::prelude::*;
 
 const MS: fn(u64) -> Duration = Duration::from_millis;
-const TENTH: Part = Part(100_000);
+const TENTH: Share = Share(100_000);
 
 #[test]
 fn nothing_is_granted_before_it_is_certainly_reclaimed() {
@@ -11,18 +11,18 @@
     assert!(ledger.is_empty());
     assert!(ledger.reclaim(MS(0), 0, 1, TENTH, MS(800)));
     assert!(!ledger.grant(MS(10), 1, 1, TENTH, (MS(10), MS(400))), "it may not have the plan");
-    ledger.held(MS(0), 0, 1, false);
-    assert_eq!(ledger.most(MS(20), 1, (MS(20), MS(400))), TENTH);
+    ledger.confirm(MS(0), 0, 1, false);
+    assert_eq!(ledger.max_grant(MS(20), 1, (MS(20), MS(400))), TENTH);
     assert!(ledger.grant(MS(20), 1, 1, TENTH, (MS(20), MS(400))));
-    assert_eq!(ledger.most(MS(20), 2, (MS(20), MS(400))), Part::NONE);
-    assert!(!ledger.grant(MS(20), 2, 1, Part(1), (MS(20), MS(400))), "it was granted already");
+    assert_eq!(ledger.max_grant(MS(20), 2, (MS(20), MS(400))), Share::NONE);
+    assert!(!ledger.grant(MS(20), 2, 1, Share(1), (MS(20), MS(400))), "it was granted already");
 }
 
 #[test]
 fn a_grant_ends_before_what_it_comes_from() {
     let mut ledger = Ledger::default();
     ledger.reclaim(MS(0), 0, 1, TENTH, MS(800));
-    ledger.held(MS(0), 0, 1, false);
+    ledger.confirm(MS(0), 0, 1, false);
     // Certain until 784, which counts to the slot's begin at 780; a grant of 400 from 370 may last until 782.
     assert!(!ledger.grant(MS(390), 1, 1, TENTH, (MS(370), MS(400))));
     assert!(ledger.grant(MS(390), 1, 1, TENTH, (MS(367), MS(400))));
@@ -33,36 +33,36 @@
 fn a_reclaim_is_not_taken_back_while_a_grant_may_be_in_force() {
     let mut ledger = Ledger::default();
     ledger.reclaim(MS(0), 0, 1, TENTH, MS(800));
-    ledger.held(MS(0), 0, 1, false);
+    ledger.confirm(MS(0), 0, 1, false);
     ledger.grant(MS(20), 1, 1, TENTH, (MS(20), MS(400)));
-    assert!(!ledger.reclaim(MS(100), 0, 2, Part::NONE, MS(800)), "the grant lasts until 432");
-    assert!(ledger.reclaim(MS(440), 0, 2, Part::NONE, MS(800)));
+    assert!(!ledger.reclaim(MS(100), 0, 2, Share::NONE, MS(800)), "the grant lasts until 432");
+    assert!(ledger.reclaim(MS(440), 0, 2, Share::NONE, MS(800)));
 }
 
 #[test]
 fn of_moves_on_their_way_the_worst_counts() {
     let mut ledger = Ledger::default();
     ledger.reclaim(MS(0), 0, 1, TENTH, MS(800));
-    ledger.held(MS(0), 0, 1, false);
-    ledger.reclaim(MS(100), 0, 2, Part(40_000), MS(800));
-    assert_eq!(ledger.of(MS(100), 0), (Part(40_000), Part::NONE));
+    ledger.confirm(MS(0), 0, 1, false);
+    ledger.reclaim(MS(100), 0, 2, Share(40_000), MS(800));
+    assert_eq!(ledger.bounds(MS(100), 0), (Share(40_000), Share::NONE));
     ledger.reclaim(MS(200), 0, 3, TENTH, MS(800));
-    assert_eq!(ledger.of(MS(200), 0).0, Part(40_000), "the second may be all that it has");
-    ledger.held(MS(200), 0, 3, false);
-    assert_eq!(ledger.of(MS(200), 0).0, TENTH);
-    ledger.held(MS(200), 0, 2, false);
-    assert_eq!(ledger.of(MS(200), 0).0, TENTH, "an old report changes nothing");
+    assert_eq!(ledger.bounds(MS(200), 0).0, Share(40_000), "the second may be all that it has");
+    ledger.confirm(MS(200), 0, 3, false);
+    assert_eq!(ledger.bounds(MS(200), 0).0, TENTH);
+    ledger.confirm(MS(200), 0, 2, false);
+    assert_eq!(ledger.bounds(MS(200), 0).0, TENTH, "an old report changes nothing");
 }
 
 #[test]
 fn what_was_refused_is_not_reclaimed_and_what_ended_is_forgotten() {
     let mut ledger = Ledger::default();
     ledger.reclaim(MS(0), 0, 1, TENTH, MS(800));
-    ledger.held(MS(0), 0, 1, true);
-    assert_eq!(ledger.of(MS(0), 0).0, Part::NONE);
-    ledger.forget(MS(700));
+    ledger.confirm(MS(0), 0, 1, true);
+    assert_eq!(ledger.bounds(MS(0), 0).0, Share::NONE);
+    ledger.drop_expired(MS(700));
     assert!(!ledger.is_empty());
-    ledger.forget(MS(800));
+    ledger.drop_expired(MS(800));
     assert!(ledger.is_empty());
 }
 
@@ -99,11 +99,11 @@
             let (lasts, asked) = (MS(lasts), now.saturating_sub(MS(wait / 2)));
             version += 1;
             match what {
-                0 if ledger.reclaim(now, holder, version, Part(part), lasts) => {
-                    on_way.push((holder, version, Move::Reclaim(Part(part), lasts), now, asked));
+                0 if ledger.reclaim(now, holder, version, Share(part), lasts) => {
+                    on_way.push((holder, version, Move::Reclaim(Share(part), lasts), now, asked));
                 }
-                1 if ledger.grant(now, holder, version, Part(part), (asked, lasts)) => {
-                    on_way.push((holder, version, Move::Grant(Part(part), lasts), now, asked));
+                1 if ledger.grant(now, holder, version, Share(part), (asked, lasts)) => {
+                    on_way.push((holder, version, Move::Grant(Share(part), lasts), now, asked));
                 }
                 2 if !on_way.is_empty() => {
                     // One of those on their way arrives, whichever; it is told at once where it is newer.
@@ -116,11 +116,11 @@
                             Move::Grant(part, lasts) => Truth { version, reclaimed: (0, MS(0)), granted: (part.0, asked + drifted(lasts)) },
                         };
                         if part % 3 > 0 {
-                            ledger.held(now, to, version, false);
+                            ledger.confirm(now, to, version, false);
                         }
                     }
                 }
-                _ => ledger.forget(now),
+                _ => ledger.drop_expired(now),
             }
             prop_assert!(ledger.is_covered(now));
             let in_force = |(part, until): (u32, Duration)| if now < until { i64::from(part) } else { 0 };
--- a/src/shares/meter.rs
+++ b/src/shares/meter.rs
@@ -1,7 +1,7 @@
 //! What clients ask of a forwarder for volumes with a limit, as its reports tell it: the rate, smoothed, as a part of
 //! the limit. Volumes that are not asked for are forgotten after a while.
 
-use super::{Demand, Part, Resource};
+use super::{Demand, Resource, Share};
 use crate::interface::{NewRequest, Settings, VolumeId};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -18,7 +18,7 @@
     /// Units a second, as of when it was asked last.
     rate: f64,
     at: Duration,
-    even: Part,
+    even_share: Share,
     limit: f64,
 }
 
@@ -30,30 +30,30 @@
 
 impl Meter {
     /// Counts a request.
-    pub fn count(&mut self, now: Duration, new: &NewRequest, settings: &Settings) {
+    pub fn record(&mut self, now: Duration, new: &NewRequest, settings: &Settings) {
         let limit = settings.plans.get(new.plan).and_then(|plan| plan.limit);
         let Some(limit) = limit.filter(|limit| limit.rate > 0.0) else { return };
         if self.volumes.len() >= MOST && !self.volumes.contains_key(&new.volume) {
             return;
         }
-        let even = Part::even(new.volume_hosts);
-        let fresh = Metered { rate: 0.0, at: now, even, limit: limit.rate };
+        let even_share = Share::even(new.volume_hosts);
+        let fresh = Metered { rate: 0.0, at: now, even_share, limit: limit.rate };
         let volume = self.volumes.entry(new.volume).or_insert(fresh);
         volume.rate = volume.faded(now) + new.units.max(0.0) / MEMORY.as_secs_f64();
         // Of two numbers of hosts that clients tell the greater counts: it claims less.
-        (volume.at, volume.even) = (now, volume.even.min(even));
+        (volume.at, volume.even_share) = (now, volume.even_share.min(even_share));
         // Live configuration may have changed it since the last request.
         volume.limit = limit.rate;
     }
 
     /// The even part of a volume that is metered.
-    pub fn even(&self, volume: VolumeId) -> Option<Part> {
-        self.volumes.get(&volume).map(|volume| volume.even)
+    pub fn even_share(&self, volume: VolumeId) -> Option<Share> {
+        self.volumes.get(&volume).map(|volume| volume.even_share)
     }
 
     /// Volumes that are metered.
-    pub fn volumes(&self) -> impl Iterator<Item = (VolumeId, Part)> + '_ {
-        self.volumes.iter().map(|(id, volume)| (*id, volume.even))
+    pub fn volumes(&self) -> impl Iterator<Item = (VolumeId, Share)> + '_ {
+        self.volumes.iter().map(|(id, volume)| (*id, volume.even_share))
     }
 
     /// What is wanted of the volumes that `is_of` names.
@@ -61,7 +61,7 @@
         self.volumes.retain(|_, volume| now.saturating_sub(volume.at) < KEPT);
         let demand = |(id, volume): (&VolumeId, &Metered)| Demand {
             resource: Resource::Limit(id.0),
-            even: volume.even,
+            even_share: volume.even_share,
             wanted: (volume.faded(now) / volume.limit) as f32,
         };
         self.volumes.iter().filter(|(id, _)| is_of(**id)).map(demand).collect()
--- a/src/shares/meter/tests.rs
+++ b/src/shares/meter/tests.rs
@@ -17,15 +17,15 @@
     let mut now = Duration::from_secs(1);
     for _ in 0..200 {
         now += Duration::from_millis(100);
-        meter.count(now, &request(1, 0, 2.0), &settings);
-        meter.count(now, &request(2, 1, 2.0), &settings);
+        meter.record(now, &request(1, 0, 2.0), &settings);
+        meter.record(now, &request(2, 1, 2.0), &settings);
     }
     let demands = meter.demands(now, |_| true);
     assert_eq!(demands.len(), 1, "only what has a limit");
-    assert_eq!((demands[0].resource, demands[0].even), (Resource::Limit(1), Part(500_000)));
+    assert_eq!((demands[0].resource, demands[0].even_share), (Resource::Limit(1), Share(500_000)));
     assert!((0.9..1.2).contains(&demands[0].wanted), "20 units a second: {}", demands[0].wanted);
-    meter.count(now, &request(1, 0, 4.0), &settings);
-    assert_eq!(meter.even(VolumeId(1)), Some(Part(250_000)));
+    meter.record(now, &request(1, 0, 4.0), &settings);
+    assert_eq!(meter.even_share(VolumeId(1)), Some(Share(250_000)));
     assert!(meter.demands(now, |_| false).is_empty());
     assert!(meter.demands(now + Duration::from_secs(5), |_| true)[0].wanted < 0.001);
     assert!(meter.demands(now + KEPT, |_| true).is_empty());
--- a/src/shares/mod.rs
+++ b/src/shares/mod.rs
@@ -22,45 +22,45 @@
 
 /// The longest that a move may last. A forwarder that starts holds to its floor for as long, since it cannot know what
 /// it gave back before; a move that says more is cut to it.
-pub const LONGEST: Duration = Duration::from_secs(5);
+pub const MAX_MOVE_DURATION: Duration = Duration::from_secs(5);
 /// By how much a clock may run fast or slow, as a part: one in a hundred.
-pub const DRIFT: u32 = 100;
+pub const CLOCK_DRIFT_DIVISOR: u32 = 100;
 /// Part of its even part that a forwarder never gives back: one in four. It may use that from its start on.
-pub const FLOOR: u32 = 4;
+pub const FLOOR_DIVISOR: u32 = 4;
 
 /// A part of a shared thing, in whole millionths, so that sums are exact.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Part(pub u32);
+pub struct Share(pub u32);
 
-impl Part {
+impl Share {
     /// All of it.
-    pub const WHOLE: Part = Part(1_000_000);
+    pub const WHOLE: Share = Share(1_000_000);
     /// Nothing.
-    pub const NONE: Part = Part(0);
+    pub const NONE: Share = Share(0);
 
     /// An even part among so many; rounded down, so that all of them sum to no more than the whole.
-    pub fn even(among: f64) -> Part {
-        Part((f64::from(Part::WHOLE.0) / among.max(1.0)) as u32)
+    pub fn even(among: f64) -> Share {
+        Share((f64::from(Share::WHOLE.0) / among.max(1.0)) as u32)
     }
 
     /// What a forwarder with this even part never gives back.
-    pub fn floor(self) -> Part {
-        Part(self.0 / FLOOR)
+    pub fn floor(self) -> Share {
+        Share(self.0 / FLOOR_DIVISOR)
     }
 
     /// As a fraction.
     pub fn fraction(self) -> f64 {
-        f64::from(self.0) / f64::from(Part::WHOLE.0)
+        f64::from(self.0) / f64::from(Share::WHOLE.0)
     }
 
     /// What is left of it.
-    pub fn less(self, other: Part) -> Part {
-        Part(self.0.saturating_sub(other.0))
+    pub fn minus(self, other: Share) -> Share {
+        Share(self.0.saturating_sub(other.0))
     }
 
     /// Both together.
-    pub fn and(self, other: Part) -> Part {
-        Part(self.0.saturating_add(other.0))
+    pub fn plus(self, other: Share) -> Share {
+        Share(self.0.saturating_add(other.0))
     }
 }
 
@@ -70,7 +70,7 @@
     /// The limit of a volume.
     Limit(u64),
     /// What a cold node bears, by the hash of its name.
-    Cold(u64),
+    SlowStart(u64),
 }
 
 /// A forwarder, by the hash of its name.
@@ -89,16 +89,16 @@
     /// Breaks ties, and tells two apart that never heard of each other.
     pub planner: PlannerId,
     /// Tells apart times in charge of one planner, which remembers nothing of those before: another at each.
-    pub charge: u64,
+    pub nonce: u64,
 }
 
 /// A move of a part of a resource, from one planner to one forwarder. A later one for the same resource replaces it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Move {
     /// The forwarder leaves this part alone for so long after it has the plan.
-    Reclaim(Part, Duration),
+    Reclaim(Share, Duration),
     /// The forwarder may use this part besides, for so long after it asked.
-    Grant(Part, Duration),
+    Grant(Share, Duration),
 }
 
 /// What a forwarder asks for.
@@ -107,18 +107,18 @@
     /// What of.
     pub resource: Resource,
     /// Its even part.
-    pub even: Part,
+    pub even_share: Share,
     /// What it would use, as a part of the whole; beyond 1 where it would use more than there is.
     pub wanted: f32,
 }
 
 /// What a forwarder saw of a node it probed.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Probed {
+pub struct ProbeResult {
     /// The node, by the hash of its name.
     pub node: u64,
     /// How long it took to answer; none: it did not.
-    pub answered: Option<Duration>,
+    pub response_time: Option<Duration>,
     /// How long ago.
     pub age: Duration,
 }
@@ -137,13 +137,13 @@
     /// The highest term that it knows of.
     pub term: Option<Term>,
     /// The newest plan of that term that it holds.
-    pub holds: u64,
+    pub held_version: u64,
     /// Resources whose reclaim in that plan it did not take.
     pub refused: Vec<Resource>,
     /// What it wants.
     pub demands: Vec<Demand>,
     /// What it saw.
-    pub probed: Vec<Probed>,
+    pub probe_results: Vec<ProbeResult>,
 }
 
 /// From a planner to one forwarder. Resources that it does not name stay as they are.
@@ -156,11 +156,11 @@
     /// Counts its plans for this forwarder; an older one is not taken.
     pub version: u64,
     /// The report that it answers.
-    pub answers: u64,
+    pub answers_report: u64,
     /// What changes.
     pub moves: Vec<(Resource, Move)>,
     /// Nodes that the forwarder is to probe, by the hashes of their names, where that has changed.
     pub probes: Option<Vec<u64>>,
     /// What others saw of nodes since the last plan.
-    pub hints: Vec<Probed>,
+    pub hints: Vec<ProbeResult>,
 }
--- a/src/shares/planner.rs
+++ b/src/shares/planner.rs
@@ -1,9 +1,11 @@
 //! A planner in charge of one partition: takes reports, answers each with a plan.
 
-use super::deal::Dealt;
-use super::divide::{divide, Wants};
-use super::ledger::{Holder, Ledger};
-use super::{ForwarderId, Move, Part, Plan, PlannerId, Probed, Report, Resource, Term, LONGEST};
+use super::deal::Assignments;
+use super::divide::{divide, HolderDemand};
+use super::ledger::{HolderId, Ledger};
+use super::{
+    ForwarderId, Move, Plan, PlannerId, ProbeResult, Report, Resource, Share, Term, MAX_MOVE_DURATION,
+};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
 
@@ -15,18 +17,18 @@
     /// How long a reclaim lasts: longer, since it has to cover a grant.
     pub reclaim: Duration,
     /// A forwarder that says nothing for so long is gone.
-    pub silent: Duration,
+    pub silence_timeout: Duration,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         let (grant, reclaim) = (Duration::from_millis(400), Duration::from_millis(1000));
-        Settings { grant, reclaim, silent: Duration::from_millis(1000) }
+        Settings { grant, reclaim, silence_timeout: Duration::from_millis(1000) }
     }
 }
 
 /// A smaller move is not worth its bytes: half a hundredth.
-const LEAST: Part = Part(5_000);
+const LEAST: Share = Share(5_000);
 /// What is to have which part is reckoned anew this often, for a resource that many share.
 const RECKONED: Duration = Duration::from_millis(20);
 /// Forwarders, resources and nodes that one partition bears; what comes beyond goes by even parts.
@@ -36,7 +38,7 @@
 /// Hints that one plan carries.
 const MOST_HINTS: usize = 64;
 /// Demands that one report may make.
-pub const MOST_DEMANDS: usize = 65_536;
+pub const MAX_DEMANDS: usize = 65_536;
 
 /// One forwarder's process.
 #[derive(Clone, Debug)]
@@ -49,7 +51,7 @@
     /// The newest plan sent to it.
     version: u64,
     /// The newest one that it holds.
-    holds: u64,
+    held_version: u64,
     /// Resources in which something was moved.
     moved: BTreeSet<Resource>,
     /// Resources that it has a demand for.
@@ -64,9 +66,9 @@
 #[derive(Clone, Debug, Default)]
 struct Shared {
     ledger: Ledger,
-    wants: BTreeMap<Holder, Wants>,
+    wants: BTreeMap<HolderId, HolderDemand>,
     /// Who is to have which part, as reckoned then.
-    parts: BTreeMap<Holder, Part>,
+    parts: BTreeMap<HolderId, Share>,
     reckoned: Option<Duration>,
 }
 
@@ -75,15 +77,15 @@
 pub struct Planner {
     settings: Settings,
     term: Term,
-    holders: BTreeMap<Holder, Known>,
-    by_forwarder: HashMap<ForwarderId, Holder>,
-    last_holder: Holder,
+    holders: BTreeMap<HolderId, Known>,
+    by_forwarder: HashMap<ForwarderId, HolderId>,
+    last_holder: HolderId,
     /// Plans sent: never counted anew within a term, also not for one that was forgotten meanwhile.
     versions: u64,
     shared: HashMap<Resource, Shared>,
-    probes: Dealt,
+    probes: Assignments,
     /// What was seen of each node last, when, and the number of that news.
-    seen: BTreeMap<u64, (Probed, Duration, u64)>,
+    seen: BTreeMap<u64, (ProbeResult, Duration, u64)>,
     news: u64,
     swept: Duration,
 }
@@ -117,8 +119,8 @@
 impl Planner {
     /// Takes charge. `charge` is another at each time this planner does, also after a restart; terms of others that it
     /// hears of in reports make it begin anew beyond them.
-    pub fn new(settings: Settings, planner: PlannerId, charge: u64) -> Self {
-        Planner::beyond(settings, Term { number: 1, planner, charge })
+    pub fn new(settings: Settings, planner: PlannerId, nonce: u64) -> Self {
+        Planner::beyond(settings, Term { number: 1, planner, nonce })
     }
 
     fn beyond(settings: Settings, term: Term) -> Self {
@@ -130,7 +132,7 @@
             last_holder: 0,
             versions: 0,
             shared: HashMap::new(),
-            probes: Dealt::default(),
+            probes: Assignments::default(),
             seen: BTreeMap::new(),
             news: 0,
             swept: Duration::ZERO,
@@ -160,15 +162,15 @@
         }
         for node in nodes {
             self.probes.add_key(*node);
-            let unseen = Probed { node: *node, answered: None, age: Duration::ZERO };
+            let unseen = ProbeResult { node: *node, response_time: None, age: Duration::ZERO };
             self.seen.entry(*node).or_insert((unseen, Duration::ZERO, 0));
         }
     }
 
     /// Takes a report and answers it. Nothing comes of one that no forwarder writes, or where there is no room.
-    pub fn take(&mut self, now: Duration, report: &Report) -> Option<Plan> {
+    pub fn handle_report(&mut self, now: Duration, report: &Report) -> Option<Plan> {
         self.sweep(now);
-        if report.demands.len() > MOST_DEMANDS {
+        if report.demands.len() > MAX_DEMANDS {
             return None;
         }
         if report.term.is_some_and(|term| term > self.term) {
@@ -184,13 +186,13 @@
         self.versions += 1;
         known.version = self.versions;
         let version = known.version;
-        let holds = known.holds;
+        let held_version = known.held_version;
         let mut resources: BTreeSet<Resource> = known.wants.iter().copied().collect();
         // A plan that is lost must not be taken for held once the next one is: what it moved is moved again until then.
         let shared = &self.shared;
         let unheld = |resource: &&Resource| {
-            let newest = shared.get(resource).and_then(|shared| shared.ledger.newest(holder));
-            newest.is_some_and(|(version, ..)| version > holds)
+            let newest = shared.get(resource).and_then(|shared| shared.ledger.newest_move(holder));
+            newest.is_some_and(|(version, ..)| version > held_version)
         };
         resources.extend(known.moved.iter().filter(unheld));
         let (mut moves, mut whole) = (Vec::new(), true);
@@ -208,7 +210,7 @@
             term: self.term,
             incarnation: report.incarnation,
             version,
-            answers: report.number,
+            answers_report: report.number,
             moves,
             probes,
             hints,
@@ -216,7 +218,7 @@
     }
 
     /// The process that a report comes from; an earlier one of the same forwarder has ended.
-    fn holder(&mut self, now: Duration, report: &Report) -> Option<Holder> {
+    fn holder(&mut self, now: Duration, report: &Report) -> Option<HolderId> {
         let known = self.by_forwarder.get(&report.forwarder).copied();
         if let Some(holder) = known {
             match self.holders.get_mut(&holder) {
@@ -240,7 +242,7 @@
             heard: now,
             silent: false,
             version: 0,
-            holds: 0,
+            held_version: 0,
             moved: BTreeSet::new(),
             wants: Vec::new(),
             probes: None,
@@ -253,15 +255,18 @@
     }
 
     /// Takes in what a report says.
-    fn learn(&mut self, now: Duration, holder: Holder, report: &Report) {
+    fn learn(&mut self, now: Duration, holder: HolderId, report: &Report) {
         let Some(known) = self.holders.get_mut(&holder) else { return };
         known.heard = now;
-        if report.term == Some(self.term) && report.holds > known.holds && report.holds <= known.version {
-            known.holds = report.holds;
+        if report.term == Some(self.term)
+            && report.held_version > known.held_version
+            && report.held_version <= known.version
+        {
+            known.held_version = report.held_version;
             for resource in &known.moved {
                 if let Some(shared) = self.shared.get_mut(resource) {
                     let refused = report.refused.contains(resource);
-                    shared.ledger.held(now, holder, report.holds, refused);
+                    shared.ledger.confirm(now, holder, report.held_version, refused);
                 }
             }
         }
@@ -277,13 +282,16 @@
                 continue;
             }
             let shared = self.shared.entry(demand.resource).or_default();
-            let wants =
-                Wants { even: demand.even, wanted: f64::from(demand.wanted), gives_back: report.gives_back };
+            let wants = HolderDemand {
+                even_share: demand.even_share,
+                wanted: f64::from(demand.wanted),
+                gives_back: report.gives_back,
+            };
             if shared.wants.insert(holder, wants).is_none() {
                 shared.reckoned = None;
             }
         }
-        for probed in &report.probed {
+        for probed in &report.probe_results {
             if let Some(seen) = self.seen.get_mut(&probed.node) {
                 let at = now.saturating_sub(probed.age);
                 if at >= seen.1 {
@@ -298,7 +306,7 @@
     fn decide(
         &mut self,
         now: Duration,
-        holder: Holder,
+        holder: HolderId,
         version: u64,
         resource: Resource,
     ) -> Result<Option<Move>, Unsettled> {
@@ -308,19 +316,19 @@
             return Ok(None);
         };
         shared.reckon(now);
-        let wants = shared.wants.get(&holder).map(|wants| wants.even);
+        let wants = shared.wants.get(&holder).map(|wants| wants.even_share);
         // One that wants nothing any more is to have what it has without a planner.
-        let even = wants.unwrap_or_default();
-        let to_have = shared.parts.get(&holder).copied().filter(|_| wants.is_some()).unwrap_or(even);
+        let even_share = wants.unwrap_or_default();
+        let to_have = shared.parts.get(&holder).copied().filter(|_| wants.is_some()).unwrap_or(even_share);
         let ledger = &mut shared.ledger;
-        ledger.forget(now);
-        let newest = ledger.newest(holder);
-        let is_held = newest.is_none_or(|(version, ..)| version <= known.holds);
-        let reclaimed = ledger.of(now, holder).0;
-        let moved = if to_have < even.less(LEAST) {
-            let part = even.less(to_have);
+        ledger.drop_expired(now);
+        let newest = ledger.newest_move(holder);
+        let is_held = newest.is_none_or(|(version, ..)| version <= known.held_version);
+        let reclaimed = ledger.bounds(now, holder).0;
+        let moved = if to_have < even_share.minus(LEAST) {
+            let part = even_share.minus(to_have);
             // One that is as it should be, and lasts, is not sent again.
-            let near = |other: Part| part.0.abs_diff(other.0) < LEAST.0;
+            let near = |other: Share| part.0.abs_diff(other.0) < LEAST.0;
             let lasts = |until: Duration| until > now + reclaim * 7 / 10;
             if matches!(newest, Some((_, Move::Reclaim(other, _), until)) if is_held && near(other) && lasts(until))
             {
@@ -331,10 +339,10 @@
             let sent = sent.into_iter().find(|part| ledger.reclaim(now, holder, version, *part, reclaim));
             sent.map(|part| Move::Reclaim(part, reclaim))
         } else {
-            let part = to_have.less(even).min(ledger.most(now, holder, (now, grant)));
-            let part = if part < LEAST { Part::NONE } else { part };
+            let part = to_have.minus(even_share).min(ledger.max_grant(now, holder, (now, grant)));
+            let part = if part < LEAST { Share::NONE } else { part };
             let gives_back = matches!(newest, Some((_, Move::Reclaim(..), until)) if until > now);
-            if part == Part::NONE && !gives_back && is_held {
+            if part == Share::NONE && !gives_back && is_held {
                 return Ok(None);
             }
             if ledger.grant(now, holder, version, part, (now, grant)) {
@@ -354,11 +362,11 @@
         Ok(moved)
     }
 
-    fn probes_for(&mut self, holder: Holder, version: u64) -> Option<Vec<u64>> {
+    fn probes_for(&mut self, holder: HolderId, version: u64) -> Option<Vec<u64>> {
         let known = self.holders.get_mut(&holder)?;
-        let probes = self.probes.of(known.forwarder.0);
+        let probes = self.probes.keys_of(known.forwarder.0);
         match &known.probes {
-            Some((told, with)) if told == probes && *with <= known.holds => return None,
+            Some((told, with)) if told == probes && *with <= known.held_version => return None,
             _ => {}
         }
         // Told again until it is known to hold it.
@@ -366,13 +374,13 @@
         Some(probes.to_vec())
     }
 
-    fn hints_for(&mut self, now: Duration, holder: Holder) -> Vec<Probed> {
+    fn hints_for(&mut self, now: Duration, holder: HolderId) -> Vec<ProbeResult> {
         let Some(known) = self.holders.get_mut(&holder) else { return Vec::new() };
-        let own = self.probes.of(known.forwarder.0);
-        let mut news: Vec<(u64, Probed)> = Vec::new();
+        let own = self.probes.keys_of(known.forwarder.0);
+        let mut news: Vec<(u64, ProbeResult)> = Vec::new();
         for (node, (probed, at, number)) in &self.seen {
             if *number > known.hinted && own.binary_search(node).is_err() {
-                news.push((*number, Probed { age: now.saturating_sub(*at), ..*probed }));
+                news.push((*number, ProbeResult { age: now.saturating_sub(*at), ..*probed }));
             }
         }
         news.sort_by_key(|(number, _)| *number);
@@ -383,23 +391,23 @@
 
     /// Leaves forwarders out that are silent, and forgets what has ended.
     fn sweep(&mut self, now: Duration) {
-        if now.saturating_sub(self.swept) < self.settings.silent / 4 {
+        if now.saturating_sub(self.swept) < self.settings.silence_timeout / 4 {
             return;
         }
         self.swept = now;
         let silent_for = |known: &Known| now.saturating_sub(known.heard);
-        let silent = |known: &&Known| !known.silent && silent_for(known) > self.settings.silent;
+        let silent = |known: &&Known| !known.silent && silent_for(known) > self.settings.silence_timeout;
         let of = |known: &Known| self.by_forwarder.get(&known.forwarder).copied();
-        let gone: Vec<Holder> = self.holders.values().filter(silent).filter_map(of).collect();
+        let gone: Vec<HolderId> = self.holders.values().filter(silent).filter_map(of).collect();
         for holder in gone {
             self.fall_silent(holder);
         }
         // One that is heard of again within this goes on as the same: a move to it replaces the one before. The clocks
         // may run apart, so that twice the longest move is waited for.
-        let ended: Vec<Holder> = self
+        let ended: Vec<HolderId> = self
             .holders
             .iter()
-            .filter(|(_, known)| known.silent && silent_for(known) > LONGEST * 2)
+            .filter(|(_, known)| known.silent && silent_for(known) > MAX_MOVE_DURATION * 2)
             .map(|(holder, _)| *holder)
             .collect();
         for holder in ended {
@@ -408,7 +416,7 @@
             }
         }
         self.shared.retain(|_, shared| {
-            shared.ledger.forget(now);
+            shared.ledger.drop_expired(now);
             !shared.wants.is_empty() || !shared.ledger.is_empty()
         });
         let shared = &self.shared;
@@ -420,7 +428,7 @@
     }
 
     /// A forwarder's process counts for nothing for now: not for demand, nor for probes.
-    fn fall_silent(&mut self, holder: Holder) {
+    fn fall_silent(&mut self, holder: HolderId) {
         let Some(known) = self.holders.get_mut(&holder) else { return };
         known.silent = true;
         let (forwarder, wants) = (known.forwarder, std::mem::take(&mut known.wants));
@@ -430,7 +438,7 @@
         }
     }
 
-    fn forget_wants(&mut self, holder: Holder, resource: Resource) {
+    fn forget_wants(&mut self, holder: HolderId, resource: Resource) {
         if let Some(shared) = self.shared.get_mut(&resource) {
             shared.wants.remove(&holder);
             shared.reckoned = None;
--- a/src/shares/planner/tests.rs
+++ b/src/shares/planner/tests.rs
@@ -17,34 +17,34 @@
     fn new(wanted: &[f32]) -> Bench {
         let store = |at: usize| Store::new(ForwarderId(at as u64), 1, 1, Duration::ZERO);
         Bench {
-            now: LONGEST,
+            now: MAX_MOVE_DURATION,
             planner: Planner::new(Settings::default(), PlannerId(1), 1),
             stores: (0..wanted.len()).map(store).collect(),
             wanted: wanted.to_vec(),
         }
     }
 
-    fn even(&self) -> Part {
-        Part::even(self.stores.len() as f64)
+    fn even_share(&self) -> Share {
+        Share::even(self.stores.len() as f64)
     }
 
     fn report(&mut self, at: usize) -> Report {
-        let (even, wanted) = (self.even(), self.wanted[at]);
-        let demand = Demand { resource: V, even, wanted };
-        self.stores[at].report(self.now, 0, vec![demand], vec![])
+        let (even_share, wanted) = (self.even_share(), self.wanted[at]);
+        let demand = Demand { resource: V, even_share, wanted };
+        self.stores[at].next_report(self.now, 0, vec![demand], vec![])
     }
 
     /// A report of each forwarder, each answered at once.
     fn round(&mut self) -> Vec<Plan> {
         self.now += MS(100);
-        let even = self.even();
+        let even_share = self.even_share();
         let mut plans = Vec::new();
         for at in 0..self.stores.len() {
             let report = self.report(at);
-            let plan = self.planner.take(self.now, &report).expect("there is room");
-            self.stores[at].take(self.now, 0, &plan, |_| Some(even)).expect("it is newer");
+            let plan = self.planner.handle_report(self.now, &report).expect("there is room");
+            self.stores[at].apply_plan(self.now, 0, &plan, |_| Some(even_share)).expect("it is newer");
             plans.push(plan);
-            assert!(self.sum() <= u64::from(Part::WHOLE.0), "{:?}", self.shares());
+            assert!(self.sum() <= u64::from(Share::WHOLE.0), "{:?}", self.shares());
         }
         plans
     }
@@ -53,9 +53,9 @@
         (0..count).for_each(|_| drop(self.round()));
     }
 
-    fn shares(&self) -> Vec<Part> {
-        let even = self.even();
-        self.stores.iter().map(|store| store.share(self.now, V, even)).collect()
+    fn shares(&self) -> Vec<Share> {
+        let even_share = self.even_share();
+        self.stores.iter().map(|store| store.usable_share(self.now, V, even_share)).collect()
     }
 
     fn sum(&self) -> u64 {
@@ -81,7 +81,7 @@
     let mut bench = Bench::new(&[0.1, 0.1, 0.1, 0.1]);
     bench.rounds(5);
     assert!(bench.round().iter().all(|plan| plan.moves.is_empty()));
-    assert_eq!(bench.shares(), [Part(250_000); 4]);
+    assert_eq!(bench.shares(), [Share(250_000); 4]);
 }
 
 #[test]
@@ -91,11 +91,11 @@
     let mut most = bench.shares()[0];
     for _ in 0..30 {
         bench.now += MS(50);
-        assert!(bench.sum() <= u64::from(Part::WHOLE.0));
+        assert!(bench.sum() <= u64::from(Share::WHOLE.0));
         assert!(bench.shares()[0] <= most, "it only falls");
         most = bench.shares()[0];
     }
-    assert_eq!(bench.shares(), [Part(250_000); 4]);
+    assert_eq!(bench.shares(), [Share(250_000); 4]);
 }
 
 #[test]
@@ -117,9 +117,9 @@
     assert!(bench.shares()[1].fraction() > 0.8);
     bench.stores[0] = Store::new(ForwarderId(0), 2, 1, bench.now);
     bench.rounds(1);
-    assert_eq!(bench.shares()[0], bench.even().floor());
+    assert_eq!(bench.shares()[0], bench.even_share().floor());
     bench.rounds(20);
-    assert_eq!(bench.shares()[1], bench.even(), "what the first process gave back has ended");
+    assert_eq!(bench.shares()[1], bench.even_share(), "what the first process gave back has ended");
     bench.rounds(50);
     assert!(bench.shares()[1].fraction() > 0.8, "it is no longer young");
 }
@@ -132,20 +132,20 @@
     // The first one dies with its grant in hand.
     let dead = bench.stores.remove(0);
     bench.wanted.remove(0);
-    let granted = dead.next_end(bench.now).unwrap() - bench.now;
-    let (mut waited, even) = (Duration::ZERO, Part::even(4.0));
-    while bench.stores[0].share(bench.now, V, even) < before.and(Part(50_000)) {
+    let granted = dead.next_expiry(bench.now).unwrap() - bench.now;
+    let (mut waited, even_share) = (Duration::ZERO, Share::even(4.0));
+    while bench.stores[0].usable_share(bench.now, V, even_share) < before.plus(Share(50_000)) {
         bench.now += MS(100);
         waited += MS(100);
         for at in 0..3 {
-            let demand = Demand { resource: V, even, wanted: bench.wanted[at] };
-            let report = bench.stores[at].report(bench.now, 0, vec![demand], vec![]);
-            let plan = bench.planner.take(bench.now, &report).unwrap();
-            bench.stores[at].take(bench.now, 0, &plan, |_| Some(even)).unwrap();
+            let demand = Demand { resource: V, even_share, wanted: bench.wanted[at] };
+            let report = bench.stores[at].next_report(bench.now, 0, vec![demand], vec![]);
+            let plan = bench.planner.handle_report(bench.now, &report).unwrap();
+            bench.stores[at].apply_plan(bench.now, 0, &plan, |_| Some(even_share)).unwrap();
         }
     }
     assert!(waited >= granted, "{waited:?} {granted:?}");
-    assert!(waited < Settings::default().silent + Settings::default().grant * 2, "{waited:?}");
+    assert!(waited < Settings::default().silence_timeout + Settings::default().grant * 2, "{waited:?}");
 }
 
 #[test]
@@ -159,9 +159,9 @@
     assert_eq!(probed, nodes);
     let prober = (0..5).find(|at| bench.stores[*at].probes().any(|node| node == 7)).unwrap();
     bench.now += MS(100);
-    let seen = Probed { node: 7, answered: Some(MS(3)), age: MS(20) };
-    let report = bench.stores[prober].report(bench.now, 0, vec![], vec![seen]);
-    bench.planner.take(bench.now, &report).unwrap();
+    let seen = ProbeResult { node: 7, response_time: Some(MS(3)), age: MS(20) };
+    let report = bench.stores[prober].next_report(bench.now, 0, vec![], vec![seen]);
+    bench.planner.handle_report(bench.now, &report).unwrap();
     let told: Vec<usize> = bench
         .round()
         .iter()
@@ -185,11 +185,11 @@
         bench.now += MS(100);
         for at in (0..bench.stores.len()).rev() {
             let report = bench.report(at);
-            let plan = bench.planner.take(bench.now, &report).unwrap();
+            let plan = bench.planner.handle_report(bench.now, &report).unwrap();
             if at == 0 && matches!(plan.moves.first(), Some((V, Move::Reclaim(..)))) {
                 return plan;
             }
-            bench.stores[at].take(bench.now, 0, &plan, |_| Some(Part::even(2.0))).unwrap();
+            bench.stores[at].apply_plan(bench.now, 0, &plan, |_| Some(Share::even(2.0))).unwrap();
         }
     }
 }
@@ -200,11 +200,11 @@
     let lost = first_reclaim(&mut bench);
     bench.now += MS(100);
     let report = bench.report(0);
-    let next = bench.planner.take(bench.now, &report).unwrap();
+    let next = bench.planner.handle_report(bench.now, &report).unwrap();
     assert_eq!(next.moves.len(), 1, "what was lost is moved again");
     // A demand that has ended meanwhile changes nothing of that.
-    let report = bench.stores[0].report(bench.now, 0, vec![], vec![]);
-    let later = bench.planner.take(bench.now, &report).unwrap();
+    let report = bench.stores[0].next_report(bench.now, 0, vec![], vec![]);
+    let later = bench.planner.handle_report(bench.now, &report).unwrap();
     assert_eq!(later.moves.len(), 1);
     assert!(lost.version < next.version && next.version < later.version);
 }
@@ -213,23 +213,23 @@
 fn one_that_was_silent_goes_on_as_the_same_with_later_versions() {
     let mut bench = Bench::new(&[0.0, 2.0]);
     bench.rounds(10);
-    let held = bench.stores[0].plan(bench.now, 0).unwrap().1;
+    let held = bench.stores[0].latest_plan(bench.now, 0).unwrap().1;
     // Silent for longer than it takes to be left out; the other one goes on.
     for _ in 0..30 {
         bench.now += MS(100);
         let report = bench.report(1);
-        let plan = bench.planner.take(bench.now, &report).unwrap();
-        bench.stores[1].take(bench.now, 0, &plan, |_| Some(Part::even(2.0))).unwrap();
+        let plan = bench.planner.handle_report(bench.now, &report).unwrap();
+        bench.stores[1].apply_plan(bench.now, 0, &plan, |_| Some(Share::even(2.0))).unwrap();
     }
     assert_eq!(bench.planner.sizes().forwarders, 1);
     bench.round();
-    assert!(bench.stores[0].plan(bench.now, 0).unwrap().1 > held, "it was taken");
+    assert!(bench.stores[0].latest_plan(bench.now, 0).unwrap().1 > held, "it was taken");
     assert_eq!(bench.planner.holders.len(), 2, "no second account of the same process");
     // Silent for so long that it is forgotten: what it holds is still older than what it is told now.
     for _ in 0..150 {
         bench.now += MS(100);
         let report = bench.report(1);
-        bench.planner.take(bench.now, &report).unwrap();
+        bench.planner.handle_report(bench.now, &report).unwrap();
     }
     assert_eq!(bench.planner.holders.len(), 1);
     bench.rounds(20);
@@ -248,30 +248,33 @@
         "the same number and planner, another time in charge"
     );
     let wanting = bench.report(1);
-    bench.planner.take(bench.now, &wanting).unwrap();
+    bench.planner.handle_report(bench.now, &wanting).unwrap();
     // None of its plans arrives, and so it goes on to report what it held before.
-    let asked = (0..report.holds + 5).filter(|_| {
-        let plan = bench.planner.take(bench.now, &report).unwrap();
-        matches!(plan.moves.first(), Some((V, Move::Reclaim(part, _))) if *part > Part::NONE)
+    let asked = (0..report.held_version + 5).filter(|_| {
+        let plan = bench.planner.handle_report(bench.now, &report).unwrap();
+        matches!(plan.moves.first(), Some((V, Move::Reclaim(part, _))) if *part > Share::NONE)
     });
     assert!(asked.count() > 10, "it is asked to give back all the time");
     let granted = bench.report(1);
-    let plan = bench.planner.take(bench.now, &granted).unwrap();
-    assert!(!plan.moves.iter().any(|(_, moved)| matches!(moved, Move::Grant(part, _) if *part > Part::NONE)));
+    let plan = bench.planner.handle_report(bench.now, &granted).unwrap();
+    assert!(!plan
+        .moves
+        .iter()
+        .any(|(_, moved)| matches!(moved, Move::Grant(part, _) if *part > Share::NONE)));
 }
 
 #[test]
 fn what_is_too_much_is_not_answered() {
     let mut planner = Planner::new(Settings::default(), PlannerId(1), 1);
     let mut store = Store::new(ForwarderId(1), 1, 1, Duration::ZERO);
-    let demand = Demand { resource: V, even: Part::even(2.0), wanted: f32::NAN };
-    let nonsense = store.report(MS(1), 0, vec![demand], vec![]);
-    assert!(planner.take(MS(1), &nonsense).is_some(), "a demand that is no number is none");
-    let long = Report { demands: vec![demand; MOST_DEMANDS + 1], ..nonsense };
-    assert!(planner.take(MS(1), &long).is_none());
+    let demand = Demand { resource: V, even_share: Share::even(2.0), wanted: f32::NAN };
+    let nonsense = store.next_report(MS(1), 0, vec![demand], vec![]);
+    assert!(planner.handle_report(MS(1), &nonsense).is_some(), "a demand that is no number is none");
+    let long = Report { demands: vec![demand; MAX_DEMANDS + 1], ..nonsense };
+    assert!(planner.handle_report(MS(1), &long).is_none());
     for forwarder in 0..MOST_HOLDERS as u64 {
         let mut store = Store::new(ForwarderId(10 + forwarder), 1, 1, Duration::ZERO);
-        planner.take(MS(1), &store.report(MS(1), 0, vec![], vec![]));
+        planner.handle_report(MS(1), &store.next_report(MS(1), 0, vec![], vec![]));
     }
     assert_eq!(planner.sizes().forwarders, MOST_HOLDERS);
 }
--- a/src/shares/store.rs
+++ b/src/shares/store.rs
@@ -4,20 +4,20 @@
 //! Of each resource it may use its even part, less what it gave back, and besides what it was granted; each move counts
 //! until its own end, whoever sent it. Without planners all of them end, one by one, and the even part is left.
 
-use super::{Demand, ForwarderId, Move, Part, Plan, Probed, Report, Resource, Term, LONGEST};
+use super::{Demand, ForwarderId, Move, Plan, ProbeResult, Report, Resource, Share, Term, MAX_MOVE_DURATION};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
 /// Reports that a plan may still answer. Grants of a plan that answers an older one have no beginning.
 const MOST_ASKED: usize = 64;
 /// Moves that a plan may name. Guards against a planner that floods.
-pub const MOST_MOVES: usize = 65_536;
+pub const MAX_MOVES: usize = 65_536;
 /// A plan that is older is said to be stale.
 const STALE: Duration = Duration::from_secs(1);
 
 /// Why a plan was not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Untaken {
+pub enum PlanRejection {
     /// A later planner has spoken.
     OldTerm,
     /// A later plan of the same planner came before.
@@ -68,8 +68,8 @@
 /// A move that counts until its end.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Counts {
-    Reclaimed(Part, Duration),
-    Granted(Part, Duration),
+    Reclaimed(Share, Duration),
+    Granted(Share, Duration),
 }
 
 #[derive(Clone, Debug, Default)]
@@ -96,29 +96,29 @@
     }
 
     /// The part of a resource that may be used now, of which this is the even part.
-    pub fn share(&self, now: Duration, resource: Resource, even: Part) -> Part {
-        let own = if self.is_young(now) { even.floor() } else { even };
+    pub fn usable_share(&self, now: Duration, resource: Resource, even_share: Share) -> Share {
+        let own = if self.is_starting(now) { even_share.floor() } else { even_share };
         let Some(held) = self.held.get(&resource) else { return own };
         let (reclaimed, granted) = held.sums(now);
-        own.less(reclaimed).and(granted)
+        own.minus(reclaimed).plus(granted)
     }
 
     /// Whether it cannot know yet what it gave back before it was started.
-    pub fn is_young(&self, now: Duration) -> bool {
-        now.saturating_sub(self.started) < LONGEST
+    pub fn is_starting(&self, now: Duration) -> bool {
+        now.saturating_sub(self.started) < MAX_MOVE_DURATION
     }
 
     /// By what it goes for a partition.
     pub fn mode(&self, now: Duration, partition: usize) -> Mode {
         match self.partitions[partition].heard.map(|at| now.saturating_sub(at)) {
             Some(age) if age < STALE => Mode::Planned,
-            Some(age) if age < LONGEST => Mode::Stale,
+            Some(age) if age < MAX_MOVE_DURATION => Mode::Stale,
             _ => Mode::Safe,
         }
     }
 
     /// The term that it goes by, the newest version held, and the age of that.
-    pub fn plan(&self, now: Duration, partition: usize) -> Option<(Term, u64, Duration)> {
+    pub fn latest_plan(&self, now: Duration, partition: usize) -> Option<(Term, u64, Duration)> {
         let charge = &self.partitions[partition];
         Some((charge.term?, charge.version, now.saturating_sub(charge.heard?)))
     }
@@ -132,21 +132,21 @@
     pub fn in_force(&self, now: Duration) -> (usize, usize) {
         let counts = self.held.values().flat_map(|held| &held.moves);
         counts.fold((0, 0), |(reclaimed, granted), (_, counts)| match counts {
-            Counts::Reclaimed(part, until) if now < *until && *part > Part::NONE => (reclaimed + 1, granted),
-            Counts::Granted(part, until) if now < *until && *part > Part::NONE => (reclaimed, granted + 1),
+            Counts::Reclaimed(part, until) if now < *until && *part > Share::NONE => (reclaimed + 1, granted),
+            Counts::Granted(part, until) if now < *until && *part > Share::NONE => (reclaimed, granted + 1),
             _ => (reclaimed, granted),
         })
     }
 
     /// The next report to a partition's planner.
-    pub fn report(
+    pub fn next_report(
         &mut self,
         now: Duration,
         partition: usize,
         demands: Vec<Demand>,
-        probed: Vec<Probed>,
+        probe_results: Vec<ProbeResult>,
     ) -> Report {
-        let gives_back = !self.is_young(now);
+        let gives_back = !self.is_starting(now);
         let charge = &mut self.partitions[partition];
         charge.number += 1;
         charge.asked.push_back((charge.number, now));
@@ -159,41 +159,41 @@
             number: charge.number,
             gives_back,
             term: charge.term,
-            holds: charge.version,
+            held_version: charge.version,
             refused: charge.refused.iter().copied().collect(),
             demands,
-            probed,
+            probe_results,
         }
     }
 
     /// Takes a plan of a partition's planner. `even` tells the even part of a resource.
-    pub fn take(
+    pub fn apply_plan(
         &mut self,
         now: Duration,
         partition: usize,
         plan: &Plan,
-        even: impl Fn(Resource) -> Option<Part>,
-    ) -> Result<(), Untaken> {
-        if plan.moves.len() > MOST_MOVES {
-            return Err(Untaken::TooLong);
+        even_share: impl Fn(Resource) -> Option<Share>,
+    ) -> Result<(), PlanRejection> {
+        if plan.moves.len() > MAX_MOVES {
+            return Err(PlanRejection::TooLong);
         }
         // Guards against grants that would count from a report of another process with the same number.
         if plan.incarnation != self.incarnation {
-            return Err(Untaken::OtherProcess);
+            return Err(PlanRejection::OtherProcess);
         }
-        let young = self.is_young(now);
+        let young = self.is_starting(now);
         let charge = &mut self.partitions[partition];
         match charge.term {
-            Some(term) if plan.term < term => return Err(Untaken::OldTerm),
+            Some(term) if plan.term < term => return Err(PlanRejection::OldTerm),
             Some(term) if plan.term == term && plan.version <= charge.version => {
-                return Err(Untaken::OldVersion);
+                return Err(PlanRejection::OldVersion);
             }
             Some(term) if plan.term == term => {}
             // What an earlier planner moved goes on until its end; what it wants of probes does not.
             _ => (charge.refused, charge.probes) = (BTreeSet::new(), Vec::new()),
         }
         (charge.term, charge.version, charge.heard) = (Some(plan.term), plan.version, Some(now));
-        let asked = charge.asked.iter().find(|(number, _)| *number == plan.answers).map(|(_, at)| *at);
+        let asked = charge.asked.iter().find(|(number, _)| *number == plan.answers_report).map(|(_, at)| *at);
         if let Some(probes) = &plan.probes {
             charge.probes.clone_from(probes);
         }
@@ -207,8 +207,9 @@
             held.moves.retain(|(term, counts)| *term != plan.term && counts.until() > now);
             match *moved {
                 Move::Reclaim(part, lasts) => {
-                    let room = even(*resource)
-                        .map_or(Part::NONE, |even| even.less(even.floor()).less(held.sums(now).0));
+                    let room = even_share(*resource).map_or(Share::NONE, |even_share| {
+                        even_share.minus(even_share.floor()).minus(held.sums(now).0)
+                    });
                     // Guards its floor from two planners that both ask, and what it may have given back before it started.
                     if part > room || young {
                         // What it gave back before goes on: the planner counts on the lesser of the two until it hears.
@@ -216,12 +217,14 @@
                         held.moves.extend(reclaimed);
                         charge.refused.insert(*resource);
                     } else {
-                        held.moves.push((plan.term, Counts::Reclaimed(part, now + lasts.min(LONGEST))));
+                        held.moves
+                            .push((plan.term, Counts::Reclaimed(part, now + lasts.min(MAX_MOVE_DURATION))));
                     }
                 }
                 Move::Grant(part, lasts) => {
                     if let Some(asked) = asked {
-                        held.moves.push((plan.term, Counts::Granted(part, asked + lasts.min(LONGEST))));
+                        held.moves
+                            .push((plan.term, Counts::Granted(part, asked + lasts.min(MAX_MOVE_DURATION))));
                     }
                 }
             }
@@ -230,7 +233,7 @@
     }
 
     /// Forgets moves that have ended.
-    pub fn forget(&mut self, now: Duration) {
+    pub fn drop_expired(&mut self, now: Duration) {
         self.held.retain(|_, held| {
             held.moves.retain(|(_, counts)| counts.until() > now);
             !held.moves.is_empty()
@@ -238,7 +241,7 @@
     }
 
     /// When the next move ends, so that what depends on it is looked at again.
-    pub fn next_end(&self, now: Duration) -> Option<Duration> {
+    pub fn next_expiry(&self, now: Duration) -> Option<Duration> {
         let ends = self.held.values().flat_map(|held| held.moves.iter().map(|(_, counts)| counts.until()));
         ends.filter(|at| *at > now).min()
     }
@@ -246,12 +249,15 @@
 
 impl Held {
     /// What is given back and what is granted now.
-    fn sums(&self, now: Duration) -> (Part, Part) {
-        self.moves.iter().fold((Part::NONE, Part::NONE), |(reclaimed, granted), (_, counts)| match *counts {
-            Counts::Reclaimed(part, until) if now < until => (reclaimed.and(part), granted),
-            Counts::Granted(part, until) if now < until => (reclaimed, granted.and(part)),
-            _ => (reclaimed, granted),
-        })
+    fn sums(&self, now: Duration) -> (Share, Share) {
+        self.moves.iter().fold(
+            (Share::NONE, Share::NONE),
+            |(reclaimed, granted), (_, counts)| match *counts {
+                Counts::Reclaimed(part, until) if now < until => (reclaimed.plus(part), granted),
+                Counts::Granted(part, until) if now < until => (reclaimed, granted.plus(part)),
+                _ => (reclaimed, granted),
+            },
+        )
     }
 }
 
