--- a/lab/src/planners/simulation.rs
+++ b/lab/src/planners/simulation.rs
@@ -133,21 +133,21 @@
             let of = |division| {
                 many(runs, |seed| Play { division, load, time: Duration::from_secs(120), ..base(arguments.seed * 7919 + seed) })
             };
-            let [even_share, planned, oracle] = [Division::Even, Division::Planned, Division::Oracle].map(of);
-            let way = |of: fn(&Played) -> f64| (of(&planned) - of(&even_share)) / (of(&oracle) - of(&even_share));
+            let [even, planned, oracle] = [Division::Even, Division::Planned, Division::Oracle].map(of);
+            let way = |of: fn(&Played) -> f64| (of(&planned) - of(&even)) / (of(&oracle) - of(&even));
             let (units, worth) = (way(|it| it.sent), way(|it| it.worth));
             println!(
                 "  load {load}: units even {:.4} planned {:.4} oracle {:.4}; worth even {:.4} planned {:.4}; of the way: units {units:.3} worth {worth:.3}",
-                even_share.sent / even_share.asked,
+                even.sent / even.asked,
                 planned.sent / planned.asked,
                 oracle.sent / oracle.asked,
-                even_share.worth / oracle.worth,
+                even.worth / oracle.worth,
                 planned.worth / oracle.worth,
             );
             json!({
                 "load": load,
-                "sent": { "even": even_share.sent / even_share.asked, "planned": planned.sent / planned.asked, "oracle": oracle.sent / oracle.asked },
-                "worth": { "even": even_share.worth / oracle.worth, "planned": planned.worth / oracle.worth },
+                "sent": { "even": even.sent / even.asked, "planned": planned.sent / planned.asked, "oracle": oracle.sent / oracle.asked },
+                "worth": { "even": even.worth / oracle.worth, "planned": planned.worth / oracle.worth },
                 "of_the_way_units": units,
                 "of_the_way_worth": worth,
             })
@@ -183,8 +183,8 @@
         };
         inside(Division::Planned).worth / 2.0
     };
-    let even_share = of(Division::Even, Some(away)).outage_worth;
-    let (over_with, over_even) = (planned.outage_worth / with, planned.outage_worth / even_share);
+    let even = of(Division::Even, Some(away)).outage_worth;
+    let (over_with, over_even) = (planned.outage_worth / with, planned.outage_worth / even);
     println!("planners away for 60 s: worth {over_with:.4} of that with planners, {over_even:.4} of the even split; excess {:.3}", planned.excess);
     json!({ "over_with_planners": over_with, "over_even": over_even, "excess_units": planned.excess })
 }
@@ -281,7 +281,7 @@
                         age: Duration::ZERO,
                     })
                     .collect();
-                let report = stores[at].next_report(now, partition, demands, probed);
+                let report = stores[at].build_report(now, partition, demands, probed);
                 let start = Instant::now();
                 let plan = planner.handle_report(now, &report);
                 let spent = start.elapsed();
--- a/lab/src/planners/world.rs
+++ b/lab/src/planners/world.rs
@@ -451,7 +451,7 @@
             wanted: ((own.asked + own.waiting) / RATE) as f32,
         };
         let demands = forwarder.volumes.iter().enumerate().map(demand).collect();
-        let report = forwarder.store.next_report(own, 0, demands, Vec::new());
+        let report = forwarder.store.build_report(own, 0, demands, Vec::new());
         let planner = forwarder.planner;
         self.send(at, planner, Message::Report(at, planner, report));
     }
--- a/src/planner/client/configuration.rs
+++ b/src/planner/client/configuration.rs
@@ -211,7 +211,7 @@
         }
         if let Some(best) = best {
             self.sources[best].was_subscribed = true;
-            messages.push((best, ToPlanner::Subscribe { in_force: self.follower.in_force() }));
+            messages.push((best, ToPlanner::Subscribe { current: self.follower.in_force() }));
         }
         messages
     }
--- a/src/planner/client/configuration/tests.rs
+++ b/src/planner/client/configuration/tests.rs
@@ -37,7 +37,7 @@
 }
 
 fn subscribe() -> ToPlanner {
-    ToPlanner::Subscribe { in_force: RevisionId::none() }
+    ToPlanner::Subscribe { current: RevisionId::none() }
 }
 
 /// The planners of one initiator, the most preferred first.
--- a/src/planner/client/mod.rs
+++ b/src/planner/client/mod.rs
@@ -206,7 +206,7 @@
             for link in self.links.iter_mut().filter(leads) {
                 let is_of = |volume: VolumeId| deal::pick(volume.0, partitions) == Some(partition);
                 let demands = self.meter.demands(at, is_of);
-                let report = self.store.next_report(at, partition, demands, Vec::new());
+                let report = self.store.build_report(at, partition, demands, Vec::new());
                 link.send_if_read(&ToPlanner::Report { partition: partition as u16, report });
             }
         }
--- a/src/planner/client/tests.rs
+++ b/src/planner/client/tests.rs
@@ -178,7 +178,7 @@
     let source = bed.planners.configuration.as_ref().unwrap().report(bed.now).source.unwrap();
     let source = bed.planners.links.iter().position(|link| link.address == source).unwrap();
     bed.until("it subscribes", |bed| !bed.said[source].is_empty());
-    assert_eq!(bed.take_said(source), [ToPlanner::Subscribe { in_force: RevisionId::none() }]);
+    assert_eq!(bed.take_said(source), [ToPlanner::Subscribe { current: RevisionId::none() }]);
     let update = whole(1, document(80.0, 1));
     bed.fakes[source].say(&FromPlanner::Update(update.clone()));
     bed.settle();
--- a/src/planner/frame.rs
+++ b/src/planner/frame.rs
@@ -40,7 +40,7 @@
     /// It wants revisions on this connection; said to one planner at a time.
     Subscribe {
         /// The revision in force there.
-        in_force: RevisionId,
+        current: RevisionId,
     },
     /// It wants none on this connection any more.
     Unsubscribe,
--- a/src/planner/frame/tests/recorded.rs
+++ b/src/planner/frame/tests/recorded.rs
@@ -45,14 +45,14 @@
 #[test]
 fn recorded_messages_to_planners_mean_what_they_meant() {
     let all = messages::<ToPlanner>(TO_PLANNER);
-    let [ToPlanner::Hello { schema: 2, forwarder }, ToPlanner::Report { partition: 11, report }, ToPlanner::Report { partition: 12, report: first }, ToPlanner::Alive, ToPlanner::Subscribe { in_force: subscribed }, ToPlanner::Unsubscribe, ToPlanner::Acknowledge(in_force), ToPlanner::Acknowledge(refused), ToPlanner::PeerHello { schema: 2, planner }, ToPlanner::Agreement(agreement), ToPlanner::Operator { schema: 2, request: OperatorRequest::Submit(proposal) }, ToPlanner::Operator { schema: 2, request: OperatorRequest::Show(None) }, ToPlanner::Operator { schema: 2, request: OperatorRequest::Show(Some(RevisionNumber(300))) }, ToPlanner::Operator { schema: 2, request: OperatorRequest::Status }] =
+    let [ToPlanner::Hello { schema: 2, forwarder }, ToPlanner::Report { partition: 11, report }, ToPlanner::Report { partition: 12, report: first }, ToPlanner::Alive, ToPlanner::Subscribe { current }, ToPlanner::Unsubscribe, ToPlanner::Acknowledge(in_force), ToPlanner::Acknowledge(refused), ToPlanner::PeerHello { schema: 2, planner }, ToPlanner::Agreement(agreement), ToPlanner::Operator { schema: 2, request: OperatorRequest::Submit(proposal) }, ToPlanner::Operator { schema: 2, request: OperatorRequest::Show(None) }, ToPlanner::Operator { schema: 2, request: OperatorRequest::Show(Some(RevisionNumber(300))) }, ToPlanner::Operator { schema: 2, request: OperatorRequest::Status }] =
         &all[..]
     else {
         panic!("{all:?}")
     };
     assert_eq!((forwarder.as_str(), planner.as_str()), ("n1", "p1"));
     assert_eq!(agreement, &[1, 2, 3, 255]);
-    assert_eq!(*subscribed, RevisionId::none());
+    assert_eq!(*current, RevisionId::none());
     assert!(is(&in_force.id, 7, HASH) && in_force.outcome == AcknowledgementOutcome::InForce);
     let why = "plans.x: none".to_string();
     assert!(is(&refused.id, 7, HASH) && refused.outcome == AcknowledgementOutcome::Refused(why));
--- a/src/planner/server.rs
+++ b/src/planner/server.rs
@@ -354,8 +354,8 @@
                 }
             }
             ToPlanner::Alive => {}
-            ToPlanner::Subscribe { in_force } => {
-                self.configure_surely(now, |it, said| it.subscribe(now, connection, in_force, said));
+            ToPlanner::Subscribe { current } => {
+                self.configure_surely(now, |it, said| it.subscribe(now, connection, current, said));
             }
             ToPlanner::Unsubscribe => {
                 self.configure_surely(now, |it, said| it.unsubscribe(now, connection, said));
--- a/src/shares/planner/tests.rs
+++ b/src/shares/planner/tests.rs
@@ -31,7 +31,7 @@
     fn report(&mut self, at: usize) -> Report {
         let (even_share, wanted) = (self.even_share(), self.wanted[at]);
         let demand = Demand { resource: V, even_share, wanted };
-        self.stores[at].next_report(self.now, 0, vec![demand], vec![])
+        self.stores[at].build_report(self.now, 0, vec![demand], vec![])
     }
 
     /// A report of each forwarder, each answered at once.
@@ -139,7 +139,7 @@
         waited += MS(100);
         for at in 0..3 {
             let demand = Demand { resource: V, even_share, wanted: bench.wanted[at] };
-            let report = bench.stores[at].next_report(bench.now, 0, vec![demand], vec![]);
+            let report = bench.stores[at].build_report(bench.now, 0, vec![demand], vec![]);
             let plan = bench.planner.handle_report(bench.now, &report).unwrap();
             bench.stores[at].apply_plan(bench.now, 0, &plan, |_| Some(even_share)).unwrap();
         }
@@ -160,7 +160,7 @@
     let prober = (0..5).find(|at| bench.stores[*at].probes().any(|node| node == 7)).unwrap();
     bench.now += MS(100);
     let seen = ProbeResult { node: 7, response_time: Some(MS(3)), age: MS(20) };
-    let report = bench.stores[prober].next_report(bench.now, 0, vec![], vec![seen]);
+    let report = bench.stores[prober].build_report(bench.now, 0, vec![], vec![seen]);
     bench.planner.handle_report(bench.now, &report).unwrap();
     let told: Vec<usize> = bench
         .round()
@@ -203,7 +203,7 @@
     let next = bench.planner.handle_report(bench.now, &report).unwrap();
     assert_eq!(next.moves.len(), 1, "what was lost is moved again");
     // A demand that has ended meanwhile changes nothing of that.
-    let report = bench.stores[0].next_report(bench.now, 0, vec![], vec![]);
+    let report = bench.stores[0].build_report(bench.now, 0, vec![], vec![]);
     let later = bench.planner.handle_report(bench.now, &report).unwrap();
     assert_eq!(later.moves.len(), 1);
     assert!(lost.version < next.version && next.version < later.version);
@@ -268,13 +268,13 @@
     let mut planner = Planner::new(Settings::default(), PlannerId(1), 1);
     let mut store = Store::new(ForwarderId(1), 1, 1, Duration::ZERO);
     let demand = Demand { resource: V, even_share: Share::even(2.0), wanted: f32::NAN };
-    let nonsense = store.next_report(MS(1), 0, vec![demand], vec![]);
+    let nonsense = store.build_report(MS(1), 0, vec![demand], vec![]);
     assert!(planner.handle_report(MS(1), &nonsense).is_some(), "a demand that is no number is none");
     let long = Report { demands: vec![demand; MAX_DEMANDS + 1], ..nonsense };
     assert!(planner.handle_report(MS(1), &long).is_none());
     for forwarder in 0..MOST_HOLDERS as u64 {
         let mut store = Store::new(ForwarderId(10 + forwarder), 1, 1, Duration::ZERO);
-        planner.handle_report(MS(1), &store.next_report(MS(1), 0, vec![], vec![]));
+        planner.handle_report(MS(1), &store.build_report(MS(1), 0, vec![], vec![]));
     }
     assert_eq!(planner.sizes().forwarders, MOST_HOLDERS);
 }
--- a/src/shares/store.rs
+++ b/src/shares/store.rs
@@ -139,7 +139,7 @@
     }
 
     /// The next report to a partition's planner.
-    pub fn next_report(
+    pub fn build_report(
         &mut self,
         now: Duration,
         partition: usize,
--- a/src/shares/store/tests.rs
+++ b/src/shares/store/tests.rs
@@ -31,7 +31,7 @@
 #[test]
 fn a_grant_counts_from_the_report_and_a_reclaim_from_its_coming() {
     let mut store = store();
-    store.next_report(OLD, 0, vec![], vec![]);
+    store.build_report(OLD, 0, vec![], vec![]);
     let came = OLD + MS(300);
     take(&mut store, came, &plan(1, 1, 1, Move::Grant(Share(100_000), MS(400)))).unwrap();
     assert_eq!(store.usable_share(came, V, EVEN), Share(350_000));
@@ -48,7 +48,7 @@
 #[test]
 fn a_plan_that_comes_after_its_successor_is_not_taken() {
     let mut store = store();
-    store.next_report(OLD, 0, vec![], vec![]);
+    store.build_report(OLD, 0, vec![], vec![]);
     let grant = |part| Move::Grant(Share(part), MS(400));
     take(&mut store, OLD, &plan(1, 2, 1, grant(1000))).unwrap();
     assert_eq!(take(&mut store, OLD, &plan(1, 1, 1, grant(500_000))), Err(PlanRejection::OldVersion));
@@ -60,7 +60,7 @@
         Share(253_000),
         "what the earlier one granted goes on until its end"
     );
-    let report = store.next_report(OLD, 0, vec![], vec![]);
+    let report = store.build_report(OLD, 0, vec![], vec![]);
     assert_eq!((report.term.map(|term| term.number), report.held_version), (Some(2), 1));
 }
 
@@ -68,7 +68,7 @@
 fn a_grant_for_a_report_that_is_forgotten_counts_for_nothing() {
     let mut store = store();
     for _ in 0..=MOST_ASKED {
-        store.next_report(OLD, 0, vec![], vec![]);
+        store.build_report(OLD, 0, vec![], vec![]);
     }
     take(&mut store, OLD, &plan(1, 1, 1, Move::Grant(Share(100_000), MS(400)))).unwrap();
     assert_eq!(store.usable_share(OLD, V, EVEN), EVEN);
@@ -79,11 +79,11 @@
     let mut store = store();
     take(&mut store, OLD, &plan(1, 1, 0, Move::Reclaim(Share(150_000), MS(800)))).unwrap();
     take(&mut store, OLD, &plan(2, 1, 0, Move::Reclaim(Share(150_000), MS(800)))).unwrap();
-    assert_eq!(store.next_report(OLD, 0, vec![], vec![]).refused, [V]);
+    assert_eq!(store.build_report(OLD, 0, vec![], vec![]).refused, [V]);
     assert_eq!(store.usable_share(OLD, V, EVEN), Share(100_000));
     take(&mut store, OLD, &plan(2, 2, 0, Move::Reclaim(Share(37_500), MS(800)))).unwrap();
     assert_eq!(store.usable_share(OLD, V, EVEN), EVEN.floor());
-    assert!(store.next_report(OLD, 0, vec![], vec![]).refused.is_empty());
+    assert!(store.build_report(OLD, 0, vec![], vec![]).refused.is_empty());
 }
 
 #[test]
@@ -91,17 +91,17 @@
     let mut store = store();
     take(&mut store, OLD, &plan(2, 1, 0, Move::Reclaim(Share(100_000), MS(800)))).unwrap();
     take(&mut store, OLD, &plan(2, 2, 0, Move::Reclaim(Share(200_000), MS(800)))).unwrap();
-    assert_eq!(store.next_report(OLD, 0, vec![], vec![]).refused, [V]);
+    assert_eq!(store.build_report(OLD, 0, vec![], vec![]).refused, [V]);
     assert_eq!(store.usable_share(OLD, V, EVEN), Share(150_000));
 }
 
 #[test]
 fn a_reclaim_that_is_refused_ends_a_grant_all_the_same() {
     let mut store = store();
-    store.next_report(OLD, 0, vec![], vec![]);
+    store.build_report(OLD, 0, vec![], vec![]);
     take(&mut store, OLD, &plan(2, 1, 1, Move::Grant(Share(100_000), MS(400)))).unwrap();
     take(&mut store, OLD, &plan(2, 2, 1, Move::Reclaim(Share(200_000), MS(800)))).unwrap();
-    assert_eq!(store.next_report(OLD, 0, vec![], vec![]).refused, [V]);
+    assert_eq!(store.build_report(OLD, 0, vec![], vec![]).refused, [V]);
     assert_eq!(store.usable_share(OLD, V, EVEN), EVEN);
 }
 
@@ -110,7 +110,7 @@
     let mut store = store();
     assert_eq!(store.usable_share(MS(10), V, EVEN), EVEN.floor());
     take(&mut store, MS(10), &plan(1, 1, 0, Move::Reclaim(Share(1), MS(800)))).unwrap();
-    let report = store.next_report(MS(10), 0, vec![], vec![]);
+    let report = store.build_report(MS(10), 0, vec![], vec![]);
     assert_eq!((report.refused, report.gives_back), (vec![V], false));
     assert_eq!(store.usable_share(MAX_MOVE_DURATION, V, EVEN), EVEN);
 }
