--- a/src/bin/topazpath-planner.rs
+++ b/src/bin/topazpath-planner.rs
@@ -1,5 +1,5 @@
-//! A planner: it decides for initiators while its peers elect it. Its argument is its configuration file. With
-//! `configuration` it is the operators' command for live configuration instead.
+//! The planner process, which divides shared limits among initiators for the partitions that it is elected for. Its
+//! argument is its configuration file. With `configuration` it is the operators' command for live configuration instead.
 
 use clap::error::ErrorKind;
 use clap::{Args, Parser, Subcommand};
@@ -10,21 +10,21 @@
 use std::process::ExitCode;
 use std::time::Duration;
 use topazpath::planner::operator::fleet::{self, Fleet};
-use topazpath::planner::operator::{text, Expected, Failure, Planners, SUBMIT_WITHIN};
+use topazpath::planner::operator::{text, Expected, Failure, Planners, SUBMIT_TIMEOUT};
 use topazpath::planner::server::{self, Config, Server};
 use topazpath::process;
 use topazpath::revisions::document::Document;
 use topazpath::revisions::RevisionNumber;
 
 const NAME: &str = "topazpath-planner";
-/// Bytes of a document's file.
-const LONGEST_FILE: u64 = 1024 * 1024;
+/// The longest file of a document.
+const MAX_DOCUMENT_BYTES: u64 = 1024 * 1024;
 
 /// A planner, and the operators' command for live configuration.
 #[derive(Parser)]
 #[command(name = NAME, version, arg_required_else_help = true, args_conflicts_with_subcommands = true)]
 struct Arguments {
-    /// Runs a planner with this file.
+    /// Runs a planner with this configuration file.
     file: Option<PathBuf>,
     #[command(subcommand)]
     command: Option<Command>,
@@ -42,9 +42,9 @@
 
 #[derive(Subcommand)]
 enum Action {
-    /// Makes the store of a planner, once, before its first start.
+    /// Creates the store of a planner, once, before its first start.
     Create {
-        /// The planner's file.
+        /// The planner's configuration file.
         file: PathBuf,
     },
     /// Submits a document as the next revision.
@@ -58,30 +58,30 @@
     Show {
         #[command(flatten)]
         planners: PlannerArguments,
-        /// Its number; else the newest.
+        /// Its number; the newest if omitted.
         number: Option<u64>,
     },
-    /// Prints what differs between two revisions.
+    /// Prints the differences between two revisions.
     Compare {
         #[command(flatten)]
         planners: PlannerArguments,
-        /// The one; 0 is the state before the first.
+        /// The first revision; 0 is the empty state before revision 1.
         one: u64,
-        /// The other.
+        /// The second revision.
         other: u64,
     },
     /// Submits the content of an earlier revision as the next one.
     Revert {
         #[command(flatten)]
         proposal: ProposalArguments,
-        /// The earlier revision; 0 is the state before the first.
+        /// The earlier revision; 0 is the empty state before revision 1.
         number: u64,
     },
-    /// Prints what planners and initiators have.
+    /// Prints the status of planners and initiators.
     Status {
         #[command(flatten)]
         planners: PlannerArguments,
-        /// As one JSON object.
+        /// Prints one JSON object.
         #[arg(long)]
         json: bool,
     },
@@ -89,7 +89,7 @@
     Wait {
         #[command(flatten)]
         planners: PlannerArguments,
-        /// Its number; else what is the newest now.
+        /// Its number; the newest revision now if omitted.
         number: Option<u64>,
         /// How long to wait.
         #[arg(long, value_name = "SECONDS", value_parser = seconds)]
@@ -99,7 +99,7 @@
 
 #[derive(Args)]
 struct PlannerArguments {
-    /// Where planners listen, with commas between.
+    /// The addresses of the planners, separated by commas.
     #[arg(long, value_name = "ADDRESS:PORT", value_delimiter = ',', required = true)]
     planners: Vec<SocketAddr>,
 }
@@ -108,16 +108,16 @@
 struct ProposalArguments {
     #[command(flatten)]
     planners: PlannerArguments,
-    /// The revision that must be the newest still: its number, or `latest`.
+    /// The revision that must still be the newest: its number, or `latest`.
     #[arg(long, value_name = "NUMBER|latest", value_parser = expected)]
     expect: Expected,
-    /// Who submits it.
+    /// The name of the author.
     #[arg(long)]
     author: String,
-    /// How long planners are asked for a decision; else 8 seconds.
+    /// How long planners are asked for a decision; 8 seconds if omitted.
     #[arg(long, value_name = "SECONDS", value_parser = seconds)]
     within: Option<Duration>,
-    /// Waits until it is in force at every connected initiator.
+    /// Waits this long until it is in force at every connected initiator.
     #[arg(long, value_name = "SECONDS", value_parser = seconds)]
     wait: Option<Duration>,
 }
@@ -142,7 +142,7 @@
         Err(error) => return usage(&error),
     };
     match arguments.command {
-        Some(Command::Configuration(action)) => match run_action(action) {
+        Some(Command::Configuration(action)) => match run_command(action) {
             Ok(()) => ExitCode::SUCCESS,
             Err(failure) => {
                 eprintln!("{NAME}: {failure}");
@@ -157,10 +157,10 @@
     }
 }
 
-/// Help as it is; an error as one line.
+/// Prints help unchanged, and an error as one line. Returns the exit code.
 fn usage(error: &clap::Error) -> ExitCode {
     if !error.use_stderr() {
-        // Whoever asked for help may have gone already.
+        // The reader of the output may have closed it already.
         let _ = error.print();
         return ExitCode::SUCCESS;
     }
@@ -176,7 +176,7 @@
     exit_code
 }
 
-fn run_action(action: Action) -> Result<(), Failure> {
+fn run_command(action: Action) -> Result<(), Failure> {
     match action {
         Action::Create { file } => {
             let config = Config::read(&file).map_err(Failure::Usage)?;
@@ -218,17 +218,17 @@
 
 fn submit(arguments: &ProposalArguments, document: Document) -> Result<(), Failure> {
     let planners = arguments.planners.planners();
-    let within = arguments.within.unwrap_or(SUBMIT_WITHIN);
+    let within = arguments.within.unwrap_or(SUBMIT_TIMEOUT);
     let accepted = planners.submit(document, arguments.expect, &arguments.author, within)?;
     println!("accepted: revision {accepted}");
     match arguments.wait {
-        Some(patience) => wait(&planners, Some(accepted.number), patience),
+        Some(timeout) => wait(&planners, Some(accepted.number), timeout),
         None => Ok(()),
     }
 }
 
-fn wait(planners: &Planners, number: Option<RevisionNumber>, patience: Duration) -> Result<(), Failure> {
-    let (number, initiators) = fleet::wait(planners, number, patience)?;
+fn wait(planners: &Planners, number: Option<RevisionNumber>, timeout: Duration) -> Result<(), Failure> {
+    let (number, initiators) = fleet::wait(planners, number, timeout)?;
     println!("in force: revision {number} at {initiators} initiators");
     Ok(())
 }
@@ -254,13 +254,13 @@
 }
 
 fn read_document(path: &Path) -> Result<Document, Failure> {
-    let unusable = |error: std::io::Error| Failure::Usage(format!("{}: {error}", path.display()));
+    let unreadable = |error: std::io::Error| Failure::Usage(format!("{}: {error}", path.display()));
     let mut bytes = Vec::new();
-    let file = File::open(path).map_err(unusable)?;
-    file.take(LONGEST_FILE + 1).read_to_end(&mut bytes).map_err(unusable)?;
+    let file = File::open(path).map_err(unreadable)?;
+    file.take(MAX_DOCUMENT_BYTES + 1).read_to_end(&mut bytes).map_err(unreadable)?;
     let refused = |why: String| Failure::Refused(format!("{}: {why}", path.display()));
-    if bytes.len() as u64 > LONGEST_FILE {
-        return Err(refused(format!("more than {LONGEST_FILE} bytes are not allowed")));
+    if bytes.len() as u64 > MAX_DOCUMENT_BYTES {
+        return Err(refused(format!("more than {MAX_DOCUMENT_BYTES} bytes are not allowed")));
     }
     let text = String::from_utf8(bytes).map_err(|_| refused("it is not UTF-8".into()))?;
     Document::parse(&text).map_err(|error| refused(error.to_string()))
--- a/src/planner/client/configuration.rs
+++ b/src/planner/client/configuration.rs
@@ -1,5 +1,5 @@
-//! An initiator's part in live configuration towards all its planners: which one it has itself sent revisions by, what it
-//! says to which, and the newest revision that waits to be taken over. No I/O, and no clock of its own.
+//! An initiator's side of live configuration: chooses the planner to subscribe to, keeps the newest revision that is ready
+//! to be applied, and returns the messages for each planner. No I/O; the time is passed in.
 
 use super::super::frame::ToPlanner;
 use crate::interface::Settings;
@@ -11,45 +11,46 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// What is known of one planner.
+/// The state of the connection to one planner.
 struct Source {
     address: SocketAddr,
     connected: bool,
-    /// Whether it is in contact with a majority of the planners; none: it has said nothing of live configuration.
+    /// Whether it is in contact with a majority of the planners; `None` until it sends anything about live configuration.
     quorum: Option<bool>,
-    /// It was subscribed to on this connection, now or before.
+    /// Whether there is or was a subscription on this connection.
     was_subscribed: bool,
 }
 
-/// A message for a planner, by its position.
+/// A message and the position of the planner that it is for.
 pub(super) type Message = (usize, ToPlanner);
 
-/// Live configuration of one initiator.
+/// The live configuration of one initiator.
 pub(super) struct Configuration {
     follower: Follower,
     sources: Vec<Source>,
-    /// Positions of planners in this initiator's order of preference, which differs from one initiator to the next.
+    /// Positions of planners in this initiator's order of preference, which differs between initiators so that their
+    /// subscriptions spread over the planners.
     preference: Vec<usize>,
     subscribed: Option<usize>,
     prepared: Option<Prepared>,
-    /// When a planner in contact with a majority was last heard; at first when this initiator started.
-    heard_quorum: Instant,
+    /// When the last message from a planner in contact with a majority was received; at first the start of this process.
+    last_quorum: Instant,
 }
 
-/// What operators see of it.
+/// The live configuration in the JSON report.
 #[derive(Debug, Serialize)]
 pub(super) struct ConfigurationReport {
     /// The number of the revision in force.
     pub number: u64,
     /// The hash of its content.
     hash: String,
-    /// Since when a newer one may have been missed: how long no planner in contact with a majority was heard.
+    /// For how long no planner in contact with a majority was heard, so that newer revisions may have been missed.
     pub age_ms: u64,
-    /// The planner that sends revisions.
+    /// The planner that this initiator subscribes to.
     pub source: Option<SocketAddr>,
-    /// Whether it is in contact with a majority of the planners.
+    /// Whether that planner is in contact with a majority of the planners.
     quorum: bool,
-    /// The revision that was refused since.
+    /// The newest revision refused since the one in force.
     refused: Option<RefusedReport>,
 }
 
@@ -61,7 +62,7 @@
 }
 
 impl Configuration {
-    /// Has nothing but the settings of the files, and no planner yet.
+    /// Starts from the settings of the files, without a connection.
     pub fn new(base: Settings, names: Names, initiator: &str, planners: &[SocketAddr], now: Instant) -> Self {
         let source = |address: &SocketAddr| Source {
             address: *address,
@@ -76,11 +77,11 @@
             preference: deal::order(deal::hash(initiator), &candidates),
             subscribed: None,
             prepared: None,
-            heard_quorum: now,
+            last_quorum: now,
         }
     }
 
-    /// A connection is up: the planner learns what is in force here, and what was refused.
+    /// Handles a new connection: tells the planner the revision in force and the last refused one.
     pub fn connected(&mut self, at: usize) -> Vec<Message> {
         let Some(source) = self.sources.get_mut(at) else { return Vec::new() };
         source.connected = true;
@@ -90,37 +91,41 @@
             id: *id,
             outcome: AcknowledgementOutcome::Refused(why.clone()),
         });
-        [in_force].into_iter().chain(refused).map(|said| (at, ToPlanner::Acknowledge(said))).collect()
+        [in_force]
+            .into_iter()
+            .chain(refused)
+            .map(|acknowledgement| (at, ToPlanner::Acknowledge(acknowledgement)))
+            .collect()
     }
 
-    /// A connection has ended.
+    /// Handles the end of a connection.
     pub fn disconnected(&mut self, at: usize) -> Vec<Message> {
         let Some(source) = self.sources.get_mut(at) else { return Vec::new() };
         (source.connected, source.quorum, source.was_subscribed) = (false, None, false);
         self.subscribe_to_best()
     }
 
-    /// A planner has said something.
-    pub fn heard(&mut self, now: Instant, at: usize) {
+    /// Records that a planner has sent a message.
+    pub fn planner_heard(&mut self, now: Instant, at: usize) {
         if self.sources.get(at).is_some_and(|source| source.quorum == Some(true)) {
-            self.heard_quorum = now;
+            self.last_quorum = now;
         }
     }
 
-    /// A planner says whether it is in contact with a majority of the planners.
+    /// Records whether a planner is in contact with a majority of the planners.
     pub fn quorum(&mut self, now: Instant, at: usize, quorum: bool) -> Vec<Message> {
         let Some(source) = self.sources.get_mut(at).filter(|source| source.connected) else {
             return Vec::new();
         };
         source.quorum = Some(quorum);
-        self.heard(now, at);
+        self.planner_heard(now, at);
         self.subscribe_to_best()
     }
 
-    /// A planner sends a revision, or what changed up to it.
+    /// Handles a revision, or its difference from an earlier one.
     pub fn update(&mut self, at: usize, update: Update) -> Vec<Message> {
         let Some(source) = self.sources.get(at).filter(|source| source.was_subscribed) else {
-            tracing::debug!(at, "a revision that was not subscribed to is left");
+            tracing::debug!(at, "ignoring a revision without a subscription");
             return Vec::new();
         };
         let (planner, id) = (source.address, update.id);
@@ -143,18 +148,18 @@
         }
     }
 
-    /// The newest revision that is ready to be taken over; it is handed out once.
+    /// The newest revision that is ready to be applied. It is returned once.
     pub fn take_prepared(&mut self) -> Option<Prepared> {
         self.prepared.take()
     }
 
-    /// A revision is in force from now on: all planners learn it.
+    /// Marks a revision as in force, and notifies all planners.
     pub fn took_over(&mut self, prepared: &Prepared) -> Vec<Message> {
         let in_force = self.follower.took_over(prepared);
         self.to_all(&in_force)
     }
 
-    /// A revision that was handed out is not in force, and won't be: all planners learn why.
+    /// Refuses a prepared revision, and tells all planners why.
     pub fn could_not_take_over(&mut self, prepared: &Prepared, why: String) -> Vec<Message> {
         let refused = self.follower.could_not_take_over(prepared, why);
         self.to_all(&refused)
@@ -178,27 +183,27 @@
         }
     }
 
-    /// How long no planner in contact with a majority was heard.
+    /// For how long no message from a planner in contact with a majority was received.
     pub fn age(&self, now: Instant) -> Duration {
-        now.saturating_duration_since(self.heard_quorum)
+        now.saturating_duration_since(self.last_quorum)
     }
 
-    fn to_all(&self, said: &Acknowledgement) -> Vec<Message> {
+    fn to_all(&self, acknowledgement: &Acknowledgement) -> Vec<Message> {
         let connected = self.sources.iter().enumerate().filter(|(_, source)| source.connected);
-        connected.map(|(at, _)| (at, ToPlanner::Acknowledge(said.clone()))).collect()
+        connected.map(|(at, _)| (at, ToPlanner::Acknowledge(acknowledgement.clone()))).collect()
     }
 
-    /// The planner to subscribe to: the most preferred with a majority, and where none has one the most preferred of all
-    /// that speak of live configuration.
+    /// The planner to subscribe to: the most preferred one in contact with a majority, or if there is none the most
+    /// preferred one with live configuration.
     fn best(&self) -> Option<usize> {
-        let says = |quorum: bool| {
+        let first_with_quorum = |quorum: bool| {
             let is = move |at: &usize| self.sources[*at].quorum == Some(quorum);
             self.preference.iter().copied().find(is)
         };
-        says(true).or_else(|| says(false))
+        first_with_quorum(true).or_else(|| first_with_quorum(false))
     }
 
-    /// Subscribes to the best planner, and no longer to the one before.
+    /// Subscribes to the best planner and unsubscribes from the previous one.
     fn subscribe_to_best(&mut self) -> Vec<Message> {
         let best = self.best();
         if best == self.subscribed {
--- a/src/planner/client/configuration/tests.rs
+++ b/src/planner/client/configuration/tests.rs
@@ -15,7 +15,7 @@
     Configuration::new(base, names, initiator, &addresses(), now)
 }
 
-/// One with all three planners in contact.
+/// A configuration connected to three planners, each in contact with a majority.
 fn connected(now: Instant) -> Configuration {
     let mut configuration = configuration("i-1", now);
     for at in 0..3 {
@@ -40,13 +40,13 @@
     ToPlanner::Subscribe { current: RevisionId::none() }
 }
 
-/// The planners of one initiator, the most preferred first.
+/// The positions of an initiator's planners, the most preferred first.
 fn preference(configuration: &Configuration) -> [usize; 3] {
     configuration.preference.clone().try_into().unwrap()
 }
 
 #[test]
-fn initiators_spread_over_their_planners() {
+fn initiators_prefer_different_planners() {
     let now = Instant::now();
     let mut counts = [0; 3];
     for number in 0..460 {
@@ -56,29 +56,33 @@
 }
 
 #[test]
-fn it_subscribes_at_one_planner_and_changes_when_that_goes_or_loses_its_majority() {
+fn the_subscription_moves_when_its_planner_disconnects_or_loses_its_majority() {
     let now = Instant::now();
     let mut it = configuration("i-1", now);
     let [first, second, third] = preference(&it);
     for at in 0..3 {
         assert_eq!(it.connected(at), [(at, in_force(RevisionId::none()))]);
     }
-    assert_eq!(it.subscribed, None, "none has said that it knows of live configuration");
-    assert_eq!(it.quorum(now, third, false), [(third, subscribe())], "better than none");
+    assert_eq!(it.subscribed, None, "no planner has sent anything about live configuration");
+    assert_eq!(
+        it.quorum(now, third, false),
+        [(third, subscribe())],
+        "a planner without a majority is better than none"
+    );
     assert_eq!(
         it.quorum(now, second, true),
         [(third, ToPlanner::Unsubscribe), (second, subscribe())],
-        "one with a majority is better"
+        "a planner with a majority is preferred"
     );
     assert_eq!(
         it.quorum(now, first, true),
         [(second, ToPlanner::Unsubscribe), (first, subscribe())],
-        "its own order counts, not that of connecting"
+        "the order of preference counts, not that of connecting"
     );
     assert!(it.quorum(now, third, true).is_empty());
     assert!(it.quorum(now, first, true).is_empty(), "nothing has changed");
     assert_eq!(it.quorum(now, first, false), [(first, ToPlanner::Unsubscribe), (second, subscribe())]);
-    assert_eq!(it.disconnected(second), [(third, subscribe())], "nothing is said to who has gone");
+    assert_eq!(it.disconnected(second), [(third, subscribe())], "nothing is sent to a disconnected planner");
     assert_eq!(
         it.quorum(now, third, false),
         [(third, ToPlanner::Unsubscribe), (first, subscribe())],
@@ -90,7 +94,7 @@
 }
 
 #[test]
-fn a_planner_that_says_nothing_of_live_configuration_is_no_source() {
+fn a_planner_without_live_configuration_is_not_subscribed_to() {
     let now = Instant::now();
     let mut it = configuration("i-1", now);
     let [first, second, _] = preference(&it);
@@ -101,7 +105,7 @@
 }
 
 #[test]
-fn an_update_is_taken_over_once_and_all_connected_planners_learn_it() {
+fn an_update_is_applied_once_and_acknowledged_to_all_connected_planners() {
     let now = Instant::now();
     let mut it = connected(now);
     let [first, second, _] = preference(&it);
@@ -112,28 +116,32 @@
     assert_eq!(prepared.id, update(2, "base").id, "the newest");
     assert_eq!(it.take_prepared(), None);
     assert_eq!(it.report(now).number, 0);
-    let mut said = it.took_over(&prepared);
-    said.sort_by_key(|(at, _)| *at);
+    let mut messages = it.took_over(&prepared);
+    messages.sort_by_key(|(at, _)| *at);
     let connected = (0..3).filter(|at| *at != second);
     let expected: Vec<Message> = connected.map(|at| (at, in_force(prepared.id))).collect();
-    assert_eq!(said, expected);
+    assert_eq!(messages, expected);
     let report = it.report(now);
     assert_eq!((report.number, report.hash), (2, prepared.id.hash.to_string()));
-    assert_eq!(it.connected(second), [(second, in_force(prepared.id))], "one that comes back learns it too");
-    // The same again is only acknowledged, to who sent it.
+    assert_eq!(
+        it.connected(second),
+        [(second, in_force(prepared.id))],
+        "a planner that reconnects is notified too"
+    );
+    // A repeated update is only acknowledged, to its sender.
     assert_eq!(it.update(first, update(2, "base")), [(first, in_force(prepared.id))]);
     assert_eq!(it.take_prepared(), None);
 }
 
 #[test]
-fn a_refusal_goes_to_all_planners_and_is_reported() {
+fn a_refused_update_is_acknowledged_to_all_planners_and_reported() {
     let now = Instant::now();
     let mut it = connected(now);
     let [first, second, _] = preference(&it);
     let foreign = update(1, "no-such");
-    let said = it.update(first, foreign.clone());
-    assert_eq!(said.len(), 3);
-    for (_, message) in &said {
+    let messages = it.update(first, foreign.clone());
+    assert_eq!(messages.len(), 3);
+    for (_, message) in &messages {
         let ToPlanner::Acknowledge(Acknowledgement { id, outcome }) = message else { panic!("{message:?}") };
         assert_eq!(*id, foreign.id);
         assert!(matches!(outcome, AcknowledgementOutcome::Refused(why) if why.contains("no-such")));
@@ -141,25 +149,25 @@
     assert_eq!(it.take_prepared(), None);
     assert_eq!(it.report(now).refused.unwrap().number, 1);
     it.disconnected(second);
-    assert_eq!(it.connected(second).len(), 2, "what is in force, and what was refused");
+    assert_eq!(it.connected(second).len(), 2, "the revision in force and the refused one");
 }
 
 #[test]
-fn what_cannot_be_taken_over_is_told_to_all_planners() {
+fn a_prepared_revision_that_cannot_be_applied_is_refused_to_all_planners() {
     let now = Instant::now();
     let mut it = connected(now);
     let [first, ..] = preference(&it);
     it.update(first, update(1, "base"));
     let prepared = it.take_prepared().unwrap();
-    let said = it.could_not_take_over(&prepared, "no".into());
+    let messages = it.could_not_take_over(&prepared, "no".into());
     let outcome = AcknowledgementOutcome::Refused("no".into());
     let refused = ToPlanner::Acknowledge(Acknowledgement { id: prepared.id, outcome });
-    assert_eq!(said, (0..3).map(|at| (at, refused.clone())).collect::<Vec<Message>>());
+    assert_eq!(messages, (0..3).map(|at| (at, refused.clone())).collect::<Vec<Message>>());
     assert_eq!(it.report(now).number, 0);
 }
 
 #[test]
-fn updates_come_from_planners_that_it_has_subscribed_to() {
+fn updates_without_a_subscription_on_the_connection_are_ignored() {
     let now = Instant::now();
     let mut it = connected(now);
     let [first, second, _] = preference(&it);
@@ -177,21 +185,21 @@
     it.quorum(now, first, false);
     assert_eq!(it.subscribed, Some(second));
     it.update(first, update(1, "base"));
-    assert!(it.take_prepared().is_some(), "it was on its way when the subscription ended");
+    assert!(it.take_prepared().is_some(), "an update may have been sent before the subscription ended");
 }
 
 #[test]
-fn the_age_is_the_time_without_a_planner_that_has_a_majority() {
+fn the_age_is_the_time_since_a_planner_with_a_majority_was_heard() {
     let start = Instant::now();
     let after = |millis| start + Duration::from_millis(millis);
     let mut it = configuration("i-1", start);
     it.connected(0);
-    it.heard(after(100), 0);
-    assert_eq!(it.age(after(150)), Duration::from_millis(150), "it is not known to have one");
+    it.planner_heard(after(100), 0);
+    assert_eq!(it.age(after(150)), Duration::from_millis(150), "the planner is not known to have a majority");
     it.quorum(after(200), 0, true);
-    it.heard(after(300), 0);
+    it.planner_heard(after(300), 0);
     assert_eq!(it.age(after(350)), Duration::from_millis(50));
     it.quorum(after(400), 0, false);
-    it.heard(after(500), 0);
+    it.planner_heard(after(500), 0);
     assert_eq!(it.report(after(1300)).age_ms, 1000);
 }
--- a/src/planner/client/link.rs
+++ b/src/planner/client/link.rs
@@ -1,4 +1,4 @@
-//! One connection to a planner, made again after a pause whenever it ends.
+//! One connection to a planner, reopened after a pause whenever it ends.
 
 use super::super::frame::{self, ToPlanner, SCHEMA};
 use crate::backoff::Backoff;
@@ -8,18 +8,19 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// A connection that is not up by then, or says nothing for as long, is given up.
-pub(super) const SILENCE: Duration = Duration::from_millis(1000);
-/// The first and the longest pause before the next try.
-const PAUSES: (Duration, Duration) = (Duration::from_millis(50), Duration::from_millis(1600));
-/// Bytes that wait for a planner that does not read; reports beyond are left out, and the next says it all.
-const MOST_UNREAD: usize = 64 * 1024;
+/// Timeout for connecting, and for the next message on an established connection.
+pub(super) const SILENCE_TIMEOUT: Duration = Duration::from_millis(1000);
+/// The first and the longest pause before the next attempt to connect.
+const RETRY_PAUSES: (Duration, Duration) = (Duration::from_millis(50), Duration::from_millis(1600));
+/// Bytes that may be queued for a planner that does not read; further reports are skipped, since the next one has the
+/// full state.
+const MAX_UNSENT_BYTES: usize = 64 * 1024;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum State {
     Down { retry: Instant },
-    Connecting { until: Instant },
-    Up { heard: Instant },
+    Connecting { deadline: Instant },
+    Up { last_received: Instant },
 }
 
 pub(super) struct Link {
@@ -27,13 +28,13 @@
     pub token: Token,
     pub conn: Option<Conn>,
     pub state: State,
-    /// Partitions that it says it leads.
+    /// Partitions that the planner says it leads.
     pub leads: Vec<u16>,
     pub backoff: Backoff,
 }
 
 impl Link {
-    /// Connects at once.
+    /// A link that is due to connect at once.
     pub fn new(address: SocketAddr, token: Token, seed: u64, now: Instant) -> Self {
         Link {
             address,
@@ -41,8 +42,8 @@
             conn: None,
             state: State::Down { retry: now },
             leads: Vec::new(),
-            // Each draws pauses of its own.
-            backoff: Backoff::new(PAUSES.0, PAUSES.1, seed ^ deal::hash(&address.to_string())),
+            // Each link has its own sequence of random pauses.
+            backoff: Backoff::new(RETRY_PAUSES.0, RETRY_PAUSES.1, seed ^ deal::hash(&address.to_string())),
         }
     }
 
@@ -50,22 +51,22 @@
         matches!(self.state, State::Up { .. })
     }
 
-    /// When something is due.
+    /// When the next retry or timeout is due.
     pub fn next_timer(&self) -> Instant {
         match self.state {
             State::Down { retry } => retry,
-            State::Connecting { until } => until,
-            State::Up { heard } => heard + SILENCE,
+            State::Connecting { deadline } => deadline,
+            State::Up { last_received } => last_received + SILENCE_TIMEOUT,
         }
     }
 
-    /// The connection is made: greets the planner.
-    pub fn greet(&mut self, now: Instant, initiator: &str) {
-        self.state = State::Up { heard: now };
+    /// Marks the connection as established and queues the greeting.
+    pub fn send_hello(&mut self, now: Instant, initiator: &str) {
+        self.state = State::Up { last_received: now };
         self.queue(&ToPlanner::Hello { schema: SCHEMA, forwarder: initiator.to_string() });
     }
 
-    /// Adds a message to what is written next.
+    /// Queues a message.
     pub fn queue(&mut self, message: &ToPlanner) {
         let Some(conn) = &mut self.conn else { return };
         let mut output = Vec::new();
@@ -73,28 +74,28 @@
         conn.push(&output);
     }
 
-    /// Sends a message that must not be left out while the connection lasts.
+    /// Sends a message that must not be skipped while the connection lasts.
     pub fn send(&mut self, message: &ToPlanner) {
         self.queue(message);
         if let Some(conn) = &mut self.conn {
-            // A broken connection shows at the next read as well.
+            // A broken connection is also detected by the next read.
             let _ = conn.flush();
         }
     }
 
-    /// Sends a message that the next of its kind makes up for, unless the planner does not read.
-    pub fn send_if_read(&mut self, message: &ToPlanner) {
-        if self.conn.as_ref().is_some_and(|conn| conn.unwritten() < MOST_UNREAD) {
+    /// Sends a message unless too many bytes are queued; the next one of its kind makes up for it.
+    pub fn send_if_accepted(&mut self, message: &ToPlanner) {
+        if self.conn.as_ref().is_some_and(|conn| conn.unwritten() < MAX_UNSENT_BYTES) {
             self.send(message);
         }
     }
 
-    /// The connection has ended.
-    pub fn lose(&mut self, now: Instant, why: &str) {
+    /// Drops the connection and schedules the next attempt.
+    pub fn disconnect(&mut self, now: Instant, why: &str) {
         if self.is_up() {
-            tracing::warn!(planner = %self.address, "planner lost: {why}");
+            tracing::warn!(planner = %self.address, "disconnected from planner: {why}");
         }
-        // Guards a planner that comes back from a thousand forwarders at once.
+        // Random pauses, so that a planner that restarts does not get a thousand connections at once.
         let pause = self.backoff.pause();
         self.conn = None;
         self.leads.clear();
--- a/src/planner/client/mod.rs
+++ b/src/planner/client/mod.rs
@@ -1,5 +1,6 @@
-//! A forwarder's side of its planners: connections to all of them, reports to those that lead a partition, plans into
-//! the store, and from the store what the scheduler is to know. Losing planners ends nothing: what they moved runs out.
+//! A forwarder's client of the remote planners: connects to all of them, reports demand to those that lead a partition,
+//! stores their plans and tells the scheduler the resulting shares. Losing the planners ends no request: their moves
+//! expire, and each forwarder returns to its even share.
 
 mod configuration;
 mod link;
@@ -16,19 +17,19 @@
 use crate::shares::{ForwarderId, Resource, Share, MAX_MOVE_DURATION};
 use crate::tokens::{Kind, Tokens};
 use configuration::{Configuration, ConfigurationReport};
-use link::{Link, State, SILENCE};
+use link::{Link, State, SILENCE_TIMEOUT};
 use mio::{Registry, Token};
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// How often is reported. The heartbeat as well.
-const REPORTS: Duration = Duration::from_millis(100);
-/// How often a planner that leads nothing is told that this forwarder is there, in reports.
-const ALIVE: u32 = 5;
+/// Interval of reports. Also the heartbeat.
+const REPORT_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval of heartbeats to planners that lead nothing, as a number of report intervals.
+const HEARTBEAT_REPORTS: u32 = 5;
 
-/// The name of its report.
+/// The name of the report about planners on the `INFO` command.
 pub const REPORT: &str = "planners";
 
 /// The planners of one forwarder.
@@ -38,27 +39,27 @@
     store: Store,
     meter: Meter,
     settings: Settings,
-    /// Live configuration, where it is on.
+    /// Live configuration, if enabled.
     configuration: Option<Configuration>,
-    /// Partitions, as keys to deal volumes to.
+    /// Keys of the partitions for the rendezvous hashing of volumes.
     partitions: Vec<u64>,
     clock: Clock,
-    /// Parts that the scheduler was told of, where they are not even.
-    told: BTreeMap<VolumeId, Share>,
+    /// Shares that the scheduler was told of, where they differ from the even share.
+    announced: BTreeMap<VolumeId, Share>,
     next_report: Instant,
     reports: u32,
-    /// When parts may change by themselves.
+    /// When shares may change next because a move expires.
     next_change: Instant,
     modes: Vec<Mode>,
-    /// Plans taken, and left for being old.
-    taken: u64,
-    untaken: u64,
+    /// Numbers of plans applied and rejected.
+    plans_taken: u64,
+    plans_untaken: u64,
 }
 
 #[derive(Serialize)]
 struct Report {
     partitions: Vec<PartitionReport>,
-    /// Operators know these two by their older names.
+    /// These two have older names in the JSON report.
     #[serde(rename = "cedes")]
     gives_back: bool,
     #[serde(rename = "ceded")]
@@ -81,7 +82,7 @@
 }
 
 impl Planners {
-    /// Knows no plan yet. With the names that revisions may refer to live configuration is on.
+    /// A client without plans. Live configuration is enabled if the names that revisions may refer to are given.
     pub fn new(
         addresses: &[SocketAddr],
         partitions: usize,
@@ -98,7 +99,7 @@
         Planners {
             name: name.to_string(),
             links: addresses.iter().map(link).collect(),
-            // Another at each start, also where the configuration's seed is not.
+            // Differs at each start, also if the configured seed does not.
             store: Store::new(
                 forwarder,
                 seed ^ clock.unix(now).as_nanos() as u64,
@@ -110,109 +111,114 @@
             configuration,
             partitions: (1..=partitions as u64).collect(),
             clock,
-            told: BTreeMap::new(),
+            announced: BTreeMap::new(),
             next_report: now,
             reports: 0,
             next_change: now,
             modes: vec![Mode::Safe; partitions],
-            taken: 0,
-            untaken: 0,
+            plans_taken: 0,
+            plans_untaken: 0,
         }
     }
 
-    /// When [`Planners::tick`] has something to do.
+    /// When [`Planners::tick`] is due next.
     pub fn next_timer(&self) -> Instant {
         let links = self.links.iter().map(Link::next_timer);
         links.chain([self.next_report, self.next_change]).min().unwrap_or(self.next_report)
     }
 
-    /// Counts what clients ask for, and tells what the scheduler has to know before it hears of that.
+    /// Records the demand of new requests. Returns changed shares, which the scheduler must receive before these requests.
     pub fn record_requests(&mut self, now: Instant, events: &[Event]) -> Option<Event> {
         let at = self.clock.unix(now);
-        let mut asked = false;
+        let mut is_new = false;
         for event in events {
             if let Event::Request(new) = event {
-                asked |= self.meter.even_share(new.volume).is_none();
+                is_new |= self.meter.even_share(new.volume).is_none();
                 self.meter.record(at, new, &self.settings);
             }
         }
-        if !asked && now < self.next_change {
+        if !is_new && now < self.next_change {
             return None;
         }
         self.store.drop_expired(at);
-        let young = self.store.is_starting(at).then(|| now + MAX_MOVE_DURATION.min(REPORTS));
-        let ends = self.store.next_expiry(at).map(|end| self.clock.instant(end));
-        self.next_change = ends.into_iter().chain(young).min().unwrap_or(now + MAX_MOVE_DURATION);
+        let startup_check = self.store.is_starting(at).then(|| now + MAX_MOVE_DURATION.min(REPORT_INTERVAL));
+        let next_expiry_at = self.store.next_expiry(at).map(|end| self.clock.instant(end));
+        self.next_change =
+            next_expiry_at.into_iter().chain(startup_check).min().unwrap_or(now + MAX_MOVE_DURATION);
         let mut limits = Vec::new();
         for (volume, even_share) in self.meter.volumes() {
-            let part = self.store.usable_share(at, Resource::Limit(volume.0), even_share);
-            if part == even_share && self.told.remove(&volume).is_some() {
+            let share = self.store.usable_share(at, Resource::Limit(volume.0), even_share);
+            if share == even_share && self.announced.remove(&volume).is_some() {
                 limits.push((volume, None));
-            } else if part != even_share && self.told.insert(volume, part) != Some(part) {
-                limits.push((volume, Some(part.fraction())));
+            } else if share != even_share && self.announced.insert(volume, share) != Some(share) {
+                limits.push((volume, Some(share.fraction())));
             }
         }
-        // A volume that is metered no more was not asked for in a long time. Whoever asks for it again is counted first, and
-        // so its part is told before.
-        let (meter, told) = (&self.meter, &mut self.told);
-        told.retain(|volume, _| {
-            let kept = meter.even_share(*volume).is_some();
-            if !kept {
+        // A volume that is no longer metered had no requests for a long time. Its next request is recorded first, so its
+        // share is announced before the scheduler sees the request.
+        let (meter, announced) = (&self.meter, &mut self.announced);
+        announced.retain(|volume, _| {
+            let is_metered = meter.even_share(*volume).is_some();
+            if !is_metered {
                 limits.push((*volume, None));
             }
-            kept
+            is_metered
         });
         (!limits.is_empty()).then_some(Event::Shares { limits, cold: Vec::new() })
     }
 
-    /// Connects, gives up who is silent, reports where that is due; true if it did.
+    /// Connects, disconnects silent planners and sends reports when due; true if reports were due.
     pub fn tick(&mut self, now: Instant, registry: &Registry) -> bool {
         for at in 0..self.links.len() {
             let link = &mut self.links[at];
             match link.state {
                 State::Down { retry } if retry <= now => {
                     link.conn = Conn::connect(link.address, link.token, registry).ok();
-                    link.state = State::Connecting { until: now + SILENCE };
+                    link.state = State::Connecting { deadline: now + SILENCE_TIMEOUT };
                     if link.conn.is_none() {
-                        self.lose(now, at, "no connection");
+                        self.disconnect(now, at, "no connection");
                     }
                 }
-                State::Connecting { until } if until <= now => self.lose(now, at, "no connection"),
-                State::Up { heard } if heard + SILENCE <= now => self.lose(now, at, "it is silent"),
+                State::Connecting { deadline } if deadline <= now => {
+                    self.disconnect(now, at, "no connection")
+                }
+                State::Up { last_received } if last_received + SILENCE_TIMEOUT <= now => {
+                    self.disconnect(now, at, "it is silent")
+                }
                 _ => {}
             }
         }
-        let due = self.next_report <= now;
-        if due {
-            self.next_report = now + REPORTS;
+        let is_due = self.next_report <= now;
+        if is_due {
+            self.next_report = now + REPORT_INTERVAL;
             self.report(now);
-            self.follow_modes(now);
+            self.log_mode_changes(now);
         }
-        due
+        is_due
     }
 
     fn report(&mut self, now: Instant) {
         let at = self.clock.unix(now);
         self.reports = self.reports.wrapping_add(1);
-        if self.reports.is_multiple_of(ALIVE) {
+        if self.reports.is_multiple_of(HEARTBEAT_REPORTS) {
             for link in self.links.iter_mut().filter(|link| link.is_up()) {
-                link.send_if_read(&ToPlanner::Alive);
+                link.send_if_accepted(&ToPlanner::Alive);
             }
         }
         for partition in 0..self.partitions.len() {
             let leads = |link: &&mut Link| link.leads.contains(&(partition as u16));
             let partitions = &self.partitions;
-            // Where two say that they lead, both hear the same, and the later term is gone by.
+            // If two planners claim to lead, both get the same report, and the plan of the later term wins.
             for link in self.links.iter_mut().filter(leads) {
                 let is_of = |volume: VolumeId| deal::pick(volume.0, partitions) == Some(partition);
                 let demands = self.meter.demands(at, is_of);
                 let report = self.store.build_report(at, partition, demands, Vec::new());
-                link.send_if_read(&ToPlanner::Report { partition: partition as u16, report });
+                link.send_if_accepted(&ToPlanner::Report { partition: partition as u16, report });
             }
         }
     }
 
-    fn follow_modes(&mut self, now: Instant) {
+    fn log_mode_changes(&mut self, now: Instant) {
         let at = self.clock.unix(now);
         for partition in 0..self.modes.len() {
             let mode = self.store.mode(at, partition);
@@ -224,7 +230,7 @@
         }
     }
 
-    /// Something happened on a connection.
+    /// Handles readiness of a connection.
     pub fn ready(&mut self, now: Instant, token: Token) {
         let Some(at) = self.links.iter().position(|link| link.token == token) else { return };
         let link = &mut self.links[at];
@@ -232,10 +238,10 @@
         if matches!(link.state, State::Connecting { .. }) {
             match conn.connecting() {
                 Connecting::Pending => return,
-                Connecting::Failed => return self.lose(now, at, "no connection"),
+                Connecting::Failed => return self.disconnect(now, at, "no connection"),
                 Connecting::Up => {
-                    link.greet(now, &self.name);
-                    self.configure(|configuration| configuration.connected(at));
+                    link.send_hello(now, &self.name);
+                    self.with_configuration(|configuration| configuration.connected(at));
                 }
             }
         }
@@ -246,31 +252,31 @@
             let Some(conn) = &mut self.links[at].conn else { return };
             match frame::decode::<FromPlanner>(&mut conn.input) {
                 Ok(None) => break,
-                Ok(Some(message)) => self.hear(now, at, message),
-                Err(why) => return self.lose(now, at, &why),
+                Ok(Some(message)) => self.handle_message(now, at, message),
+                Err(why) => return self.disconnect(now, at, &why),
             }
         }
         if flushed.is_err() || end.is_over() {
-            self.lose(now, at, "it closed");
+            self.disconnect(now, at, "it closed");
         }
     }
 
-    fn hear(&mut self, now: Instant, at: usize, message: FromPlanner) {
+    fn handle_message(&mut self, now: Instant, at: usize, message: FromPlanner) {
         let link = &mut self.links[at];
-        link.state = State::Up { heard: now };
+        link.state = State::Up { last_received: now };
         if let Some(configuration) = &mut self.configuration {
-            configuration.heard(now, at);
+            configuration.planner_heard(now, at);
         }
         match message {
             FromPlanner::Welcome { partitions } if usize::from(partitions) == self.partitions.len() => {
                 link.backoff.reset();
-                tracing::info!(planner = %link.address, "planner found");
+                tracing::info!(planner = %link.address, "connected to planner");
             }
             FromPlanner::Welcome { partitions } => {
                 let why = format!("it deals to {partitions} partitions, not to {}", self.partitions.len());
-                self.lose(now, at, &why);
+                self.disconnect(now, at, &why);
             }
-            FromPlanner::Refused(why) => self.lose(now, at, &why),
+            FromPlanner::Refused(why) => self.disconnect(now, at, &why),
             FromPlanner::Leads(leads) => link.leads = leads,
             FromPlanner::Plan { partition, plan } if usize::from(partition) < self.partitions.len() => {
                 let (unix, meter) = (self.clock.unix(now), &self.meter);
@@ -280,40 +286,40 @@
                 };
                 match self.store.apply_plan(unix, usize::from(partition), &plan, even_share) {
                     Ok(()) => {
-                        self.taken += 1;
+                        self.plans_taken += 1;
                         if !plan.moves.is_empty() {
                             self.next_change = now;
                         }
                     }
                     Err(why) => {
-                        self.untaken += 1;
-                        tracing::debug!(?why, "a plan is not taken");
+                        self.plans_untaken += 1;
+                        tracing::debug!(?why, "plan rejected");
                     }
                 }
             }
             FromPlanner::Plan { .. } => {}
             FromPlanner::Quorum(_) | FromPlanner::Update(_) if self.configuration.is_none() => {
-                tracing::debug!(planner = %link.address, "live configuration is off here");
+                tracing::debug!(planner = %link.address, "ignoring live configuration, which is disabled");
             }
             FromPlanner::Quorum(quorum) => {
-                self.configure(|configuration| configuration.quorum(now, at, quorum));
+                self.with_configuration(|configuration| configuration.quorum(now, at, quorum));
             }
             FromPlanner::Update(update) => {
-                self.configure(|configuration| configuration.update(at, update));
+                self.with_configuration(|configuration| configuration.update(at, update));
             }
             FromPlanner::OperatorReply(_) => {
-                tracing::debug!(planner = %link.address, "an answer that nobody asked for");
+                tracing::debug!(planner = %link.address, "unexpected answer to an operator");
             }
         }
     }
 
-    fn lose(&mut self, now: Instant, at: usize, why: &str) {
-        self.links[at].lose(now, why);
-        self.configure(|configuration| configuration.disconnected(at));
+    fn disconnect(&mut self, now: Instant, at: usize, why: &str) {
+        self.links[at].disconnect(now, why);
+        self.with_configuration(|configuration| configuration.disconnected(at));
     }
 
-    /// Where live configuration is on, does something in it and sends what is to be said then.
-    fn configure(&mut self, act: impl FnOnce(&mut Configuration) -> Vec<(usize, ToPlanner)>) {
+    /// Calls the live configuration, if enabled, and sends the resulting messages.
+    fn with_configuration(&mut self, act: impl FnOnce(&mut Configuration) -> Vec<(usize, ToPlanner)>) {
         let Some(configuration) = &mut self.configuration else { return };
         for (at, message) in act(configuration) {
             self.links[at].send(&message);
@@ -326,21 +332,21 @@
         self.configuration.as_mut()?.take_prepared()
     }
 
-    /// A revision is in force here from now on. Demand is measured against its limits, and all planners learn it.
+    /// Marks a revision as in force: demand is measured against its limits from now on, and all planners are notified.
     pub fn configuration_taken_over(&mut self, now: Instant, prepared: &Prepared) {
         self.settings = prepared.settings.clone();
-        // Limits may have come, gone or changed.
+        // The revision may have added, removed or changed limits.
         self.next_change = now;
-        self.configure(|configuration| configuration.took_over(prepared));
+        self.with_configuration(|configuration| configuration.took_over(prepared));
     }
 
-    /// A prepared revision can't be taken over, for this reason; what was in force still is, and all planners learn it.
+    /// Refuses a prepared revision for the reason `why`; the revision in force stays, and all planners are notified.
     pub fn configuration_not_taken_over(&mut self, prepared: &Prepared, why: String) {
         tracing::warn!("revision {} is refused: {why}", prepared.id);
-        self.configure(|configuration| configuration.could_not_take_over(prepared, why));
+        self.with_configuration(|configuration| configuration.could_not_take_over(prepared, why));
     }
 
-    /// Lines for `INFO`, and all of it as JSON.
+    /// Lines for `INFO`, and the whole report as JSON.
     pub fn info(&self, now: Instant) -> (String, String) {
         let at = self.clock.unix(now);
         let partition = |partition: usize| {
@@ -361,8 +367,8 @@
             reclaimed,
             granted,
             volumes: self.meter.volumes().count(),
-            plans_taken: self.taken,
-            plans_untaken: self.untaken,
+            plans_taken: self.plans_taken,
+            plans_untaken: self.plans_untaken,
             configuration: self.configuration.as_ref().map(|configuration| configuration.report(now)),
         };
         let in_mode =
@@ -374,8 +380,8 @@
             in_mode("planned"),
             in_mode("stale"),
             in_mode("safe"),
-            self.taken,
-            self.untaken
+            self.plans_taken,
+            self.plans_untaken
         );
         if let Some(configuration) = &report.configuration {
             lines += &format!(
@@ -385,7 +391,7 @@
                 u8::from(configuration.source.is_some())
             );
         }
-        // Nothing in it can fail to be written.
+        // Serialization of these types can't fail.
         (lines, serde_json::to_string(&report).unwrap_or_default())
     }
 }
--- a/src/planner/configuration.rs
+++ b/src/planner/configuration.rs
@@ -1,5 +1,6 @@
-//! Live configuration at a planner: takes what initiators, other planners and operators say of it, and gives back what they
-//! are to be told. It owns the replica of the agreement, the distributor and the connections to the other planners.
+//! Live configuration at a planner: handles the messages of initiators, other planners and operators that concern it, and
+//! returns the messages to send. It owns this planner's replica of the agreement, the distributor of revisions and the
+//! connections to the other planners.
 
 use super::frame::{FromPlanner, OperatorReply, OperatorRequest, PlannerStatus};
 use super::peers::Peers;
@@ -16,17 +17,17 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Time between two ticks of the agreement: a leader that is gone is replaced within one to two seconds.
+/// Time between two ticks of the agreement: a failed leader is replaced within one to two seconds.
 const TICK: Duration = Duration::from_millis(100);
 /// How long a proposal waits for its decision: longer than the replacement of a leader takes.
 const PROPOSAL_TIMEOUT: Duration = Duration::from_secs(5);
-/// Something to be said.
+/// A message to send.
 #[derive(Clone, Debug, PartialEq)]
-pub(super) enum Said {
+pub(super) enum Outgoing {
     /// To an initiator, by its connection.
     Initiator(ConnectionId, FromPlanner),
     /// To all initiators.
-    Everybody(FromPlanner),
+    AllInitiators(FromPlanner),
     /// The answer to an operator, by its connection.
     Operator(ConnectionId, OperatorReply),
 }
@@ -37,31 +38,32 @@
     replica: Replica<DiskStore>,
     distributor: Distributor,
     peers: Peers,
-    /// What documents are checked against.
+    /// The settings and names that documents are checked against.
     base: (Settings, Names),
-    /// Operators that wait for a decision.
+    /// Connections of operators that wait for a decision, by proposal.
     waiting: BTreeMap<ProposalId, Vec<ConnectionId>>,
-    /// The newest revision that the distributor knows.
+    /// The newest revision that the distributor has received.
     newest: RevisionId,
     started: Instant,
 }
 
 impl Configuration {
-    /// Makes the store of a planner, once.
+    /// Creates the store of a planner, once.
     ///
     /// # Errors
     ///
-    /// There is one already, or the directory can't be written to: one line.
+    /// A store exists already, or the directory can't be written to. The error is one line.
     pub fn create(config: &settings::Configuration) -> Result<(), String> {
         config.read_initiator()?;
         DiskStore::create(&config.directory, identity(config)).map(drop).map_err(|error| error.to_string())
     }
 
-    /// Goes on from the store.
+    /// Opens the store and starts the replica.
     ///
     /// # Errors
     ///
-    /// There is no store, or another planner's, or the initiator's configuration can't be used: one line.
+    /// There is no store, it belongs to another planner, or the initiator's configuration can't be used. The error is one
+    /// line.
     pub fn start(
         name: &str,
         config: &settings::Configuration,
@@ -98,18 +100,18 @@
             newest: RevisionId::none(),
             started: now,
         };
-        // Nobody is connected yet, so nothing is to be said.
+        // No client is connected yet, so the messages are dropped.
         let newest = configuration.replica.newest().cloned();
-        newest.into_iter().for_each(|revision| configuration.hand_on(now, revision, &mut Vec::new()));
+        newest.into_iter().for_each(|revision| configuration.publish(now, revision, &mut Vec::new()));
         Ok(configuration)
     }
 
-    /// The voter of a name, where it is another planner's.
+    /// The voter id of another planner, by its name.
     pub fn peer(&self, name: &str) -> Option<VoterId> {
         self.config.peers.iter().find(|peer| peer.name == name).map(|peer| peer.voter)
     }
 
-    /// When [`Configuration::turn`] has something to do.
+    /// When [`Configuration::run_timers`] is due next.
     pub fn next_timer(&self) -> Instant {
         let replica = Some(self.replica.next_timer());
         let timers = [replica, self.distributor.next_timer()].into_iter().flatten();
@@ -117,25 +119,25 @@
         timers.min().unwrap_or(self.started)
     }
 
-    /// Does what is due.
-    pub fn turn(
+    /// Runs the timers that are due.
+    pub fn run_timers(
         &mut self,
         now: Instant,
         registry: &Registry,
-        said: &mut Vec<Said>,
+        outgoing: &mut Vec<Outgoing>,
     ) -> Result<(), StoreError> {
-        self.peers.turn(now, registry);
-        let at = self.scale(now);
+        self.peers.run_timers(now, registry);
+        let at = self.elapsed(now);
         if self.replica.next_timer() <= at {
-            self.agree(now, agreement::Event::Tick, said)?;
+            self.run_agreement(now, agreement::Event::Tick, outgoing)?;
         }
         if self.distributor.next_timer().is_some_and(|timer| timer <= at) {
-            self.distribute(now, distribution::Event::Tick, said);
+            self.distribute(now, distribution::Event::Tick, outgoing);
         }
         Ok(())
     }
 
-    /// Something happened on a connection to another planner; false: the token is none of those.
+    /// Handles readiness of a connection to another planner; false if the token belongs to none.
     pub fn ready(&mut self, now: Instant, token: Token) -> bool {
         let owns = self.peers.owns(token);
         if owns {
@@ -144,79 +146,79 @@
         owns
     }
 
-    /// A message of another planner has come.
+    /// Handles an agreement message of another planner.
     pub fn message(
         &mut self,
         now: Instant,
         message: Vec<u8>,
-        said: &mut Vec<Said>,
+        outgoing: &mut Vec<Outgoing>,
     ) -> Result<(), StoreError> {
-        self.agree(now, agreement::Event::Message(message), said)
+        self.run_agreement(now, agreement::Event::Message(message), outgoing)
     }
 
-    /// An initiator has connected.
+    /// Handles a new connection of an initiator.
     pub fn connected(
         &mut self,
         now: Instant,
         connection: ConnectionId,
         initiator: String,
-        said: &mut Vec<Said>,
+        outgoing: &mut Vec<Outgoing>,
     ) {
-        said.push(Said::Initiator(connection, FromPlanner::Quorum(self.replica.has_quorum())));
-        self.distribute(now, distribution::Event::Connected { connection, initiator }, said);
+        outgoing.push(Outgoing::Initiator(connection, FromPlanner::Quorum(self.replica.has_quorum())));
+        self.distribute(now, distribution::Event::Connected { connection, initiator }, outgoing);
     }
 
-    /// An initiator's connection has ended.
-    pub fn disconnected(&mut self, now: Instant, connection: ConnectionId, said: &mut Vec<Said>) {
-        self.distribute(now, distribution::Event::Disconnected(connection), said);
+    /// Handles the end of an initiator's connection.
+    pub fn disconnected(&mut self, now: Instant, connection: ConnectionId, outgoing: &mut Vec<Outgoing>) {
+        self.distribute(now, distribution::Event::Disconnected(connection), outgoing);
     }
 
-    /// An initiator wants revisions on this connection.
+    /// Subscribes an initiator's connection to revisions.
     pub fn subscribe(
         &mut self,
         now: Instant,
         connection: ConnectionId,
         holds: RevisionId,
-        said: &mut Vec<Said>,
+        outgoing: &mut Vec<Outgoing>,
     ) {
-        self.distribute(now, distribution::Event::Subscribed { connection, holds }, said);
+        self.distribute(now, distribution::Event::Subscribed { connection, holds }, outgoing);
     }
 
-    /// It wants none any more.
-    pub fn unsubscribe(&mut self, now: Instant, connection: ConnectionId, said: &mut Vec<Said>) {
-        self.distribute(now, distribution::Event::Unsubscribed(connection), said);
+    /// Ends the subscription of a connection.
+    pub fn unsubscribe(&mut self, now: Instant, connection: ConnectionId, outgoing: &mut Vec<Outgoing>) {
+        self.distribute(now, distribution::Event::Unsubscribed(connection), outgoing);
     }
 
-    /// An initiator says what became of a revision.
+    /// Handles an initiator's acknowledgement of a revision.
     pub fn acknowledge(
         &mut self,
         now: Instant,
         connection: ConnectionId,
         acknowledgement: Acknowledgement,
-        said: &mut Vec<Said>,
+        outgoing: &mut Vec<Outgoing>,
     ) {
-        self.distribute(now, distribution::Event::Acknowledged { connection, acknowledgement }, said);
+        self.distribute(now, distribution::Event::Acknowledged { connection, acknowledgement }, outgoing);
     }
 
-    /// An operator asks for something. The answer may come later.
+    /// Handles an operator's request. The answer may follow later.
     pub fn operator(
         &mut self,
         now: Instant,
         connection: ConnectionId,
         request: OperatorRequest,
-        said: &mut Vec<Said>,
+        outgoing: &mut Vec<Outgoing>,
     ) -> Result<(), StoreError> {
         let reply = match request {
-            OperatorRequest::Submit(proposal) => return self.submit(now, connection, *proposal, said),
+            OperatorRequest::Submit(proposal) => return self.submit(now, connection, *proposal, outgoing),
             OperatorRequest::Show(number) => OperatorReply::Revision(self.revision(number).map(Box::new)),
             OperatorRequest::Status => OperatorReply::Status(self.status(now)),
         };
-        said.push(Said::Operator(connection, reply));
+        outgoing.push(Outgoing::Operator(connection, reply));
         Ok(())
     }
 
-    /// An operator has gone: nobody waits there for a decision any more.
-    pub fn operator_left(&mut self, connection: ConnectionId) {
+    /// Handles the end of an operator's connection, which waits for no decision any more.
+    pub fn operator_disconnected(&mut self, connection: ConnectionId) {
         self.waiting.values_mut().for_each(|waiting| waiting.retain(|other| *other != connection));
     }
 
@@ -225,11 +227,11 @@
         now: Instant,
         connection: ConnectionId,
         mut proposal: Proposal,
-        said: &mut Vec<Said>,
+        outgoing: &mut Vec<Outgoing>,
     ) -> Result<(), StoreError> {
         if let Err(why) = self.check(&proposal) {
             let reply = OperatorReply::Refused(ProposalError::Invalid(why));
-            said.push(Said::Operator(connection, reply));
+            outgoing.push(Outgoing::Operator(connection, reply));
             return Ok(());
         }
         let is_pending = self.waiting.contains_key(&proposal.id);
@@ -239,10 +241,10 @@
         }
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         proposal.submitted_ms = unix.as_millis() as u64;
-        self.agree(now, agreement::Event::Propose(Box::new(proposal)), said)
+        self.run_agreement(now, agreement::Event::Propose(Box::new(proposal)), outgoing)
     }
 
-    /// What makes a proposal one that no planner can accept.
+    /// Checks a proposal. The error is the reason why no planner can accept it.
     fn check(&self, proposal: &Proposal) -> Result<(), String> {
         check_author(&proposal.author)?;
         proposal.document.check().map_err(|error| error.to_string())?;
@@ -265,72 +267,77 @@
             quorum: self.replica.has_quorum(),
             leader: leader.map(str::to_string),
             newest: self.newest,
-            initiators: self.distributor.status(self.scale(now)),
+            initiators: self.distributor.status(self.elapsed(now)),
         }
     }
 
-    fn agree(
+    fn run_agreement(
         &mut self,
         now: Instant,
         event: agreement::Event,
-        said: &mut Vec<Said>,
+        outgoing: &mut Vec<Outgoing>,
     ) -> Result<(), StoreError> {
         let mut actions = Vec::new();
-        self.replica.handle(self.scale(now), event, &mut actions)?;
+        self.replica.handle(self.elapsed(now), event, &mut actions)?;
         for action in actions {
             match action {
                 agreement::Action::Send { to, message } => self.peers.send(now, to, message),
-                agreement::Action::Decided { id, outcome } => self.decided(id, outcome, said),
-                agreement::Action::Accepted(revision) => self.hand_on(now, revision, said),
+                agreement::Action::Decided { id, outcome } => self.reply_to_proposers(id, outcome, outgoing),
+                agreement::Action::Accepted(revision) => self.publish(now, revision, outgoing),
                 agreement::Action::QuorumChanged(quorum) => {
                     tracing::info!(quorum, "contact with a majority of the planners");
-                    said.push(Said::Everybody(FromPlanner::Quorum(quorum)));
+                    outgoing.push(Outgoing::AllInitiators(FromPlanner::Quorum(quorum)));
                 }
             }
         }
         Ok(())
     }
 
-    fn decided(&mut self, id: ProposalId, outcome: Result<RevisionId, ProposalError>, said: &mut Vec<Said>) {
+    fn reply_to_proposers(
+        &mut self,
+        id: ProposalId,
+        outcome: Result<RevisionId, ProposalError>,
+        outgoing: &mut Vec<Outgoing>,
+    ) {
         let reply = match outcome {
             Ok(revision) => OperatorReply::Accepted(revision),
             Err(error) => OperatorReply::Refused(error),
         };
         let waiting = self.waiting.remove(&id).unwrap_or_default();
-        said.extend(waiting.into_iter().map(|connection| Said::Operator(connection, reply.clone())));
+        outgoing.extend(waiting.into_iter().map(|connection| Outgoing::Operator(connection, reply.clone())));
     }
 
-    fn hand_on(&mut self, now: Instant, revision: Revision, said: &mut Vec<Said>) {
-        // After a restart the replica may tell again what its store held.
+    fn publish(&mut self, now: Instant, revision: Revision, outgoing: &mut Vec<Outgoing>) {
+        // After a restart the replica may report again the revisions in its store.
         if revision.id.number <= self.newest.number {
             return;
         }
         tracing::info!(revision = %revision.id, author = revision.author, "revision accepted");
         self.newest = revision.id;
-        self.distribute(now, distribution::Event::Accepted(revision), said);
+        self.distribute(now, distribution::Event::Accepted(revision), outgoing);
     }
 
-    fn distribute(&mut self, now: Instant, event: distribution::Event, said: &mut Vec<Said>) {
+    fn distribute(&mut self, now: Instant, event: distribution::Event, outgoing: &mut Vec<Outgoing>) {
         let mut actions = Vec::new();
-        self.distributor.handle(self.scale(now), event, &mut actions);
-        said.extend(actions.into_iter().map(|distribution::Action::Send { connection, update }| {
-            Said::Initiator(connection, FromPlanner::Update(update))
+        self.distributor.handle(self.elapsed(now), event, &mut actions);
+        outgoing.extend(actions.into_iter().map(|distribution::Action::Send { connection, update }| {
+            Outgoing::Initiator(connection, FromPlanner::Update(update))
         }));
     }
 
-    /// A time on the scale of the pure parts: since the start.
-    fn scale(&self, now: Instant) -> Duration {
+    /// The time since the start, which the replica and the distributor use as their clock.
+    fn elapsed(&self, now: Instant) -> Duration {
         now.saturating_duration_since(self.started)
     }
 }
 
-/// Whose store a planner's is.
+/// The identity that a planner's store must have.
 fn identity(config: &settings::Configuration) -> Identity {
     let group = GroupId::of_names(config.planners.iter().map(String::as_str));
     Identity { group, voter: config.voter, voters: config.voters() }
 }
 
-/// Checks an author's name; the error is one line.
+/// Checks an author's name. The error is one line.
 pub(super) fn check_author(author: &str) -> Result<(), String> {
     if author.is_empty() || author.len() > LONGEST_AUTHOR || author.chars().any(char::is_control) {
         return Err(format!("author: 1 to {LONGEST_AUTHOR} bytes of one line are allowed"));
--- a/src/planner/connection.rs
+++ b/src/planner/connection.rs
@@ -1,4 +1,5 @@
-//! A connection that somebody has made to a planner: a newcomer until it has said what it is.
+//! A connection accepted by a planner. Its first message tells whether the client is an initiator, another planner or an
+//! operator's command; the limit on message lengths depends on that.
 
 use super::frame::{self, ToPlanner, LENGTH_BYTES, MAX_MESSAGE_BYTES};
 use crate::conn::{Conn, ReadEnd};
@@ -6,84 +7,84 @@
 use serde::Serialize;
 use std::time::{Duration, Instant};
 
-/// Whoever says nothing for so long, or does not go on with a message, is closed.
-pub(super) const SILENCE: Duration = Duration::from_secs(3);
-/// Bytes that wait for a far side that does not read. Of plans it gets none until it has, and then the newest; what may not
-/// be left out ends the connection instead.
-pub(super) const MOST_UNREAD: usize = 256 * 1024;
-/// The longest first message: a greeting, or an operator's command with a document in it.
-const LONGEST_GREETING: usize = 256 * 1024;
-/// The longest message of another planner: one of the agreement, with what goes round it.
-const LONGEST_OF_PEER: usize = LONGEST_MESSAGE + 64;
+/// A connection without a complete message for this time is closed.
+pub(super) const SILENCE_TIMEOUT: Duration = Duration::from_secs(3);
+/// Bytes that may be queued for a client that does not read. Beyond that, plans are skipped until it has read, since the
+/// next plan makes up for them; a message that must not be skipped ends the connection instead.
+pub(super) const MAX_UNSENT_BYTES: usize = 256 * 1024;
+/// The longest first message: a greeting, or an operator's command with a document.
+const MAX_GREETING_BYTES: usize = 256 * 1024;
+/// The longest message of another planner: one of the agreement and its framing.
+const MAX_PEER_MESSAGE_BYTES: usize = LONGEST_MESSAGE + 64;
 
-/// What the far side is.
+/// What kind of client a connection belongs to.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum Role {
-    /// It has not said so yet.
-    Newcomer,
+    /// No first message has been received yet.
+    Unidentified,
     /// An initiator, with its name.
     Initiator(String),
     /// Another planner.
     Peer(VoterId),
-    /// An operator's command, which waits for its answer.
+    /// An operator's command that waits for its answer.
     Operator,
-    /// It has got its last answer, and is to close.
+    /// The final message is queued; the client is expected to close.
     Answered,
 }
 
 /// One connection.
 pub(super) struct Connection {
     conn: Conn,
-    /// What the far side is.
+    /// What kind of client it is.
     pub role: Role,
-    /// When it was last heard.
-    pub heard: Instant,
+    /// When the last message was received.
+    pub last_received: Instant,
 }
 
 impl Connection {
-    /// Of somebody unknown.
+    /// Wraps a new connection of an unidentified client.
     pub fn new(conn: Conn, now: Instant) -> Self {
-        Connection { conn, role: Role::Newcomer, heard: now }
+        Connection { conn, role: Role::Unidentified, last_received: now }
     }
 
-    /// Reads what is there, as far as the longest message that may come.
+    /// Reads what is available, up to the longest message that this client may send.
     pub fn read(&mut self) -> ReadEnd {
-        self.conn.read(self.longest() + LENGTH_BYTES)
+        self.conn.read(self.max_message_bytes() + LENGTH_BYTES)
     }
 
-    /// The next message, once it is whole.
-    pub fn next(&mut self) -> Result<Option<ToPlanner>, String> {
+    /// The next message, once it is complete. Fails if it is malformed or too long.
+    pub fn next_message(&mut self) -> Result<Option<ToPlanner>, String> {
         if matches!(self.role, Role::Operator | Role::Answered) {
-            // Guards the answer: what comes after the command would reset the connection if it was left unread.
+            // Closing with unread input would reset the connection, and the client could lose the answer.
             self.conn.consume(self.conn.input.len());
             return Ok(None);
         }
-        let longest = self.longest();
-        let message = frame::decode_bounded(&mut self.conn.input, longest);
+        let max_message_bytes = self.max_message_bytes();
+        let message = frame::decode_bounded(&mut self.conn.input, max_message_bytes);
         self.conn.shed();
         message
     }
 
-    /// Whether the far side reads what it is sent.
-    pub fn reads(&self) -> bool {
-        self.conn.unwritten() < MOST_UNREAD
+    /// Whether the queue of unsent bytes is below its limit.
+    pub fn accepts_output(&self) -> bool {
+        self.conn.unwritten() < MAX_UNSENT_BYTES
     }
 
-    /// Adds a message to what is to be written.
-    pub fn say(&mut self, message: &impl Serialize) {
+    /// Queues a message.
+    pub fn send(&mut self, message: &impl Serialize) {
         let mut output = Vec::new();
         frame::encode(message, &mut output);
         self.conn.push(&output);
     }
 
-    /// Adds the last message: the far side is to close when it has read it.
-    pub fn say_last(&mut self, now: Instant, message: &impl Serialize) {
-        self.say(message);
+    /// Queues the final message; the client is expected to close after reading it.
+    pub fn send_final(&mut self, now: Instant, message: &impl Serialize) {
+        self.send(message);
         self.role = Role::Answered;
-        self.heard = now;
+        self.last_received = now;
     }
 
-    /// Writes as much as goes; an error means that the connection broke.
+    /// Writes as much as the socket takes. Fails if the connection is broken.
     pub fn flush(&mut self) -> std::io::Result<()> {
         self.conn.flush()?;
         if self.role == Role::Answered && self.conn.unwritten() == 0 {
@@ -92,20 +93,20 @@
         Ok(())
     }
 
-    /// Whether it has been silent for too long. An operator's command waits for the planner, not the planner for it.
+    /// Whether nothing was received for too long. An operator's command waits for the planner, so it is never silent.
     pub fn is_silent(&self, now: Instant) -> bool {
-        self.role != Role::Operator && now.saturating_duration_since(self.heard) > SILENCE
+        self.role != Role::Operator && now.saturating_duration_since(self.last_received) > SILENCE_TIMEOUT
     }
 
-    fn longest(&self) -> usize {
+    fn max_message_bytes(&self) -> usize {
         match self.role {
-            Role::Newcomer => LONGEST_GREETING,
+            Role::Unidentified => MAX_GREETING_BYTES,
             Role::Initiator(_) => MAX_MESSAGE_BYTES,
-            Role::Peer(_) => LONGEST_OF_PEER,
-            Role::Operator | Role::Answered => READ_AWAY,
+            Role::Peer(_) => MAX_PEER_MESSAGE_BYTES,
+            Role::Operator | Role::Answered => DISCARD_BYTES,
         }
     }
 }
 
-/// Bytes that are read at once of what is not taken.
-const READ_AWAY: usize = 4 * 1024;
+/// Bytes read at once of input that is discarded.
+const DISCARD_BYTES: usize = 4 * 1024;
--- a/src/planner/frame.rs
+++ b/src/planner/frame.rs
@@ -1,8 +1,9 @@
-//! What forwarders and planners say to each other: a four-byte length, then the message in postcard's form.
+//! Wire format between planners and their peers (forwarders, other planners, operators' commands): a four-byte
+//! big-endian length, then the message encoded with postcard.
 //!
-//! A forwarder begins with [`ToPlanner::Hello`], which is the same in every schema up to the number of it; a planner that
-//! does not know the number says so and closes. Then reports go one way and plans the other, for each partition that the
-//! planner leads.
+//! A forwarder begins with [`ToPlanner::Hello`], whose bytes up to and including the schema number are the same in every
+//! schema; a planner that does not support that schema answers with a refusal and closes the connection. Then, for each
+//! partition that the planner leads, reports go one way and plans the other.
 
 use crate::revisions::agreement::{Proposal, ProposalError};
 use crate::revisions::distribution::InitiatorStatus;
@@ -11,90 +12,92 @@
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
-/// The schema that is spoken here.
+/// The schema of the messages in this build.
 pub const SCHEMA: u16 = 2;
-/// A longer message is none of these.
+/// The longest message that is accepted.
 pub const MAX_MESSAGE_BYTES: usize = 4 * 1024 * 1024;
-/// Bytes of the length.
+/// Bytes of the length that precedes each message.
 pub const LENGTH_BYTES: usize = 4;
 
-/// From a forwarder.
+/// A message to a planner.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ToPlanner {
-    /// First of all.
+    /// The first message of a forwarder.
     Hello {
-        /// The schema that the forwarder speaks.
+        /// The schema that the forwarder uses.
         schema: u16,
-        /// Its name, for people.
+        /// The forwarder's name, shown to operators.
         forwarder: String,
     },
-    /// What it wants, and what it holds, of one partition. Answered with a plan.
+    /// The forwarder's demand and the plan it holds, for one partition. Answered with a plan.
     Report {
         /// The partition.
         partition: u16,
         /// The report.
         report: Report,
     },
-    /// It is there, also where it has nothing to report to this planner.
+    /// Heartbeat, also sent where there is nothing to report to this planner.
     Alive,
-    /// It wants revisions on this connection; said to one planner at a time.
+    /// Requests revisions on this connection; sent to one planner at a time.
     Subscribe {
-        /// The revision in force there.
+        /// The revision in force at the subscriber.
         current: RevisionId,
     },
-    /// It wants none on this connection any more.
+    /// Ends the subscription of this connection.
     Unsubscribe,
-    /// What became of a revision; said to all planners, at the beginning of a connection and after each update.
+    /// Whether a revision is in force or refused; sent to all planners, at the beginning of a connection and after each
+    /// update.
     Acknowledge(Acknowledgement),
-    /// First of all from another planner, in place of [`ToPlanner::Hello`]. Its messages follow; none go the other way.
+    /// The first message of another planner, in place of [`ToPlanner::Hello`]. Its agreement messages follow; none are
+    /// sent back on this connection.
     PeerHello {
-        /// The schema that it speaks.
+        /// The schema that it uses.
         schema: u16,
-        /// Its name.
+        /// The planner's name.
         planner: String,
     },
     /// A message of the agreement among planners, as [`crate::revisions::agreement::Action::Send`] gave it.
     Agreement(Vec<u8>),
-    /// First of all from an operator's command, in place of [`ToPlanner::Hello`]; answered with
+    /// The first message of an operator's command, in place of [`ToPlanner::Hello`]; answered with
     /// [`FromPlanner::OperatorReply`].
     Operator {
-        /// The schema that it speaks.
+        /// The schema that it uses.
         schema: u16,
-        /// What it asks for.
+        /// The operator's request.
         request: OperatorRequest,
     },
 }
 
-/// What an operator's command asks a planner for.
+/// A request of an operator's command.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum OperatorRequest {
-    /// Accept a document as the next revision.
+    /// Proposes a document as the next revision.
     Submit(Box<Proposal>),
-    /// An accepted revision; none: the newest.
+    /// Asks for an accepted revision; `None` means the newest.
     Show(Option<RevisionNumber>),
-    /// What the initiators hold.
+    /// Asks which revisions the initiators have in force.
     Status,
 }
 
-/// What a planner answers to an operator's command.
+/// A planner's answer to an operator's command.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum OperatorReply {
-    /// The proposal became this revision.
+    /// The proposal was accepted as this revision.
     Accepted(RevisionId),
-    /// It became none.
+    /// The proposal was not accepted.
     Refused(ProposalError),
-    /// The revision that was asked for; none: it is not kept, or there is none yet.
+    /// The requested revision; `None` if it is not kept, or if there is no revision yet.
     Revision(Option<Box<Revision>>),
-    /// What the planner knows.
+    /// The planner's status.
     Status(PlannerStatus),
-    /// Live configuration is not switched on at this planner.
+    /// Live configuration is disabled at this planner.
     Disabled,
 }
 
-/// What one planner knows of the live configuration.
+/// One planner's view of the live configuration.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PlannerStatus {
-    /// Its name.
+    /// The planner's name.
     pub planner: String,
     /// Whether a majority of the planners is in contact.
     pub quorum: bool,
@@ -106,15 +109,15 @@
     pub initiators: Vec<InitiatorStatus>,
 }
 
-/// From a planner.
+/// A message from a planner.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum FromPlanner {
-    /// The schema is spoken here, and things are dealt to so many partitions.
+    /// The schema is supported; volumes and nodes are hashed to this number of partitions.
     Welcome {
-        /// How many.
+        /// The number of partitions.
         partitions: u16,
     },
-    /// It is not, or something else is wrong; the connection ends.
+    /// The reason why the planner ends the connection, for example an unsupported schema.
     Refused(String),
     /// The partitions that this planner leads from now on.
     Leads(Vec<u16>),
@@ -125,34 +128,35 @@
         /// The plan.
         plan: Plan,
     },
-    /// A revision, or what changed up to it; to a subscriber.
+    /// A revision, or its difference from an earlier one; sent to subscribers.
     Update(Update),
-    /// Whether this planner is in contact with a majority of the planners: at the beginning and at each change. While it is
-    /// not, a subscriber may do better with another planner, and the age of what it holds grows.
+    /// Whether this planner is in contact with a majority of the planners; sent at the beginning and at each change. While
+    /// it is not, a subscriber may prefer another planner, and the age of its configuration grows.
     Quorum(bool),
     /// Answers an operator's command.
     OperatorReply(OperatorReply),
 }
 
-/// Adds a message to an output.
+/// Appends an encoded message to `output`.
 pub fn encode(message: &impl Serialize, output: &mut Vec<u8>) {
-    // Only a message with maps of unknown length cannot be put in this form, and there is none.
+    // Postcard fails only on sequences and maps of unknown length, and no message has any.
     let body = postcard::to_stdvec(message).unwrap_or_default();
     output.extend_from_slice(&(body.len() as u32).to_be_bytes());
     output.extend_from_slice(&body);
 }
 
-/// Takes a message off an input, once it is whole. An error means that the far side says something else.
+/// Removes the first message from `input`, once it is complete; `None` until then. Fails if the bytes are no such message
+/// or the message is too long.
 pub fn decode<M: DeserializeOwned>(input: &mut Vec<u8>) -> Result<Option<M>, String> {
     decode_bounded(input, MAX_MESSAGE_BYTES)
 }
 
-/// The same, where no longer message than so many bytes is awaited.
-pub fn decode_bounded<M: DeserializeOwned>(input: &mut Vec<u8>, most: usize) -> Result<Option<M>, String> {
-    let Some(head) = input.first_chunk::<LENGTH_BYTES>() else { return Ok(None) };
-    let length = u32::from_be_bytes(*head) as usize;
-    if length > most {
-        return Err(format!("a message of {length} bytes, at most {most} are allowed"));
+/// Like [`decode`], for messages of at most `limit` bytes.
+pub fn decode_bounded<M: DeserializeOwned>(input: &mut Vec<u8>, limit: usize) -> Result<Option<M>, String> {
+    let Some(length_bytes) = input.first_chunk::<LENGTH_BYTES>() else { return Ok(None) };
+    let length = u32::from_be_bytes(*length_bytes) as usize;
+    if length > limit {
+        return Err(format!("a message of {length} bytes, at most {limit} are allowed"));
     }
     let Some(body) = input.get(LENGTH_BYTES..LENGTH_BYTES + length) else { return Ok(None) };
     let message = postcard::from_bytes(body).map_err(|error| error.to_string())?;
--- a/src/planner/frame/tests/recorded.rs
+++ b/src/planner/frame/tests/recorded.rs
@@ -1,4 +1,5 @@
-//! Messages as the build before has written them: planners, initiators and operators' commands of both builds talk.
+//! Messages recorded from an earlier build: planners, initiators and operators' commands of both builds must understand
+//! each other.
 
 use super::*;
 use crate::fixtures::{hex, records};
@@ -8,17 +9,17 @@
 
 const TO_PLANNER: &str = include_str!("../../../../tests/fixtures/planner/to-planner.hex");
 const FROM_PLANNER: &str = include_str!("../../../../tests/fixtures/planner/from-planner.hex");
-/// The document in them, as operators write it, and its hash.
+/// The document in these messages, in TOML, and its hash.
 const DOCUMENT: &str = include_str!("../../../../tests/fixtures/revisions/document.toml");
 const HASH: &str = "275f2cd2d771be81f33e5bb4af0c76571d2b2e3ec0cb5613573df4ca97eedbd6";
-/// The hash of the document before.
-const OLDER: &str = "527f67c88cebb0bb4affc47830f58336dc89d814f244eca0f241ce0d35f7722d";
+/// The hash of the earlier document.
+const OLDER_HASH: &str = "527f67c88cebb0bb4affc47830f58336dc89d814f244eca0f241ce0d35f7722d";
 
 fn messages<M: DeserializeOwned>(text: &str) -> Vec<M> {
     records(text).into_iter().map(|(_, mut bytes)| decode(&mut bytes).unwrap().unwrap()).collect()
 }
 
-fn read_and_write<M: DeserializeOwned + Serialize>(text: &str) {
+fn assert_round_trip<M: DeserializeOwned + Serialize>(text: &str) {
     for (name, bytes) in records(text) {
         let mut input = bytes.clone();
         let message = decode::<M>(&mut input).unwrap().unwrap();
@@ -31,19 +32,19 @@
     }
 }
 
-fn is(id: &RevisionId, number: u64, hash: &str) -> bool {
+fn has_id(id: &RevisionId, number: u64, hash: &str) -> bool {
     id.number.0 == number && id.hash.to_string() == hash
 }
 
 #[test]
 fn recorded_messages_are_read_and_written_back_unchanged() {
     assert_eq!((SCHEMA, LENGTH_BYTES), (2, 4));
-    read_and_write::<ToPlanner>(TO_PLANNER);
-    read_and_write::<FromPlanner>(FROM_PLANNER);
+    assert_round_trip::<ToPlanner>(TO_PLANNER);
+    assert_round_trip::<FromPlanner>(FROM_PLANNER);
 }
 
 #[test]
-fn recorded_messages_to_planners_mean_what_they_meant() {
+fn recorded_messages_to_planners_decode_to_the_recorded_values() {
     let all = messages::<ToPlanner>(TO_PLANNER);
     let [ToPlanner::Hello { schema: 2, forwarder }, ToPlanner::Report { partition: 11, report }, ToPlanner::Report { partition: 12, report: first }, ToPlanner::Alive, ToPlanner::Subscribe { current }, ToPlanner::Unsubscribe, ToPlanner::Acknowledge(in_force), ToPlanner::Acknowledge(refused), ToPlanner::PeerHello { schema: 2, planner }, ToPlanner::Agreement(agreement), ToPlanner::Operator { schema: 2, request: OperatorRequest::Submit(proposal) }, ToPlanner::Operator { schema: 2, request: OperatorRequest::Show(None) }, ToPlanner::Operator { schema: 2, request: OperatorRequest::Show(Some(RevisionNumber(300))) }, ToPlanner::Operator { schema: 2, request: OperatorRequest::Status }] =
         &all[..]
@@ -53,11 +54,11 @@
     assert_eq!((forwarder.as_str(), planner.as_str()), ("n1", "p1"));
     assert_eq!(agreement, &[1, 2, 3, 255]);
     assert_eq!(*current, RevisionId::none());
-    assert!(is(&in_force.id, 7, HASH) && in_force.outcome == AcknowledgementOutcome::InForce);
+    assert!(has_id(&in_force.id, 7, HASH) && in_force.outcome == AcknowledgementOutcome::InForce);
     let why = "plans.x: none".to_string();
-    assert!(is(&refused.id, 7, HASH) && refused.outcome == AcknowledgementOutcome::Refused(why));
+    assert!(has_id(&refused.id, 7, HASH) && refused.outcome == AcknowledgementOutcome::Refused(why));
     assert_eq!(proposal.id.0, 0x1234_5678_9abc_def0_1122_3344_5566_7788);
-    assert!(is(&proposal.expected, 6, OLDER), "{:?}", proposal.expected);
+    assert!(has_id(&proposal.expected, 6, OLDER_HASH), "{:?}", proposal.expected);
     assert_eq!((proposal.author.as_str(), proposal.submitted_ms), ("operator", 1_700_000_000_123));
     assert_eq!(proposal.document.to_toml(), DOCUMENT);
 
@@ -72,12 +73,13 @@
     let demands: Vec<_> = report.demands.iter().map(|it| (it.resource, it.even_share.0, it.wanted)).collect();
     assert_eq!(demands, [(Resource::Limit(301), 500_000, 0.75), (Resource::SlowStart(302), 250_000, 1.5)]);
     let millis = Duration::from_millis;
-    let probed: Vec<_> = report.probe_results.iter().map(|it| (it.node, it.response_time, it.age)).collect();
-    assert_eq!(probed, [(2001, Some(millis(21)), millis(22)), (2002, None, millis(23))]);
+    let probe_results: Vec<_> =
+        report.probe_results.iter().map(|it| (it.node, it.response_time, it.age)).collect();
+    assert_eq!(probe_results, [(2001, Some(millis(21)), millis(22)), (2002, None, millis(23))]);
 }
 
 #[test]
-fn recorded_plans_and_updates_mean_what_they_meant() {
+fn recorded_plans_and_updates_decode_to_the_recorded_values() {
     let all = messages::<FromPlanner>(FROM_PLANNER);
     let [FromPlanner::Welcome { partitions: 16 }, FromPlanner::Refused(why), FromPlanner::Leads(leads), FromPlanner::Plan { partition: 11, plan }, FromPlanner::Plan { partition: 12, plan: empty }, FromPlanner::Update(whole), FromPlanner::Update(changes), FromPlanner::Quorum(true), FromPlanner::Quorum(false), ..] =
         &all[..]
@@ -96,18 +98,18 @@
     assert_eq!(hints, [(2001, Some(millis(21)), millis(22)), (2002, None, millis(23))]);
     assert!(empty.probes.is_none() && empty.moves.is_empty() && empty.hints.is_empty());
     let UpdateContent::Whole(document) = &whole.content else { panic!("{whole:?}") };
-    assert!(is(&whole.id, 7, HASH) && is(&changes.id, 7, HASH));
+    assert!(has_id(&whole.id, 7, HASH) && has_id(&changes.id, 7, HASH));
     assert_eq!((document.to_toml().as_str(), document.hash().to_string().as_str()), (DOCUMENT, HASH));
     let UpdateContent::Changes { base, delta } = &changes.content else { panic!("{changes:?}") };
-    assert!(is(base, 6, OLDER), "{base:?}");
+    assert!(has_id(base, 6, OLDER_HASH), "{base:?}");
     let older = "nodes_out = [\"s-1\", \"s-9\"]\n[plans.gone]\nbase_rate = 1.0\n[costs]\nlargest = 3.0\n";
     let older = crate::revisions::document::Document::parse(older).unwrap();
-    assert_eq!(older.hash().to_string(), OLDER);
+    assert_eq!(older.hash().to_string(), OLDER_HASH);
     assert_eq!(delta.apply(&older).to_toml(), DOCUMENT);
 }
 
 #[test]
-fn recorded_answers_to_operators_mean_what_they_meant() {
+fn recorded_answers_to_operators_decode_to_the_recorded_values() {
     let all = messages::<FromPlanner>(FROM_PLANNER);
     let reply = |message: &FromPlanner| match message {
         FromPlanner::OperatorReply(reply) => Some(reply.clone()),
@@ -120,17 +122,17 @@
         panic!("{replies:?}")
     };
     assert_eq!(replies.len() + 9, all.len());
-    assert!(is(accepted, 7, HASH) && is(newest, 7, HASH) && is(&revision.id, 7, HASH));
+    assert!(has_id(accepted, 7, HASH) && has_id(newest, 7, HASH) && has_id(&revision.id, 7, HASH));
     assert_eq!(invalid, "limits.attempts_cap: 1 to 100");
     assert_eq!((revision.author.as_str(), revision.submitted_ms), ("operator", 1_700_000_000_123));
     assert_eq!(revision.document.to_toml(), DOCUMENT);
     assert_eq!((status.planner.as_str(), status.leader.as_deref()), ("p1", Some("p2")));
-    assert!(status.quorum && is(&status.newest, 7, HASH));
+    assert!(status.quorum && has_id(&status.newest, 7, HASH));
     let [one, other] = &status.initiators[..] else { panic!("{status:?}") };
     assert_eq!((one.initiator.as_str(), one.connected, one.silent_ms), ("n1", true, 0));
-    assert!(is(&one.in_force, 7, HASH) && one.refused.is_none());
+    assert!(has_id(&one.in_force, 7, HASH) && one.refused.is_none());
     assert_eq!((other.initiator.as_str(), other.connected, other.silent_ms), ("n2", false, 5000));
     let (refused, why) = other.refused.as_ref().unwrap();
-    assert!(is(&other.in_force, 6, OLDER) && is(refused, 7, HASH) && why == "plans.x: none");
+    assert!(has_id(&other.in_force, 6, OLDER_HASH) && has_id(refused, 7, HASH) && why == "plans.x: none");
     assert!(!alone.quorum && alone.leader.is_none() && alone.initiators.is_empty());
 }
--- a/src/planner/operator.rs
+++ b/src/planner/operator.rs
@@ -1,7 +1,8 @@
-//! The operators' side of live configuration: asks planners, one connection a question, blocking and with time-outs.
+//! The operators' side of live configuration: sends requests to planners, each on a connection of its own, with blocking
+//! I/O and timeouts.
 //!
-//! Planners are tried in turn. A proposal whose outcome is not known is asked for again under the same id, never under a new
-//! one, so that it becomes one revision at most.
+//! Planners are tried one after the other. A proposal whose outcome is unknown is sent again under the same id, never under
+//! a new one, so that it becomes at most one revision.
 
 use super::frame::{self, FromPlanner, OperatorReply, OperatorRequest, PlannerStatus, ToPlanner, SCHEMA};
 use crate::revisions::agreement::{Proposal, ProposalError, ProposalId};
@@ -17,34 +18,34 @@
 pub mod fleet;
 pub mod text;
 
-/// A planner that does not take a connection within this time is out of reach.
+/// A planner that does not accept a connection within this time is unreachable.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long a planner may take to decide a proposal: longer than it waits for the others there.
+/// Timeout for the decision on a proposal: longer than a planner waits for the other planners.
 const DECISION_TIMEOUT: Duration = Duration::from_secs(7);
-/// How long a planner may take to answer any other question.
+/// Timeout for the answer to any other request.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long a proposal is asked for as a rule, at all planners in turn: longer than the replacement of a leader takes.
-pub const SUBMIT_WITHIN: Duration = Duration::from_secs(8);
-/// The pause between two rounds of asking.
-const PAUSE: Duration = Duration::from_millis(200);
-/// What is read at once.
-const READ_BYTES: usize = 64 * 1024;
+/// Default time for which a proposal is retried at all planners: longer than the replacement of a leader takes.
+pub const SUBMIT_TIMEOUT: Duration = Duration::from_secs(8);
+/// The pause between two rounds over all planners.
+const RETRY_PAUSE: Duration = Duration::from_millis(200);
+/// Size of the read buffer.
+const READ_BUFFER_BYTES: usize = 64 * 1024;
 
-/// Why a command did not do what it was asked for: one line.
+/// Why a command failed. Each reason is one line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// It was refused: a conflict, or a document that can't be accepted.
+    /// The proposal was refused: a conflict, or a document that can't be accepted.
     Refused(String),
-    /// Its arguments or files can't be used.
+    /// Arguments or files are unusable.
     Usage(String),
-    /// It is not decided: no quorum, an unknown outcome, or planners out of reach.
+    /// The proposal is not decided: no quorum, an unknown outcome, or unreachable planners.
     Undecided(String),
-    /// It is not in force everywhere in time.
+    /// The revision was not in force everywhere in time.
     NotInForce(String),
 }
 
 impl Failure {
-    /// The exit code that says so.
+    /// The exit code for this failure.
     pub fn exit_code(&self) -> u8 {
         match self {
             Failure::Refused(_) => 1,
@@ -70,37 +71,37 @@
 /// Why a planner gave no answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AskError {
-    /// It was not asked: there is no connection, or it refuses to talk.
-    NotAsked(String),
-    /// It was asked, and what it did is not known.
+    /// The request was not handled: there is no connection, or the planner refuses it.
+    NotSent(String),
+    /// The request was sent, and whether it was handled is unknown.
     NoAnswer(String),
 }
 
 impl fmt::Display for AskError {
     fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
-        let (AskError::NotAsked(why) | AskError::NoAnswer(why)) = self;
+        let (AskError::NotSent(why) | AskError::NoAnswer(why)) = self;
         formatter.write_str(why)
     }
 }
 
-/// Which revision the author of a proposal saw.
+/// The revision that the author of a proposal expects to be the newest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Expected {
-    /// The newest, whichever it is.
+    /// Whichever is the newest.
     Latest,
-    /// The one with this number.
+    /// The revision with this number.
     Number(RevisionNumber),
 }
 
-/// The planners that commands ask.
+/// The planners that commands are sent to.
 #[derive(Clone, Debug)]
 pub struct Planners {
-    /// Where they listen.
+    /// The addresses where they listen.
     pub addresses: Vec<SocketAddr>,
 }
 
 impl Planners {
-    /// The newest accepted revision that any planner in reach knows; none before the first.
+    /// The newest accepted revision that any reachable planner knows; `None` before the first.
     ///
     /// # Errors
     ///
@@ -110,7 +111,7 @@
         Ok(newest)
     }
 
-    /// An accepted revision; none: no planner in reach keeps it.
+    /// An accepted revision; `None` if no reachable planner keeps it.
     ///
     /// # Errors
     ///
@@ -133,12 +134,13 @@
         Ok(revision.ok_or_else(missing)?.document)
     }
 
-    /// Submits a document as the next revision. Planners are asked for the decision in turn, `within` this time and once each
-    /// at least.
+    /// Submits a document as the next revision. The planners are asked one after the other until one has the decision, for
+    /// the time `within`, but each at least once.
     ///
     /// # Errors
     ///
-    /// It is refused, or not decided: then it may still be accepted, where the line says that it is not known.
+    /// The document is refused, or it is not decided. In the latter case it may still be accepted if the message says that
+    /// the outcome is not known.
     pub fn submit(
         &self,
         document: Document,
@@ -149,22 +151,24 @@
         super::configuration::check_author(author).map_err(Failure::Usage)?;
         document.check().map_err(|error| Failure::Refused(error.to_string()))?;
         let expected = self.expected(expected)?;
-        // The planner that takes it says when that is.
+        // The planner that receives the proposal sets its time.
         let (id, author, submitted_ms) = (proposal_id(), author.to_string(), 0);
         let proposal = Proposal { id, expected, author, submitted_ms, document };
         let request = OperatorRequest::Submit(Box::new(proposal));
         let start = Instant::now();
-        let mut round = Round::default();
+        let mut submission = Submission::default();
         loop {
             for address in &self.addresses {
-                if let Some(outcome) = round.hear(*address, ask(*address, &request, DECISION_TIMEOUT)) {
+                if let Some(outcome) =
+                    submission.record_answer(*address, ask(*address, &request, DECISION_TIMEOUT))
+                {
                     return outcome;
                 }
             }
-            if start.elapsed() >= within || round.is_hopeless() {
-                return Err(round.failure(expected));
+            if start.elapsed() >= within || submission.is_hopeless() {
+                return Err(submission.failure(expected));
             }
-            std::thread::sleep(PAUSE);
+            std::thread::sleep(RETRY_PAUSE);
         }
     }
 
@@ -188,7 +192,7 @@
         }
     }
 
-    /// What each planner in reach answers, where it has such a revision.
+    /// The revision as each reachable planner has it; planners without it are left out.
     fn show(&self, number: Option<RevisionNumber>) -> Result<Vec<Revision>, Failure> {
         let answers = self.ask_all(&OperatorRequest::Show(number));
         let mut found = Vec::new();
@@ -196,7 +200,7 @@
         for (address, answer) in answers {
             match answer {
                 Ok(OperatorReply::Revision(revision)) => found.extend(revision.map(|it| *it)),
-                other => failures.push(format!("{address}: {}", unusable(other))),
+                other => failures.push(format!("{address}: {}", failure_reason(other))),
             }
         }
         if failures.len() == self.addresses.len() {
@@ -205,17 +209,17 @@
         Ok(found)
     }
 
-    /// What each planner knows, or why it does not say.
+    /// The status of each planner, or why there is none.
     pub fn status(&self) -> Vec<(SocketAddr, Result<PlannerStatus, String>)> {
         let status = |answer| match answer {
             Ok(OperatorReply::Status(status)) => Ok(status),
-            other => Err(unusable(other)),
+            other => Err(failure_reason(other)),
         };
         let answers = self.ask_all(&OperatorRequest::Status).into_iter();
         answers.map(|(address, answer)| (address, status(answer))).collect()
     }
 
-    /// Asks all at the same time: one that does not answer holds up nobody.
+    /// Sends a request to all planners concurrently, so that a planner that does not answer delays no other.
     fn ask_all(&self, request: &OperatorRequest) -> Vec<(SocketAddr, Result<OperatorReply, AskError>)> {
         std::thread::scope(|scope| {
             let ask = |address: SocketAddr| scope.spawn(move || ask(address, request, ANSWER_TIMEOUT));
@@ -223,27 +227,27 @@
             let answer = |answer: std::thread::ScopedJoinHandle<Result<OperatorReply, AskError>>| {
                 answer
                     .join()
-                    .unwrap_or_else(|_| Err(AskError::NoAnswer("it was not asked to the end".into())))
+                    .unwrap_or_else(|_| Err(AskError::NoAnswer("the request was not completed".into())))
             };
             asked.into_iter().map(|(address, asked)| (address, answer(asked))).collect()
         })
     }
 }
 
-/// What came of asking for a proposal so far.
+/// The answers to a proposal so far.
 #[derive(Default)]
-struct Round {
-    /// It was passed on somewhere, and may be accepted.
-    is_unknown: bool,
-    /// Some planner may still pass it on.
-    may_go_on: bool,
-    /// What planners answered last, by address.
+struct Submission {
+    /// Some planner may have passed the proposal on, so it may be accepted.
+    outcome_unknown: bool,
+    /// Some planner may still pass the proposal on.
+    can_retry: bool,
+    /// Each planner's last answer, by address.
     answers: Vec<(SocketAddr, String)>,
 }
 
-impl Round {
-    /// The end of it, where that was an answer.
-    fn hear(
+impl Submission {
+    /// Records an answer. Returns the outcome if the answer decides the proposal.
+    fn record_answer(
         &mut self,
         address: SocketAddr,
         answer: Result<OperatorReply, AskError>,
@@ -257,34 +261,34 @@
                 return Some(Err(Failure::Refused(why)))
             }
             Ok(OperatorReply::Refused(ProposalError::NoQuorum)) => {
-                self.may_go_on = true;
+                self.can_retry = true;
                 "no quorum".to_string()
             }
             Ok(OperatorReply::Refused(ProposalError::Busy)) => {
-                self.may_go_on = true;
-                "too many proposals wait there".to_string()
+                self.can_retry = true;
+                "too many proposals are pending there".to_string()
             }
             Ok(OperatorReply::Refused(ProposalError::Unknown)) | Err(AskError::NoAnswer(_)) => {
-                (self.is_unknown, self.may_go_on) = (true, true);
+                (self.outcome_unknown, self.can_retry) = (true, true);
                 "not known".to_string()
             }
-            other => unusable(other),
+            other => failure_reason(other),
         };
         self.answers.retain(|(other, _)| *other != address);
         self.answers.push((address, text));
         None
     }
 
-    /// Whether nobody was there to ask.
+    /// Whether no planner could handle the proposal, so that a retry is useless.
     fn is_hopeless(&self) -> bool {
-        !self.may_go_on
+        !self.can_retry
     }
 
     fn failure(&self, expected: RevisionId) -> Failure {
         let answers: Vec<String> =
             self.answers.iter().map(|(address, text)| format!("{address}: {text}")).collect();
         let answers = answers.join("; ");
-        if self.is_unknown {
+        if self.outcome_unknown {
             let next = expected.number.next();
             return Failure::Undecided(format!(
                 "not known whether it was accepted, look for revision {next} before it is submitted again: {answers}"
@@ -294,40 +298,36 @@
     }
 }
 
-/// Asks one planner, and waits so long for its answer.
-fn ask(
-    address: SocketAddr,
-    request: &OperatorRequest,
-    patience: Duration,
-) -> Result<OperatorReply, AskError> {
-    let not_asked = |error: io::Error| AskError::NotAsked(error.to_string());
-    let mut stream = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT).map_err(not_asked)?;
-    stream.set_write_timeout(Some(patience)).map_err(not_asked)?;
+/// Sends a request to one planner and waits for the answer, at most for `timeout`.
+fn ask(address: SocketAddr, request: &OperatorRequest, timeout: Duration) -> Result<OperatorReply, AskError> {
+    let not_sent = |error: io::Error| AskError::NotSent(error.to_string());
+    let mut stream = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT).map_err(not_sent)?;
+    stream.set_write_timeout(Some(timeout)).map_err(not_sent)?;
     let mut output = Vec::new();
     frame::encode(&ToPlanner::Operator { schema: SCHEMA, request: request.clone() }, &mut output);
     let no_answer = |error: io::Error| AskError::NoAnswer(error.to_string());
     stream.write_all(&output).map_err(no_answer)?;
-    match receive(&mut stream, patience)? {
+    match receive(&mut stream, timeout)? {
         FromPlanner::OperatorReply(reply) => Ok(reply),
-        FromPlanner::Refused(why) => Err(AskError::NotAsked(why)),
-        _ => Err(AskError::NotAsked("it says what is not for an operator".into())),
+        FromPlanner::Refused(why) => Err(AskError::NotSent(why)),
+        _ => Err(AskError::NotSent("it sent a message that is not for an operator".into())),
     }
 }
 
-/// One whole message, within this time.
-fn receive(stream: &mut TcpStream, patience: Duration) -> Result<FromPlanner, AskError> {
+/// Receives one complete message within `timeout`.
+fn receive(stream: &mut TcpStream, timeout: Duration) -> Result<FromPlanner, AskError> {
     let no_answer = |error: io::Error| AskError::NoAnswer(error.to_string());
-    let until = Instant::now() + patience;
-    let (mut input, mut bytes) = (Vec::new(), vec![0; READ_BYTES]);
+    let deadline = Instant::now() + timeout;
+    let (mut input, mut bytes) = (Vec::new(), vec![0; READ_BUFFER_BYTES]);
     loop {
         if let Some(message) = frame::decode(&mut input).map_err(AskError::NoAnswer)? {
             return Ok(message);
         }
-        let left = until.saturating_duration_since(Instant::now());
-        if left.is_zero() {
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        if remaining.is_zero() {
             return Err(AskError::NoAnswer("no answer in time".into()));
         }
-        stream.set_read_timeout(Some(left)).map_err(no_answer)?;
+        stream.set_read_timeout(Some(remaining)).map_err(no_answer)?;
         match stream.read(&mut bytes) {
             Ok(0) => return Err(AskError::NoAnswer("it closed".into())),
             Ok(count) => input.extend_from_slice(&bytes[..count]),
@@ -342,20 +342,20 @@
     matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut)
 }
 
-/// Why an answer is none to the question.
-fn unusable(answer: Result<OperatorReply, AskError>) -> String {
+/// Why an answer can't be used.
+fn failure_reason(answer: Result<OperatorReply, AskError>) -> String {
     match answer {
         Ok(OperatorReply::Disabled) => "live configuration is off there".into(),
-        Ok(_) => "it answers something else".into(),
+        Ok(_) => "it sent another answer than requested".into(),
         Err(error) => error.to_string(),
     }
 }
 
-/// An id that no other proposal has: 128 bits that the system draws.
+/// A unique proposal id: 128 random bits.
 fn proposal_id() -> ProposalId {
-    // Each state has keys of the system's random source.
-    let draw = || u128::from(RandomState::new().build_hasher().finish());
-    ProposalId(draw() << 64 | draw())
+    // The keys of each `RandomState` come from the system's random source.
+    let random_bits = || u128::from(RandomState::new().build_hasher().finish());
+    ProposalId(random_bits() << 64 | random_bits())
 }
 
 #[cfg(test)]
--- a/src/planner/operator/fleet.rs
+++ b/src/planner/operator/fleet.rs
@@ -1,4 +1,4 @@
-//! What all planners in reach know of the initiators, taken together.
+//! The live configuration over the whole fleet, merged from the status of all reachable planners.
 
 use super::{Failure, Planners};
 use crate::planner::frame::PlannerStatus;
@@ -10,17 +10,17 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// The pause between two looks.
-const PAUSE: Duration = Duration::from_millis(200);
-/// An initiator that was connected so short a time ago counts as one that is: its connection may only have broken.
+/// The pause between two queries while waiting.
+const POLL_PAUSE: Duration = Duration::from_millis(200);
+/// An initiator that was connected within this time counts as connected: it may only be reconnecting.
 const RECENT: Duration = Duration::from_secs(3);
-/// Initiators that are named in one line; of more only the number is told.
-const MOST_NAMED: usize = 20;
+/// Initiators named in one line; of the rest only the number is printed.
+const MAX_NAMED: usize = 20;
 
 /// The live configuration over the whole fleet, as far as planners answer.
 #[derive(Clone, Debug)]
 pub struct Fleet {
-    /// What each planner says, or why it does not.
+    /// The status of each planner, or why there is none.
     pub planners: Vec<(SocketAddr, Result<PlannerStatus, String>)>,
     /// The newest accepted revision that any of them knows.
     pub newest: RevisionId,
@@ -28,23 +28,23 @@
     pub initiators: Vec<InitiatorStatus>,
 }
 
-/// How far a revision has come, at the initiators that are connected or were until a moment ago.
+/// How far a revision is rolled out to the initiators that are connected or were until recently.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Progress {
-    /// Initiators where it, or a later one, is in force.
+    /// Number of initiators where it, or a later one, is in force.
     pub in_force: usize,
-    /// Initiators where it is not, and may come to be.
+    /// Initiators where it is not in force yet.
     pub missing: Vec<String>,
     /// Initiators that refuse it, and why.
     pub refused: Vec<(String, String)>,
 }
 
 impl Fleet {
-    /// Asks all planners.
+    /// Queries all planners.
     ///
     /// # Errors
     ///
-    /// None answers.
+    /// No planner answers.
     pub fn query(planners: &Planners) -> Result<Fleet, Failure> {
         let fleet = Fleet::from_statuses(planners.status());
         if fleet.planners.iter().all(|(_, status)| status.is_err()) {
@@ -57,7 +57,7 @@
         Ok(fleet)
     }
 
-    /// Takes together what planners say.
+    /// Merges the status of all planners.
     pub fn from_statuses(planners: Vec<(SocketAddr, Result<PlannerStatus, String>)>) -> Fleet {
         let mut newest = RevisionId::none();
         let mut initiators: BTreeMap<String, InitiatorStatus> = BTreeMap::new();
@@ -75,16 +75,16 @@
         Fleet { planners, newest, initiators: initiators.into_values().collect() }
     }
 
-    /// How far a revision has come.
+    /// How far a revision is rolled out.
     pub fn progress(&self, number: RevisionNumber) -> Progress {
         let mut progress = Progress::default();
-        let counts = |initiator: &&InitiatorStatus| {
+        let is_counted = |initiator: &&InitiatorStatus| {
             initiator.connected || Duration::from_millis(initiator.silent_ms) < RECENT
         };
-        for initiator in self.initiators.iter().filter(counts) {
+        for initiator in self.initiators.iter().filter(is_counted) {
             let name = initiator.initiator.clone();
             match &initiator.refused {
-                _ if initiator.in_force.number >= number && self.knows(initiator.in_force) => {
+                _ if initiator.in_force.number >= number && self.may_be_accepted(initiator.in_force) => {
                     progress.in_force += 1
                 }
                 Some((refused, why)) if refused.number >= number => {
@@ -96,12 +96,13 @@
         progress
     }
 
-    /// Whether a revision may be one that these planners accepted. An initiator may hold one of planners before them.
-    fn knows(&self, revision: RevisionId) -> bool {
+    /// Whether a revision may be one that these planners accepted. An initiator may still have one of an earlier group of
+    /// planners.
+    fn may_be_accepted(&self, revision: RevisionId) -> bool {
         revision.number < self.newest.number || revision == self.newest
     }
 
-    /// Lines for people.
+    /// The status as lines of text.
     pub fn text(&self) -> String {
         let mut text = String::new();
         // Writing to a string can't fail.
@@ -145,30 +146,31 @@
             planners: self.planners.iter().map(planner).collect(),
             initiators: self.initiators.iter().map(initiator).collect(),
         };
-        // Nothing in it can fail to be written.
+        // Serialization of these types can't fail.
         serde_json::to_string(&fleet).unwrap_or_default()
     }
 }
 
-/// Waits until a revision, or the newest, is in force at every connected initiator. Returns its id, and at how many.
+/// Waits until a revision, or the newest, is in force at every connected initiator. Returns its number, and the number of
+/// initiators where it is in force.
 ///
 /// # Errors
 ///
-/// [`Failure::NotInForce`] when time is up, or nobody is left but those that refuse it; [`Failure::Undecided`] where no
-/// planner answers then.
+/// [`Failure::NotInForce`] when the time is over, or when only initiators that refuse it are left; [`Failure::Undecided`]
+/// if no planner answers when the time is over.
 pub fn wait(
     planners: &Planners,
     number: Option<RevisionNumber>,
-    patience: Duration,
+    timeout: Duration,
 ) -> Result<(RevisionNumber, usize), Failure> {
-    let until = Instant::now() + patience;
-    let mut wanted = number;
+    let deadline = Instant::now() + timeout;
+    let mut target = number;
     loop {
         let failure = match Fleet::query(planners) {
             Err(failure) => failure,
             Ok(fleet) => {
-                // What is the newest at the beginning is waited for, not what comes later.
-                let number = *wanted.get_or_insert(fleet.newest.number);
+                // Without a number, the revision that is the newest at the first query is waited for, not later ones.
+                let number = *target.get_or_insert(fleet.newest.number);
                 let progress = fleet.progress(number);
                 let accepted = fleet.newest.number >= number;
                 if accepted && progress.missing.is_empty() && progress.refused.is_empty() {
@@ -181,10 +183,10 @@
                 failure
             }
         };
-        if Instant::now() >= until {
+        if Instant::now() >= deadline {
             return Err(failure);
         }
-        std::thread::sleep(PAUSE.min(until.saturating_duration_since(Instant::now())));
+        std::thread::sleep(POLL_PAUSE.min(deadline.saturating_duration_since(Instant::now())));
     }
 }
 
@@ -195,44 +197,45 @@
         }
         let mut parts = vec![format!("revision {number} is in force at {}", self.in_force)];
         if !self.missing.is_empty() {
-            parts.push(format!("missing at {}: {}", self.missing.len(), named(&self.missing)));
+            parts.push(format!("missing at {}: {}", self.missing.len(), format_names(&self.missing)));
         }
         if !self.refused.is_empty() {
             let refused: Vec<String> =
                 self.refused.iter().map(|(name, why)| format!("{name} ({why})")).collect();
-            parts.push(format!("refused by {}: {}", refused.len(), named(&refused)));
+            parts.push(format!("refused by {}: {}", refused.len(), format_names(&refused)));
         }
         parts.join("; ")
     }
 }
 
-fn named(names: &[String]) -> String {
-    let beyond = names.len().saturating_sub(MOST_NAMED);
-    let named = names[..names.len() - beyond].join(", ");
-    if beyond == 0 {
-        return named;
+fn format_names(names: &[String]) -> String {
+    let omitted = names.len().saturating_sub(MAX_NAMED);
+    let listed = names[..names.len() - omitted].join(", ");
+    if omitted == 0 {
+        return listed;
     }
-    format!("{named} and {beyond} more")
+    format!("{listed} and {omitted} more")
 }
 
-/// Takes what another planner says of an initiator. One that is connected knows better than one that is not; of two that are,
-/// the one with less in force is believed, so that nothing is said to be in force too early.
+/// Merges another planner's status of an initiator. A planner that is connected to it takes precedence over one that is
+/// not; of two that are connected, the one with the older revision in force does, so that a revision is never reported as
+/// in force too early.
 fn merge(known: &mut InitiatorStatus, other: &InitiatorStatus) {
     let is_behind = other.in_force.number < known.in_force.number;
-    let is_better = match (known.connected, other.connected) {
+    let replace = match (known.connected, other.connected) {
         (true, true) => is_behind,
         (false, false) => other.silent_ms < known.silent_ms,
         (known, _) => !known,
     };
-    let refused = later(known.refused.take(), other.refused.clone());
-    if is_better {
+    let refused = newer_refusal(known.refused.take(), other.refused.clone());
+    if replace {
         *known = other.clone();
     }
     known.refused = refused;
 }
 
 /// The refusal of the later revision.
-fn later(
+fn newer_refusal(
     one: Option<(RevisionId, String)>,
     other: Option<(RevisionId, String)>,
 ) -> Option<(RevisionId, String)> {
--- a/src/planner/operator/fleet/tests.rs
+++ b/src/planner/operator/fleet/tests.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn planners_that_are_connected_are_believed_and_of_those_the_one_with_less_in_force() {
+fn connected_planners_take_precedence_and_among_them_the_older_revision_in_force() {
     let one = vec![initiator("a", true, 5, None), initiator("b", false, 9, None)];
     let other = vec![initiator("a", true, 4, None), initiator("b", true, 3, None)];
     for statuses in [vec![(5, one.clone()), (4, other.clone())], vec![(4, other), (5, one)]] {
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn progress_names_who_is_missing_and_who_refuses_and_leaves_out_who_is_away() {
+fn progress_lists_missing_and_refusing_initiators_and_omits_disconnected_ones() {
     let all = vec![
         initiator("a", true, 5, None),
         initiator("b", true, 4, None),
@@ -49,12 +49,12 @@
     assert_eq!(progress.missing, ["b"]);
     assert_eq!(progress.refused, [("c".to_string(), "plans.x: it has none".to_string())]);
     let text = progress.text(RevisionNumber(5), true);
-    let wanted = "revision 5 is in force at 2; missing at 1: b; refused by 1: c (plans.x: it has none)";
-    assert_eq!(text, wanted);
+    let expected = "revision 5 is in force at 2; missing at 1: b; refused by 1: c (plans.x: it has none)";
+    assert_eq!(text, expected);
 }
 
 #[test]
-fn an_initiator_whose_connection_has_just_broken_is_waited_for() {
+fn a_recently_disconnected_initiator_counts_as_missing() {
     let mut broken = initiator("a", false, 4, None);
     broken.silent_ms = 2999;
     assert_eq!(fleet(vec![(5, vec![broken.clone()])]).progress(RevisionNumber(5)).missing, ["a"]);
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_revision_that_these_planners_never_accepted_is_not_in_force() {
+fn a_revision_unknown_to_these_planners_does_not_count_as_in_force() {
     let mut foreign = initiator("a", true, 5, None);
     foreign.in_force.hash.0[0] ^= 1;
     let all = vec![foreign, initiator("b", true, 5, None), initiator("c", true, 6, None)];
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_refusal_that_one_planner_knows_is_shown() {
+fn a_refusal_known_to_one_planner_is_shown() {
     let one = vec![initiator("a", true, 4, Some(5))];
     let other = vec![initiator("a", true, 4, None)];
     for statuses in [vec![(5, one.clone()), (5, other.clone())], vec![(5, other), (5, one)]] {
@@ -86,14 +86,14 @@
 }
 
 #[test]
-fn a_long_line_names_some_and_counts_the_rest() {
+fn a_long_list_of_names_is_cut_with_the_number_of_the_rest() {
     let names: Vec<String> = (0..23).map(|number| format!("f-{number}")).collect();
-    assert!(named(&names).ends_with("f-19 and 3 more"), "{}", named(&names));
+    assert!(format_names(&names).ends_with("f-19 and 3 more"), "{}", format_names(&names));
 }
 
-/// Operators' programs read them.
+/// Operators' programs parse these outputs.
 #[test]
-fn text_and_json_of_a_fleet_are_written_as_they_were() {
+fn text_and_json_of_a_fleet_match_the_recorded_reports() {
     let fleet = fleet(vec![(5, vec![initiator("a", true, 5, None), initiator("b", false, 4, Some(5))])]);
     assert_eq!(fleet.text(), include_str!("../../../../tests/fixtures/reports/planner-fleet.txt"));
     assert_eq!(fleet.json() + "\n", include_str!("../../../../tests/fixtures/reports/planner-fleet.json"));
--- a/src/planner/operator/tests.rs
+++ b/src/planner/operator/tests.rs
@@ -37,29 +37,31 @@
 }
 
 #[test]
-fn ids_of_proposals_differ() {
+fn proposal_ids_are_unique() {
     let ids: std::collections::BTreeSet<ProposalId> = (0..1000).map(|_| proposal_id()).collect();
     assert_eq!(ids.len(), 1000);
 }
 
 #[test]
-fn an_outcome_that_was_unknown_once_is_never_said_to_be_none() {
-    let mut round = Round::default();
-    assert!(round.hear(address(), Err(AskError::NoAnswer("it closed".into()))).is_none());
-    assert!(round.hear(address(), Ok(OperatorReply::Refused(ProposalError::NoQuorum))).is_none());
-    assert!(!round.is_hopeless());
-    let failure = round.failure(RevisionId::none());
+fn an_unknown_outcome_stays_unknown_after_later_answers() {
+    let mut submission = Submission::default();
+    assert!(submission.record_answer(address(), Err(AskError::NoAnswer("it closed".into()))).is_none());
+    assert!(submission
+        .record_answer(address(), Ok(OperatorReply::Refused(ProposalError::NoQuorum)))
+        .is_none());
+    assert!(!submission.is_hopeless());
+    let failure = submission.failure(RevisionId::none());
     assert_eq!(failure.exit_code(), 3);
     assert!(failure.to_string().starts_with("not known whether it was accepted, look for revision 1"));
 }
 
 #[test]
-fn without_any_planner_nothing_is_repeated() {
-    let mut round = Round::default();
-    assert!(round.hear(address(), Err(AskError::NotAsked("refused".into()))).is_none());
-    assert!(round.hear(address(), Ok(OperatorReply::Disabled)).is_none());
-    assert!(round.is_hopeless());
-    let failure = round.failure(RevisionId::none());
+fn a_proposal_is_not_retried_if_no_planner_can_handle_it() {
+    let mut submission = Submission::default();
+    assert!(submission.record_answer(address(), Err(AskError::NotSent("refused".into()))).is_none());
+    assert!(submission.record_answer(address(), Ok(OperatorReply::Disabled)).is_none());
+    assert!(submission.is_hopeless());
+    let failure = submission.failure(RevisionId::none());
     assert_eq!(
         failure.to_string(),
         "not accepted, no quorum of planners in reach: 127.0.0.1:1: live configuration is off there"
@@ -67,24 +69,24 @@
 }
 
 #[test]
-fn a_decision_ends_it() {
+fn a_decision_ends_the_submission() {
     let newest = RevisionId::none();
-    let mut round = Round::default();
+    let mut submission = Submission::default();
     let conflict = Ok(OperatorReply::Refused(ProposalError::Conflict { newest }));
-    assert_eq!(round.hear(address(), conflict).unwrap().unwrap_err().exit_code(), 1);
+    assert_eq!(submission.record_answer(address(), conflict).unwrap().unwrap_err().exit_code(), 1);
     let invalid = Ok(OperatorReply::Refused(ProposalError::Invalid("plans.x".into())));
-    assert_eq!(round.hear(address(), invalid).unwrap().unwrap_err().exit_code(), 1);
-    assert_eq!(round.hear(address(), Ok(OperatorReply::Accepted(newest))).unwrap(), Ok(newest));
+    assert_eq!(submission.record_answer(address(), invalid).unwrap().unwrap_err().exit_code(), 1);
+    assert_eq!(submission.record_answer(address(), Ok(OperatorReply::Accepted(newest))).unwrap(), Ok(newest));
 }
 
 #[test]
-fn a_submission_whose_outcome_is_unknown_is_asked_for_again_under_its_id() {
+fn a_proposal_with_an_unknown_outcome_is_sent_again_under_the_same_id() {
     let accepted = RevisionId { number: RevisionNumber(1), ..RevisionId::none() };
     let unknown = OperatorReply::Refused(ProposalError::Unknown);
     let answers = vec![None, Some(unknown), Some(OperatorReply::Accepted(accepted))];
     let (planners, requests) = planners(answers);
     let expected = Expected::Number(RevisionNumber(0));
-    assert_eq!(planners.submit(Document::default(), expected, "test", SUBMIT_WITHIN), Ok(accepted));
+    assert_eq!(planners.submit(Document::default(), expected, "test", SUBMIT_TIMEOUT), Ok(accepted));
     let ids: Vec<ProposalId> = requests
         .iter()
         .map(|request| match request {
--- a/src/planner/operator/text.rs
+++ b/src/planner/operator/text.rs
@@ -1,4 +1,4 @@
-//! Revisions as operators read them.
+//! Text output of revisions for operators.
 
 use crate::revisions::document::Document;
 use crate::revisions::Revision;
@@ -7,14 +7,14 @@
 
 const MS_A_DAY: u64 = 86_400_000;
 
-/// A revision: who made it and when, then its document in TOML.
+/// A revision: its author and time as comments, then its document in TOML.
 pub fn revision(revision: &Revision) -> String {
     let Revision { id, author, submitted_ms, document } = revision;
     let time = utc(*submitted_ms);
     format!("# revision {id}, submitted by {author} at {time}\n# hash {}\n{}", id.hash, document.to_toml())
 }
 
-/// What differs between two documents, one key a line; nothing where they are equal.
+/// The differences between two documents, one key per line; empty if they are equal.
 pub fn compare(one: &Document, other: &Document) -> String {
     let (one, other) = (keys(one), keys(other));
     let all: BTreeSet<&String> = one.keys().chain(other.keys()).collect();
@@ -31,24 +31,26 @@
     text
 }
 
-/// Each key of a document with its value, as TOML writes both.
+/// Each key of a document with its value, both in TOML.
 fn keys(document: &Document) -> BTreeMap<String, String> {
-    let mut found = BTreeMap::new();
+    let mut values = BTreeMap::new();
     let table = toml::from_str::<toml::Table>(&document.to_toml()).unwrap_or_default();
-    table.into_iter().for_each(|(key, value)| gather(key, value, &mut found));
-    found
+    table.into_iter().for_each(|(key, value)| collect_keys(key, value, &mut values));
+    values
 }
 
-fn gather(key: String, value: toml::Value, found: &mut BTreeMap<String, String>) {
+fn collect_keys(key: String, value: toml::Value, values: &mut BTreeMap<String, String>) {
     match value {
         toml::Value::Table(table) => {
-            table.into_iter().for_each(|(inner, value)| gather(format!("{key}.{inner}"), value, found));
+            table
+                .into_iter()
+                .for_each(|(inner, value)| collect_keys(format!("{key}.{inner}"), value, values));
         }
-        value => drop(found.insert(key, value.to_string())),
+        value => drop(values.insert(key, value.to_string())),
     }
 }
 
-/// A time in milliseconds of Unix time, as RFC 3339 writes it. The date by Howard Hinnant's `civil_from_days`.
+/// A Unix time in milliseconds as RFC 3339 text. The date is computed with Howard Hinnant's `civil_from_days`.
 pub fn utc(unix_ms: u64) -> String {
     let (days, ms) = (unix_ms / MS_A_DAY + 719_468, unix_ms % MS_A_DAY);
     let (era, day_of_era) = (days / 146_097, days % 146_097);
--- a/src/planner/peers.rs
+++ b/src/planner/peers.rs
@@ -1,5 +1,5 @@
-//! A planner's connections to the other planners. Messages of the agreement go out on them; what the others say comes in on
-//! connections that they make. A message that can't be sent is lost: the agreement repeats what matters.
+//! A planner's outgoing connections to the other planners. They carry this planner's agreement messages; the others send
+//! theirs on connections that they open. A message that can't be sent is dropped: the agreement repeats what it needs.
 
 use super::frame::{self, FromPlanner, ToPlanner, LENGTH_BYTES, SCHEMA};
 use super::settings::Peer;
@@ -13,20 +13,20 @@
 use std::io;
 use std::time::{Duration, Instant};
 
-/// A connection that is not up by then is given up. So is one whose bytes the far side has not acknowledged for as long.
-const SILENCE: Duration = Duration::from_secs(3);
-/// How often something is said on a connection, so that a broken one shows.
-const ALIVE: Duration = Duration::from_millis(500);
-/// The first and the longest pause before the next try.
-const PAUSES: (Duration, Duration) = (Duration::from_millis(50), Duration::from_millis(800));
-/// Bytes that wait for a planner that does not read; messages beyond are left out.
-const MOST_UNWRITTEN: usize = 1024 * 1024;
-/// The longest answer: why a greeting is refused.
-const LONGEST_ANSWER: usize = 4 * 1024;
+/// Timeout for connecting, and for TCP acknowledgements of sent bytes.
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(3);
+/// Interval of heartbeats on an idle connection, so that a broken one is detected.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
+/// The first and the longest pause before the next attempt to connect.
+const RETRY_PAUSES: (Duration, Duration) = (Duration::from_millis(50), Duration::from_millis(800));
+/// Bytes that may be queued for a planner that does not read; further messages are dropped.
+const MAX_UNSENT_BYTES: usize = 1024 * 1024;
+/// The longest answer, which is the reason why a greeting is refused.
+const MAX_ANSWER_BYTES: usize = 4 * 1024;
 
 enum State {
     Down { retry: Instant },
-    Connecting { until: Instant },
+    Connecting { deadline: Instant },
     Up { since: Instant },
 }
 
@@ -35,10 +35,10 @@
     token: Token,
     conn: Option<Conn>,
     state: State,
-    said: Instant,
+    last_sent: Instant,
     backoff: Backoff,
-    /// Why it was last lost, which is logged once.
-    lost: String,
+    /// The last reason for a disconnection; a repeated one is not logged again.
+    last_failure: String,
 }
 
 /// Connections to all other planners.
@@ -48,71 +48,77 @@
 }
 
 impl Peers {
-    /// Connects at the first turn; each connection takes one token, from the first on.
+    /// The connections are opened by the first [`Peers::run_timers`]. Each takes one token, starting with `first`.
     pub fn new(own: &str, peers: &[Peer], first: Token, now: Instant) -> Self {
         let link = |(position, peer): (usize, &Peer)| Link {
             peer: peer.clone(),
             token: Token(first.0 + position),
             conn: None,
             state: State::Down { retry: now },
-            said: now,
-            // Each draws pauses of its own.
-            backoff: Backoff::new(PAUSES.0, PAUSES.1, deal::hash(&format!("{own} {}", peer.name))),
-            lost: String::new(),
+            last_sent: now,
+            // Each link has its own sequence of random pauses.
+            backoff: Backoff::new(
+                RETRY_PAUSES.0,
+                RETRY_PAUSES.1,
+                deal::hash(&format!("{own} {}", peer.name)),
+            ),
+            last_failure: String::new(),
         };
         Peers { own: own.to_string(), links: peers.iter().enumerate().map(link).collect() }
     }
 
-    /// Whether a token is that of a connection here.
+    /// Whether a token belongs to one of these connections.
     pub fn owns(&self, token: Token) -> bool {
         self.links.iter().any(|link| link.token == token)
     }
 
-    /// When [`Peers::turn`] has something to do.
+    /// When [`Peers::run_timers`] is due next.
     pub fn next_timer(&self) -> Option<Instant> {
         let timer = |link: &Link| match link.state {
             State::Down { retry } => retry,
-            State::Connecting { until } => until,
-            State::Up { .. } => link.said + ALIVE,
+            State::Connecting { deadline } => deadline,
+            State::Up { .. } => link.last_sent + HEARTBEAT_INTERVAL,
         };
         self.links.iter().map(timer).min()
     }
 
-    /// Connects, gives up what does not come up, and says that it is there.
-    pub fn turn(&mut self, now: Instant, registry: &Registry) {
+    /// Connects, gives up attempts that took too long, and sends heartbeats.
+    pub fn run_timers(&mut self, now: Instant, registry: &Registry) {
         for link in &mut self.links {
             match link.state {
                 State::Down { retry } if retry <= now => link.connect(now, registry),
-                State::Connecting { until } if until <= now => link.lose(now, "no connection"),
-                State::Up { .. } if link.said + ALIVE <= now => link.say(now, &ToPlanner::Alive),
+                State::Connecting { deadline } if deadline <= now => link.disconnect(now, "no connection"),
+                State::Up { .. } if link.last_sent + HEARTBEAT_INTERVAL <= now => {
+                    link.send(now, &ToPlanner::Alive)
+                }
                 _ => {}
             }
         }
     }
 
-    /// Sends a message of the agreement, where there is a connection.
+    /// Sends an agreement message if the connection is up.
     pub fn send(&mut self, now: Instant, to: VoterId, message: Vec<u8>) {
         let is_up = |link: &&mut Link| link.peer.voter == to && matches!(link.state, State::Up { .. });
         if let Some(link) = self.links.iter_mut().find(is_up) {
-            link.say(now, &ToPlanner::Agreement(message));
+            link.send(now, &ToPlanner::Agreement(message));
         }
     }
 
-    /// Something happened on a connection.
+    /// Handles readiness of a connection.
     pub fn ready(&mut self, now: Instant, token: Token) {
         let Some(link) = self.links.iter_mut().find(|link| link.token == token) else { return };
         if let Err(why) = link.ready(now, &self.own) {
-            link.lose(now, &why);
+            link.disconnect(now, &why);
         }
     }
 }
 
 impl Link {
     fn connect(&mut self, now: Instant, registry: &Registry) {
-        self.state = State::Connecting { until: now + SILENCE };
+        self.state = State::Connecting { deadline: now + SILENCE_TIMEOUT };
         match connect(self.peer.address, self.token, registry) {
             Ok(conn) => self.conn = Some(conn),
-            Err(error) => self.lose(now, &error.to_string()),
+            Err(error) => self.disconnect(now, &error.to_string()),
         }
     }
 
@@ -126,13 +132,13 @@
             }
             tracing::info!(planner = self.peer.name, "connected to another planner");
             self.state = State::Up { since: now };
-            self.say(now, &ToPlanner::PeerHello { schema: SCHEMA, planner: own.to_string() });
+            self.send(now, &ToPlanner::PeerHello { schema: SCHEMA, planner: own.to_string() });
         }
         let Some(conn) = &mut self.conn else { return Ok(()) };
-        let end = conn.read(LONGEST_ANSWER + LENGTH_BYTES);
-        match frame::decode_bounded::<FromPlanner>(&mut conn.input, LONGEST_ANSWER)? {
+        let end = conn.read(MAX_ANSWER_BYTES + LENGTH_BYTES);
+        match frame::decode_bounded::<FromPlanner>(&mut conn.input, MAX_ANSWER_BYTES)? {
             Some(FromPlanner::Refused(why)) => return Err(format!("it refuses: {why}")),
-            Some(_) => return Err("it says what is not for a planner".into()),
+            Some(_) => return Err("it sent a message that is not for a planner".into()),
             None => {}
         }
         conn.flush().map_err(|error| error.to_string())?;
@@ -142,25 +148,25 @@
         Ok(())
     }
 
-    fn say(&mut self, now: Instant, message: &ToPlanner) {
+    fn send(&mut self, now: Instant, message: &ToPlanner) {
         let Some(conn) = &mut self.conn else { return };
-        self.said = now;
-        if conn.unwritten() < MOST_UNWRITTEN {
+        self.last_sent = now;
+        if conn.unwritten() < MAX_UNSENT_BYTES {
             let mut output = Vec::new();
             frame::encode(message, &mut output);
             conn.push(&output);
         }
         if let Err(error) = conn.flush() {
-            self.lose(now, &error.to_string());
+            self.disconnect(now, &error.to_string());
         }
     }
 
-    fn lose(&mut self, now: Instant, why: &str) {
-        if self.lost != why {
+    fn disconnect(&mut self, now: Instant, why: &str) {
+        if self.last_failure != why {
             tracing::warn!(planner = self.peer.name, "no connection to another planner: {why}");
-            self.lost = why.to_string();
+            self.last_failure = why.to_string();
         }
-        if matches!(self.state, State::Up { since } if since + SILENCE <= now) {
+        if matches!(self.state, State::Up { since } if since + SILENCE_TIMEOUT <= now) {
             self.backoff.reset();
         }
         self.conn = None;
@@ -168,10 +174,10 @@
     }
 }
 
-/// Begins a connection that breaks when nothing of what is written is acknowledged for a while. Guards against a way that
-/// was cut: without it the system tries for minutes, at pauses of up to two.
+/// Begins to connect, with a timeout for acknowledgements of sent bytes. Without it the kernel retransmits for minutes
+/// after the network path was cut, with pauses of up to two minutes.
 fn connect(address: std::net::SocketAddr, token: Token, registry: &Registry) -> io::Result<Conn> {
     let stream = TcpStream::connect(address)?;
-    SockRef::from(&stream).set_tcp_user_timeout(Some(SILENCE))?;
+    SockRef::from(&stream).set_tcp_user_timeout(Some(SILENCE_TIMEOUT))?;
     Conn::new(stream, token, registry)
 }
--- a/src/planner/settings.rs
+++ b/src/planner/settings.rs
@@ -1,4 +1,4 @@
-//! A planner's file: its place among the planners, its part in the elections, and live configuration where it is on.
+//! A planner's configuration file: the group of planners, the elections, and live configuration if it is enabled.
 
 use crate::config;
 use crate::interface;
@@ -12,14 +12,14 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Planners and partitions of one fleet.
-const MOST_PLANNERS: usize = 16;
-const MOST_PARTITIONS: u16 = 64;
-/// Planners that can agree on revisions: an odd number, so that each one more bears a loss.
-const AGREEING_PLANNERS: [usize; 3] = [1, 3, 5];
-/// Priority of the planner that is first in a partition, and how much less each next one has.
-const FIRST: u8 = 250;
-const STEP: u8 = 10;
+/// Limits of one fleet: planners and partitions.
+const MAX_PLANNERS: usize = 16;
+const MAX_PARTITIONS: u16 = 64;
+/// Numbers of planners that can agree on revisions: odd, since one more planner than that tolerates no further failure.
+const ALLOWED_GROUP_SIZES: [usize; 3] = [1, 3, 5];
+/// Election priority of the first planner of a partition, and the difference from each planner to the next.
+const HIGHEST_PRIORITY: u8 = 250;
+const PRIORITY_STEP: u8 = 10;
 
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -48,31 +48,31 @@
     address: SocketAddr,
 }
 
-/// How a planner is set up.
+/// The checked settings of a planner.
 #[derive(Clone, Debug)]
 pub struct Config {
     /// Where initiators, other planners and operators' commands connect.
     pub listen: SocketAddr,
     /// Its name among the planners.
     pub name: String,
-    /// Where it hears the other planners.
+    /// Where it receives the other planners' election messages.
     pub interface: Interface,
     /// Its part in the election of each partition's leader.
     pub routers: Vec<Router>,
-    /// Live configuration, where it is on.
+    /// Live configuration, if enabled.
     pub configuration: Option<Configuration>,
 }
 
-/// How a planner takes part in live configuration.
+/// The settings of live configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Configuration {
-    /// Where its store is.
+    /// The directory of the store.
     pub directory: PathBuf,
-    /// The initiator's configuration whose settings and names documents are checked against.
+    /// The initiator's configuration file; documents are checked against its settings and names.
     pub initiator: PathBuf,
-    /// The names of all planners, sorted: the position in it plus one is a voter's id.
+    /// The names of all planners, sorted. A voter's id is its position plus one.
     pub planners: Vec<String>,
-    /// Its own id.
+    /// The id of this planner.
     pub voter: VoterId,
     /// The other planners.
     pub peers: Vec<Peer>,
@@ -81,41 +81,42 @@
 /// Another planner.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Peer {
-    /// Its id.
+    /// The planner's id.
     pub voter: VoterId,
-    /// Its name.
+    /// The planner's name.
     pub name: String,
     /// Where it listens.
     pub address: SocketAddr,
 }
 
 impl Config {
-    /// Reads a file; the error is one plain line.
+    /// Reads a file. The error is one line.
     pub fn read(path: &Path) -> Result<Config, String> {
         let text = std::fs::read_to_string(path).map_err(|error| format!("{}: {error}", path.display()))?;
         Config::parse(&text).map_err(|why| format!("{}: {why}", path.display()))
     }
 
-    /// Reads the text of a file; the error is one plain line.
+    /// Parses the text of a file. The error is one line.
     pub fn parse(text: &str) -> Result<Config, String> {
         let file: File = toml::from_str(text).map_err(|error| error.message().to_string())?;
         let names: HashSet<&String> = file.planners.iter().collect();
-        if file.planners.len() > MOST_PLANNERS || names.len() != file.planners.len() {
-            return Err(format!("planners: the names of all, at most {MOST_PLANNERS}, each once"));
+        if file.planners.len() > MAX_PLANNERS || names.len() != file.planners.len() {
+            return Err(format!("planners: the names of all, at most {MAX_PLANNERS}, each once"));
         }
         let Some(own) = file.planners.iter().position(|name| *name == file.name) else {
             return Err(format!("name: {:?} is not among planners", file.name));
         };
         let partitions = file.partitions.unwrap_or(file.planners.len() as u16);
-        if !(1..=MOST_PARTITIONS).contains(&partitions) {
-            return Err(format!("partitions: {partitions} is not allowed, 1 to {MOST_PARTITIONS} are"));
+        if !(1..=MAX_PARTITIONS).contains(&partitions) {
+            return Err(format!("partitions: {partitions} is not allowed, 1 to {MAX_PARTITIONS} are"));
         }
         let candidates: Vec<u64> = file.planners.iter().map(|name| deal::hash(name)).collect();
         let rank = |partition: u16| {
             let order = deal::order(deal::hash(&format!("partition {partition}")), &candidates);
             order.iter().position(|at| *at == own).unwrap_or(0) as u8
         };
-        let priorities: Vec<u8> = (0..partitions).map(|partition| FIRST - STEP * rank(partition)).collect();
+        let priorities: Vec<u8> =
+            (0..partitions).map(|partition| HIGHEST_PRIORITY - PRIORITY_STEP * rank(partition)).collect();
         let (interface, routers) = file.vrrp.check(&priorities).map_err(|why| format!("vrrp: {why}"))?;
         let configuration = file
             .configuration
@@ -128,7 +129,7 @@
 
 impl FileConfiguration {
     fn check(self, own: &str, planners: &[String]) -> Result<Configuration, String> {
-        if !AGREEING_PLANNERS.contains(&planners.len()) {
+        if !ALLOWED_GROUP_SIZES.contains(&planners.len()) {
             return Err(format!("{} planners can't agree on revisions, 1, 3 or 5 can", planners.len()));
         }
         let mut planners = planners.to_vec();
@@ -168,7 +169,7 @@
         self.planners.get(position).map(String::as_str)
     }
 
-    /// Reads the settings and names that documents are checked against; the error is one plain line.
+    /// Reads the settings and names that documents are checked against. The error is one line.
     pub fn read_initiator(&self) -> Result<(interface::Settings, Names), String> {
         let path = self.initiator.display();
         let text = std::fs::read(&self.initiator).map_err(|error| format!("{path}: {error}"))?;
--- a/src/planner/settings/tests.rs
+++ b/src/planner/settings/tests.rs
@@ -1,4 +1,4 @@
-//! The planner's file.
+//! Reading the planner's configuration file.
 
 use super::*;
 
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn each_partition_has_an_order_of_its_own_that_all_planners_agree_on() {
+fn planners_agree_on_the_priorities_of_each_partition() {
     let configs = ["a", "b", "c"].map(|name| Config::parse(&text(name)).unwrap());
     for partition in 0..3 {
         let mut priorities = configs.each_ref().map(|config| config.routers[partition].priority);
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn an_unusable_file_is_one_line() {
+fn an_invalid_file_is_refused_with_one_line() {
     let error = |from: &str, to: &str| Config::parse(&text("a").replace(from, to)).unwrap_err();
     assert_eq!(error("name = \"a\"", "name = \"x\""), "name: \"x\" is not among planners");
     assert!(error("\"b\", \"c\"", "\"b\", \"b\"").starts_with("planners: the names of all"));
@@ -29,7 +29,7 @@
     assert!(error("vrid = 7", "vrid = 0").starts_with("vrrp: "));
 }
 
-const INITIATOR: &str = "[configuration]\ndirectory = \"store\"\ninitiator = \"config.json\"\n";
+const CONFIGURATION_SECTION: &str = "[configuration]\ndirectory = \"store\"\ninitiator = \"config.json\"\n";
 
 fn peers(peers: &[(&str, u16)]) -> String {
     let peer = |(name, port): &(&str, u16)| {
@@ -39,9 +39,9 @@
 }
 
 #[test]
-fn voters_are_numbered_by_the_sorted_names_on_all_planners() {
+fn voter_ids_follow_the_sorted_names() {
     let text = text("b").replace("\"a\", \"b\", \"c\"", "\"c\", \"b\", \"a\"");
-    let text = text + INITIATOR + &peers(&[("c", 3), ("a", 1)]);
+    let text = text + CONFIGURATION_SECTION + &peers(&[("c", 3), ("a", 1)]);
     let section = Config::parse(&text).unwrap().configuration.unwrap();
     assert_eq!(section.voter, VoterId(2));
     assert_eq!(section.voters(), [1, 2, 3].map(VoterId));
@@ -52,13 +52,15 @@
 }
 
 #[test]
-fn without_its_section_live_configuration_is_off() {
+fn live_configuration_is_disabled_without_its_section() {
     assert!(Config::parse(&text("a")).unwrap().configuration.is_none());
 }
 
 #[test]
-fn peers_are_exactly_the_other_planners() {
-    let error = |more: &[(&str, u16)]| Config::parse(&(text("a") + INITIATOR + &peers(more))).unwrap_err();
+fn peers_that_are_not_exactly_the_other_planners_are_refused() {
+    let error = |more: &[(&str, u16)]| {
+        Config::parse(&(text("a") + CONFIGURATION_SECTION + &peers(more))).unwrap_err()
+    };
     assert_eq!(error(&[("b", 1)]), "configuration: peer: the address of \"c\" is missing");
     assert_eq!(error(&[]), "configuration: peer: the address of \"b\" is missing");
     let own = error(&[("a", 1), ("b", 2), ("c", 3)]);
@@ -70,8 +72,8 @@
 }
 
 #[test]
-fn an_even_number_of_planners_agrees_on_nothing() {
-    let text = text("a").replace("\"b\", \"c\"", "\"b\"") + INITIATOR + &peers(&[("b", 1)]);
+fn an_even_number_of_planners_is_refused_for_live_configuration() {
+    let text = text("a").replace("\"b\", \"c\"", "\"b\"") + CONFIGURATION_SECTION + &peers(&[("b", 1)]);
     let error = Config::parse(&text).unwrap_err();
     assert_eq!(error, "configuration: 2 planners can't agree on revisions, 1, 3 or 5 can");
 }
