--- a/src/shares/divide.rs
+++ b/src/shares/divide.rs
@@ -1,47 +1,52 @@
-//! Who is to have which part of a resource: a pure function of what each wants.
+//! The division of a resource among forwarders: a pure function of their demands.
 
 use super::Share;
 
-/// What one forwarder wants of a resource.
+/// The demand of one forwarder's process for a resource.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HolderDemand {
-    /// Its even part.
+    /// Its even share.
     pub even_share: Share,
-    /// What it would use, as a part of the whole.
+    /// What it would use, as a fraction of the whole.
     pub wanted: f64,
-    /// Whether it can give back now: one that has just started cannot.
+    /// Whether it can give back some of its even share; false for a while after its start.
     pub gives_back: bool,
 }
 
-/// Part of what is wanted that is given beyond it, where there is enough: demand grows between two reports.
+/// Fraction of the demand that is given in addition, if there is enough, since demand may grow between two reports.
 const HEADROOM: f64 = 0.25;
 
-/// The part that each is to have. All of them sum to at most what their even parts sum to, and none is below its floor.
+/// The share that each should have, in the order of `holders`. They sum to at most the sum of the even shares, and none is
+/// below its floor (one that can't give back keeps its even share).
 ///
-/// Everybody gets its floor. Where the rest covers what is wanted beyond, with some headroom, what is over goes to all
-/// by their even parts; where it does not, it goes by what is wanted.
-pub fn divide(all: &[HolderDemand]) -> Vec<Share> {
-    let keeps = |one: &HolderDemand| {
-        f64::from(if one.gives_back { one.even_share.floor() } else { one.even_share }.0)
+/// If the rest after these reserved shares covers the excess demand with some headroom, the surplus is divided in
+/// proportion to the even shares. Otherwise the rest is divided in proportion to the excess demand.
+pub fn divide(holders: &[HolderDemand]) -> Vec<Share> {
+    let reserved = |holder: &HolderDemand| {
+        f64::from(if holder.gives_back { holder.even_share.floor() } else { holder.even_share }.0)
     };
     let whole = f64::from(Share::WHOLE.0);
-    let evens: f64 = all.iter().map(|one| f64::from(one.even_share.0)).sum();
-    let kept: f64 = all.iter().map(keeps).sum();
-    let beyond = |one: &HolderDemand| (sane(one.wanted) * whole * (1.0 + HEADROOM) - keeps(one)).max(0.0);
-    let wanted: f64 = all.iter().map(beyond).sum();
-    let rest = evens - kept;
-    let scale = if wanted > rest { rest / wanted } else { 1.0 };
-    let over = (rest - wanted * scale).max(0.0);
-    let share = |one: &HolderDemand| {
-        let part = keeps(one) + beyond(one) * scale + over * f64::from(one.even_share.0) / evens.max(1.0);
+    let even_sum: f64 = holders.iter().map(|holder| f64::from(holder.even_share.0)).sum();
+    let reserved_sum: f64 = holders.iter().map(reserved).sum();
+    let excess_demand = |holder: &HolderDemand| {
+        (sanitized(holder.wanted) * whole * (1.0 + HEADROOM) - reserved(holder)).max(0.0)
+    };
+    let excess_sum: f64 = holders.iter().map(excess_demand).sum();
+    let rest = even_sum - reserved_sum;
+    let scale = if excess_sum > rest { rest / excess_sum } else { 1.0 };
+    let surplus = (rest - excess_sum * scale).max(0.0);
+    let share = |holder: &HolderDemand| {
+        let millionths = reserved(holder)
+            + excess_demand(holder) * scale
+            + surplus * f64::from(holder.even_share.0) / even_sum.max(1.0);
         // Rounded down, so that no sum exceeds the whole.
-        Share(part as u32)
+        Share(millionths as u32)
     };
-    all.iter().map(share).collect()
+    holders.iter().map(share).collect()
 }
 
-/// Guards the sums against a report that says nonsense.
-fn sane(wanted: f64) -> f64 {
+/// The demand without NaN, infinities and extreme values that a faulty report may have.
+fn sanitized(wanted: f64) -> f64 {
     if wanted.is_finite() {
         wanted.clamp(0.0, 1000.0)
     } else {
--- a/src/shares/ledger/tests.rs
+++ b/src/shares/ledger/tests.rs
@@ -5,32 +5,33 @@
 const TENTH: Share = Share(100_000);
 
 #[test]
-fn nothing_is_granted_before_it_is_certainly_reclaimed() {
+fn a_grant_is_refused_before_its_reclaim_is_confirmed() {
     let mut ledger = Ledger::default();
     assert!(!ledger.grant(MS(0), 1, 1, TENTH, (MS(0), MS(400))));
     assert!(ledger.is_empty());
     assert!(ledger.reclaim(MS(0), 0, 1, TENTH, MS(800)));
-    assert!(!ledger.grant(MS(10), 1, 1, TENTH, (MS(10), MS(400))), "it may not have the plan");
+    assert!(!ledger.grant(MS(10), 1, 1, TENTH, (MS(10), MS(400))), "the reclaim is not confirmed");
     ledger.confirm(MS(0), 0, 1, false);
     assert_eq!(ledger.max_grant(MS(20), 1, (MS(20), MS(400))), TENTH);
     assert!(ledger.grant(MS(20), 1, 1, TENTH, (MS(20), MS(400))));
     assert_eq!(ledger.max_grant(MS(20), 2, (MS(20), MS(400))), Share::NONE);
-    assert!(!ledger.grant(MS(20), 2, 1, Share(1), (MS(20), MS(400))), "it was granted already");
+    assert!(!ledger.grant(MS(20), 2, 1, Share(1), (MS(20), MS(400))), "everything is granted already");
 }
 
 #[test]
-fn a_grant_ends_before_what_it_comes_from() {
+fn a_grant_that_may_outlast_its_reclaim_is_refused() {
     let mut ledger = Ledger::default();
     ledger.reclaim(MS(0), 0, 1, TENTH, MS(800));
     ledger.confirm(MS(0), 0, 1, false);
-    // Certain until 784, which counts to the slot's begin at 780; a grant of 400 from 370 may last until 782.
+    // The reclaim is certain until 784, which counts up to the start of the slot at 780; a grant of 400 from 370 may last
+    // until 782.
     assert!(!ledger.grant(MS(390), 1, 1, TENTH, (MS(370), MS(400))));
     assert!(ledger.grant(MS(390), 1, 1, TENTH, (MS(367), MS(400))));
     assert!(ledger.is_covered(MS(390)));
 }
 
 #[test]
-fn a_reclaim_is_not_taken_back_while_a_grant_may_be_in_force() {
+fn a_reclaim_is_not_reduced_while_a_grant_may_be_in_force() {
     let mut ledger = Ledger::default();
     ledger.reclaim(MS(0), 0, 1, TENTH, MS(800));
     ledger.confirm(MS(0), 0, 1, false);
@@ -40,14 +41,14 @@
 }
 
 #[test]
-fn of_moves_on_their_way_the_worst_counts() {
+fn the_smallest_pending_reclaim_counts_until_a_newer_one_is_confirmed() {
     let mut ledger = Ledger::default();
     ledger.reclaim(MS(0), 0, 1, TENTH, MS(800));
     ledger.confirm(MS(0), 0, 1, false);
     ledger.reclaim(MS(100), 0, 2, Share(40_000), MS(800));
     assert_eq!(ledger.bounds(MS(100), 0), (Share(40_000), Share::NONE));
     ledger.reclaim(MS(200), 0, 3, TENTH, MS(800));
-    assert_eq!(ledger.bounds(MS(200), 0).0, Share(40_000), "the second may be all that it has");
+    assert_eq!(ledger.bounds(MS(200), 0).0, Share(40_000), "the second reclaim may be the one in force");
     ledger.confirm(MS(200), 0, 3, false);
     assert_eq!(ledger.bounds(MS(200), 0).0, TENTH);
     ledger.confirm(MS(200), 0, 2, false);
@@ -55,7 +56,7 @@
 }
 
 #[test]
-fn what_was_refused_is_not_reclaimed_and_what_ended_is_forgotten() {
+fn a_refused_reclaim_counts_as_none_and_ended_moves_are_dropped() {
     let mut ledger = Ledger::default();
     ledger.reclaim(MS(0), 0, 1, TENTH, MS(800));
     ledger.confirm(MS(0), 0, 1, true);
@@ -67,55 +68,54 @@
 }
 
 #[test]
-fn a_holder_that_takes_nothing_is_told_no_more() {
+fn a_holder_that_confirms_nothing_gets_a_limited_number_of_moves() {
     let mut ledger = Ledger::default();
-    let told = (1..100).filter(|version| ledger.reclaim(MS(0), 0, *version, TENTH, MS(800))).count();
-    assert_eq!(told, MOST_OPEN);
+    let sent = (1..100).filter(|version| ledger.reclaim(MS(0), 0, *version, TENTH, MS(800))).count();
+    assert_eq!(sent, MAX_PENDING_MOVES);
 }
 
-/// A holder as it is: which moves it has, and until when by a clock that runs by a hundredth off while the planner's
-/// is as much off the other way.
+/// The moves that are really in force at a holder. Their ends are computed for a holder's clock that runs 1 % off while the
+/// planner's runs 1 % off in the other direction.
 #[derive(Clone, Copy, Default)]
-struct Truth {
+struct HolderState {
     version: u64,
     reclaimed: (u32, Duration),
     granted: (u32, Duration),
 }
 
 proptest! {
-    /// Whatever is lost, late or out of order, what holders really use besides their own never exceeds what others
-    /// really leave alone.
+    /// Whichever moves are lost, late or out of order, the grants really in force never exceed the reclaims really in force.
     #[test]
     fn grants_in_force_are_covered_by_reclaims_in_force(
         steps in prop::collection::vec((0..4_usize, 0..4_u8, 0..100_000_u32, 0..120_u64, 0..500_u64), 1..200),
         fast in prop::collection::vec(any::<bool>(), 4)
     ) {
         let mut ledger = Ledger::default();
-        let mut truth = [Truth::default(); 4];
-        let mut on_way: Vec<(usize, u64, Move, Duration, Duration)> = Vec::new();
+        let mut holder_states = [HolderState::default(); 4];
+        let mut pending: Vec<(usize, u64, Move, Duration, Duration)> = Vec::new();
         let (mut now, mut version) = (MS(0), 0);
-        for (holder, what, part, wait, lasts) in steps {
+        for (holder, action, share, wait, duration) in steps {
             now += MS(wait);
-            let (lasts, asked) = (MS(lasts), now.saturating_sub(MS(wait / 2)));
+            let (duration, reported_at) = (MS(duration), now.saturating_sub(MS(wait / 2)));
             version += 1;
-            match what {
-                0 if ledger.reclaim(now, holder, version, Share(part), lasts) => {
-                    on_way.push((holder, version, Move::Reclaim(Share(part), lasts), now, asked));
+            match action {
+                0 if ledger.reclaim(now, holder, version, Share(share), duration) => {
+                    pending.push((holder, version, Move::Reclaim(Share(share), duration), now, reported_at));
                 }
-                1 if ledger.grant(now, holder, version, Share(part), (asked, lasts)) => {
-                    on_way.push((holder, version, Move::Grant(Share(part), lasts), now, asked));
+                1 if ledger.grant(now, holder, version, Share(share), (reported_at, duration)) => {
+                    pending.push((holder, version, Move::Grant(Share(share), duration), now, reported_at));
                 }
-                2 if !on_way.is_empty() => {
-                    // One of those on their way arrives, whichever; it is told at once where it is newer.
-                    let (to, version, moved, _, asked) = on_way.remove(part as usize % on_way.len());
-                    let it = &mut truth[to];
-                    if version > it.version {
-                        let drifted = |lasts: Duration| if fast[to] { lasts - lasts * 198 / 10_000 } else { lasts + lasts * 202 / 10_000 };
-                        *it = match moved {
-                            Move::Reclaim(part, lasts) => Truth { version, reclaimed: (part.0, now + drifted(lasts)), granted: (0, MS(0)) },
-                            Move::Grant(part, lasts) => Truth { version, reclaimed: (0, MS(0)), granted: (part.0, asked + drifted(lasts)) },
+                2 if !pending.is_empty() => {
+                    // A random pending move arrives, and is confirmed at once in most cases where it is newer.
+                    let (to, version, moved, _, reported_at) = pending.remove(share as usize % pending.len());
+                    let holder_state = &mut holder_states[to];
+                    if version > holder_state.version {
+                        let with_drift = |duration: Duration| if fast[to] { duration - duration * 198 / 10_000 } else { duration + duration * 202 / 10_000 };
+                        *holder_state = match moved {
+                            Move::Reclaim(share, duration) => HolderState { version, reclaimed: (share.0, now + with_drift(duration)), granted: (0, MS(0)) },
+                            Move::Grant(share, duration) => HolderState { version, reclaimed: (0, MS(0)), granted: (share.0, reported_at + with_drift(duration)) },
                         };
-                        if part % 3 > 0 {
+                        if share % 3 > 0 {
                             ledger.confirm(now, to, version, false);
                         }
                     }
@@ -123,9 +123,9 @@
                 _ => ledger.drop_expired(now),
             }
             prop_assert!(ledger.is_covered(now));
-            let in_force = |(part, until): (u32, Duration)| if now < until { i64::from(part) } else { 0 };
-            let reclaimed: i64 = truth.iter().map(|it| in_force(it.reclaimed)).sum();
-            let granted: i64 = truth.iter().map(|it| in_force(it.granted)).sum();
+            let in_force = |(share, until): (u32, Duration)| if now < until { i64::from(share) } else { 0 };
+            let reclaimed: i64 = holder_states.iter().map(|holder_state| in_force(holder_state.reclaimed)).sum();
+            let granted: i64 = holder_states.iter().map(|holder_state| in_force(holder_state.granted)).sum();
             prop_assert!(granted <= reclaimed, "{granted} granted, {reclaimed} reclaimed");
         }
     }
--- a/src/shares/mod.rs
+++ b/src/shares/mod.rs
@@ -1,14 +1,16 @@
-//! Shares: what a few planners decide for many forwarders, and what a forwarder may use of what all share. No I/O, no
-//! clock, no randomness: reports in, plans out, times handed in.
+//! Shares of resources that many forwarders use together, such as the rate limit of a volume, and how a few planners
+//! divide them. No I/O, clock or randomness: reports go in, plans come out, and times are passed in.
 //!
-//! Each forwarder has an even part of each shared thing, which it may use without anybody. A planner moves parts: one
-//! forwarder *gives back* some of its own for a while, and others are *granted* no more than is certainly reclaimed, for no
-//! longer. So the parts in force never sum to more than the whole, whatever is lost, late, repeated or restarted, and
-//! however many planners believe themselves to be in charge: each of them moves only what was given back to it.
-//! docs/planners.md has the argument and the ways weighed.
+//! Each forwarder has an even share of each resource, which it may use without a planner. A planner moves shares: a
+//! *reclaim* makes one forwarder give back some of its even share for a limited time, and a *grant* lets another use more.
+//! Grants never exceed what is certainly reclaimed, and never last longer. So the shares in force never sum to more than
+//! the whole, whatever message is lost, late or repeated, whatever process restarts, and however many planners believe
+//! that they lead: each of them moves only what was given back to it. docs/planners.md has the argument and the
+//! alternatives considered.
 //!
-//! From below: [`Part`] and the messages, [`deal`] (which planner, which prober), [`divide`] (who is to have what),
-//! [`ledger`] (what may certainly be moved), [`planner`] and [`store`] (the two ends).
+//! [`Share`] and the messages are here. [`deal`] assigns keys to planners and probers, [`meter`] measures demand,
+//! [`divide`] computes the share that each forwarder should have, [`ledger`] tells what may be moved safely, and
+//! [`planner`] and [`store`] are the two ends of the protocol.
 
 pub mod deal;
 pub mod divide;
@@ -20,56 +22,57 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// The longest that a move may last. A forwarder that starts holds to its floor for as long, since it cannot know what
-/// it gave back before; a move that says more is cut to it.
+/// The longest duration of a move; longer ones are cut to it. A forwarder uses only its floor for as long after its start,
+/// since it cannot know what an earlier process of it gave back.
 pub const MAX_MOVE_DURATION: Duration = Duration::from_secs(5);
-/// By how much a clock may run fast or slow, as a part: one in a hundred.
+/// A clock may run fast or slow by one part in this number.
 pub const CLOCK_DRIFT_DIVISOR: u32 = 100;
-/// Part of its even part that a forwarder never gives back: one in four. It may use that from its start on.
+/// A forwarder never gives back its floor, which is its even share divided by this number. It may use the floor from its
+/// start on.
 pub const FLOOR_DIVISOR: u32 = 4;
 
-/// A part of a shared thing, in whole millionths, so that sums are exact.
+/// A share of a resource in whole millionths, so that sums are exact.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Share(pub u32);
 
 impl Share {
-    /// All of it.
+    /// The whole resource.
     pub const WHOLE: Share = Share(1_000_000);
     /// Nothing.
     pub const NONE: Share = Share(0);
 
-    /// An even part among so many; rounded down, so that all of them sum to no more than the whole.
-    pub fn even(among: f64) -> Share {
-        Share((f64::from(Share::WHOLE.0) / among.max(1.0)) as u32)
+    /// The even share among a number of initiators, rounded down so that all of them sum to no more than the whole.
+    pub fn even(initiators: f64) -> Share {
+        Share((f64::from(Share::WHOLE.0) / initiators.max(1.0)) as u32)
     }
 
-    /// What a forwarder with this even part never gives back.
+    /// The floor of a forwarder with this even share, which it never gives back.
     pub fn floor(self) -> Share {
         Share(self.0 / FLOOR_DIVISOR)
     }
 
-    /// As a fraction.
+    /// The share as a fraction of 1.
     pub fn fraction(self) -> f64 {
         f64::from(self.0) / f64::from(Share::WHOLE.0)
     }
 
-    /// What is left of it.
+    /// The difference, or nothing if `other` is greater.
     pub fn minus(self, other: Share) -> Share {
         Share(self.0.saturating_sub(other.0))
     }
 
-    /// Both together.
+    /// The sum.
     pub fn plus(self, other: Share) -> Share {
         Share(self.0.saturating_add(other.0))
     }
 }
 
-/// Something that forwarders share.
+/// A resource that forwarders share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Resource {
-    /// The limit of a volume.
+    /// The rate limit of a volume.
     Limit(u64),
-    /// What a cold node bears, by the hash of its name.
+    /// The slow-start limit of a node, by the hash of its name.
     SlowStart(u64),
 }
 
@@ -81,86 +84,86 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct PlannerId(pub u64);
 
-/// A planner's time in charge of a partition: later ones are higher.
+/// A planner's period of leadership of a partition. Later terms are higher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Term {
-    /// Higher than all that the planner has heard of.
+    /// Higher than all numbers that the planner knows of.
     pub number: u64,
-    /// Breaks ties, and tells two apart that never heard of each other.
+    /// Breaks ties between planners that do not know of each other's term.
     pub planner: PlannerId,
-    /// Tells apart times in charge of one planner, which remembers nothing of those before: another at each.
+    /// Differs for each term of one planner, since it keeps no memory of its earlier terms.
     pub nonce: u64,
 }
 
-/// A move of a part of a resource, from one planner to one forwarder. A later one for the same resource replaces it.
+/// A planner's change of one forwarder's share of a resource. A later move for the same resource replaces it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Move {
-    /// The forwarder leaves this part alone for so long after it has the plan.
+    /// The forwarder must not use this much of its even share, for this duration after it receives the plan.
     Reclaim(Share, Duration),
-    /// The forwarder may use this part besides, for so long after it asked.
+    /// The forwarder may use this share in addition, for this duration after it sent the report that the plan answers.
     Grant(Share, Duration),
 }
 
-/// What a forwarder asks for.
+/// A forwarder's demand for one resource.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Demand {
-    /// What of.
+    /// The resource.
     pub resource: Resource,
-    /// Its even part.
+    /// The forwarder's even share.
     pub even_share: Share,
-    /// What it would use, as a part of the whole; beyond 1 where it would use more than there is.
+    /// What it would use, as a fraction of the whole; above 1 if that is more than there is.
     pub wanted: f32,
 }
 
-/// What a forwarder saw of a node it probed.
+/// The result of a forwarder's probe of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ProbeResult {
     /// The node, by the hash of its name.
     pub node: u64,
-    /// How long it took to answer; none: it did not.
+    /// The time until the node answered; `None` if it did not.
     pub response_time: Option<Duration>,
-    /// How long ago.
+    /// The time since the probe.
     pub age: Duration,
 }
 
 /// From a forwarder to the planner of a partition.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// Who.
+    /// The sender.
     pub forwarder: ForwarderId,
-    /// Its process: another at each start.
+    /// Identifies the process; differs at each start.
     pub incarnation: u64,
-    /// Counts its reports to this partition; a plan says which it answers.
+    /// Sequence number of the reports for this partition; a plan refers to the report that it answers.
     pub number: u64,
-    /// Whether it may give back: one that has just started may not.
+    /// Whether it can give back some of its even share; false for a while after its start.
     pub gives_back: bool,
-    /// The highest term that it knows of.
+    /// The highest term that it knows.
     pub term: Option<Term>,
-    /// The newest plan of that term that it holds.
+    /// The version of the newest plan of that term that it holds.
     pub held_version: u64,
-    /// Resources whose reclaim in that plan it did not take.
+    /// Resources whose reclaims in that plan it refused.
     pub refused: Vec<Resource>,
-    /// What it wants.
+    /// Its demand, by resource.
     pub demands: Vec<Demand>,
-    /// What it saw.
+    /// Results of its probes since the last report.
     pub probe_results: Vec<ProbeResult>,
 }
 
-/// From a planner to one forwarder. Resources that it does not name stay as they are.
+/// From a planner to one forwarder. Resources that it does not name are unchanged.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Plan {
-    /// The planner's time in charge.
+    /// The planner's term.
     pub term: Term,
-    /// The process that it is for: one that was started since takes nothing that was meant for the one before.
+    /// The process that the plan is for; a process started later rejects it.
     pub incarnation: u64,
-    /// Counts its plans for this forwarder; an older one is not taken.
+    /// Version of the plan; a forwarder rejects versions older than the one it holds.
     pub version: u64,
-    /// The report that it answers.
+    /// The number of the report that it answers.
     pub answers_report: u64,
-    /// What changes.
+    /// The changed moves.
     pub moves: Vec<(Resource, Move)>,
-    /// Nodes that the forwarder is to probe, by the hashes of their names, where that has changed.
+    /// The nodes that the forwarder must probe, by the hashes of their names; `None` if unchanged.
     pub probes: Option<Vec<u64>>,
-    /// What others saw of nodes since the last plan.
+    /// Results of other forwarders' probes since the last plan.
     pub hints: Vec<ProbeResult>,
 }
--- a/src/shares/planner.rs
+++ b/src/shares/planner.rs
@@ -1,4 +1,4 @@
-//! A planner in charge of one partition: takes reports, answers each with a plan.
+//! The planner of one partition: answers each forwarder's report with a plan that moves shares to where demand is.
 
 use super::deal::Assignments;
 use super::divide::{divide, HolderDemand};
@@ -9,14 +9,14 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
 
-/// What a planner goes by.
+/// The time settings of a planner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// How long a grant lasts. A machine that dies keeps its grants from others for as long.
+    /// Duration of a grant. The grants of a crashed forwarder stay unusable for others for as long.
     pub grant: Duration,
-    /// How long a reclaim lasts: longer, since it has to cover a grant.
+    /// Duration of a reclaim: longer than a grant, since it has to cover grants.
     pub reclaim: Duration,
-    /// A forwarder that says nothing for so long is gone.
+    /// A forwarder without a report for this time counts as silent.
     pub silence_timeout: Duration,
 }
 
@@ -27,103 +27,106 @@
     }
 }
 
-/// A smaller move is not worth its bytes: half a hundredth.
-const LEAST: Share = Share(5_000);
-/// What is to have which part is reckoned anew this often, for a resource that many share.
-const RECKONED: Duration = Duration::from_millis(20);
-/// Forwarders, resources and nodes that one partition bears; what comes beyond goes by even parts.
-const MOST_HOLDERS: usize = 4096;
-/// Likewise.
-const MOST_RESOURCES: usize = 262_144;
-/// Hints that one plan carries.
-const MOST_HINTS: usize = 64;
-/// Demands that one report may make.
+/// The smallest move: smaller ones (below 0.5 %) are not worth their bytes.
+const MIN_MOVE: Share = Share(5_000);
+/// Interval at which the division is computed anew for a resource with many holders.
+const DIVISION_INTERVAL: Duration = Duration::from_millis(20);
+/// Maximum of forwarders in a partition; further ones keep their even shares.
+const MAX_HOLDERS: usize = 4096;
+/// Maximum of resources in a partition; further ones are divided evenly.
+const MAX_RESOURCES: usize = 262_144;
+/// Maximum of hints in a plan.
+const MAX_HINTS: usize = 64;
+/// Maximum of demands in a report.
 pub const MAX_DEMANDS: usize = 65_536;
 
-/// One forwarder's process.
+/// The state of one forwarder's process.
 #[derive(Clone, Debug)]
-struct Known {
+struct HolderState {
     forwarder: ForwarderId,
     incarnation: u64,
-    heard: Duration,
-    /// It counts for nothing until it is heard of again; what it holds is remembered until that has ended.
+    last_report: Duration,
+    /// Whether its demand is ignored until the next report. Its moves stay in the ledgers until they end.
     silent: bool,
-    /// The newest plan sent to it.
+    /// The version of the newest plan sent to it.
     version: u64,
-    /// The newest one that it holds.
+    /// The newest version that it confirmed.
     held_version: u64,
-    /// Resources in which something was moved.
+    /// Resources with a move to this process.
     moved: BTreeSet<Resource>,
-    /// Resources that it has a demand for.
-    wants: Vec<Resource>,
-    /// Nodes that it was told to probe, and with which plan.
+    /// Resources for which it reported a demand.
+    demands: Vec<Resource>,
+    /// The nodes that it was last told to probe, and the version of that plan.
     probes: Option<(Vec<u64>, u64)>,
-    /// Hints up to this number were sent to it.
-    hinted: u64,
+    /// Hints up to this sequence number were sent to it.
+    last_hint: u64,
 }
 
-/// One resource.
+/// The state of one resource.
 #[derive(Clone, Debug, Default)]
-struct Shared {
+struct ResourceState {
     ledger: Ledger,
-    wants: BTreeMap<HolderId, HolderDemand>,
-    /// Who is to have which part, as reckoned then.
-    parts: BTreeMap<HolderId, Share>,
-    reckoned: Option<Duration>,
+    demands: BTreeMap<HolderId, HolderDemand>,
+    /// The share that each process should have, as last computed.
+    shares: BTreeMap<HolderId, Share>,
+    divided_at: Option<Duration>,
 }
 
-/// The planner of one partition, from when it takes charge until it does not.
+/// The planner of one partition for one period of leadership.
 #[derive(Clone, Debug)]
 pub struct Planner {
     settings: Settings,
     term: Term,
-    holders: BTreeMap<HolderId, Known>,
+    holders: BTreeMap<HolderId, HolderState>,
     by_forwarder: HashMap<ForwarderId, HolderId>,
     last_holder: HolderId,
-    /// Plans sent: never counted anew within a term, also not for one that was forgotten meanwhile.
+    /// The version of the last plan to any process. Never reset within a term, so that a process that was dropped and
+    /// reports again gets only later versions.
     versions: u64,
-    shared: HashMap<Resource, Shared>,
+    resources: HashMap<Resource, ResourceState>,
     probes: Assignments,
-    /// What was seen of each node last, when, and the number of that news.
-    seen: BTreeMap<u64, (ProbeResult, Duration, u64)>,
-    news: u64,
-    swept: Duration,
+    /// The last probe result of each node, its time and its sequence number.
+    probe_results: BTreeMap<u64, (ProbeResult, Duration, u64)>,
+    last_result_number: u64,
+    last_sweep: Duration,
 }
 
-/// A move that may be lost could neither be sent again nor be replaced: no plan may follow it for now.
-struct Unsettled;
+/// A move that may be lost can neither be repeated nor replaced now. No plan may be sent, since its confirmation would also
+/// confirm that move.
+struct UnresolvedMove;
 
-/// What there is of each kind, for the planner's status.
+/// The numbers of objects that a planner keeps, for its status.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Sizes {
-    /// Forwarders heard of.
+    /// Forwarders that are not silent.
     pub forwarders: usize,
     /// Resources with a demand or a move.
     pub resources: usize,
-    /// Nodes that are probed.
+    /// Nodes of the partition.
     pub nodes: usize,
 }
 
-impl Shared {
-    /// Reckons who is to have which part. What two share is reckoned with each report, what a thousand do now and then.
-    fn reckon(&mut self, now: Duration) {
-        let few = self.wants.len() <= 8;
-        if few || self.reckoned.is_none_or(|at| now.saturating_sub(at) >= RECKONED) {
-            let parts = divide(&self.wants.values().copied().collect::<Vec<_>>());
-            self.parts = self.wants.keys().copied().zip(parts).collect();
-            self.reckoned = Some(now);
+impl ResourceState {
+    /// Computes the share that each process should have: at each report for a resource with few holders, and at
+    /// [`DIVISION_INTERVAL`] for one with many.
+    fn update_shares(&mut self, now: Duration) {
+        let has_few_holders = self.demands.len() <= 8;
+        if has_few_holders || self.divided_at.is_none_or(|at| now.saturating_sub(at) >= DIVISION_INTERVAL) {
+            let shares = divide(&self.demands.values().copied().collect::<Vec<_>>());
+            self.shares = self.demands.keys().copied().zip(shares).collect();
+            self.divided_at = Some(now);
         }
     }
 }
 
 impl Planner {
-    /// Takes charge. `charge` is another at each time this planner does, also after a restart; terms of others that it
-    /// hears of in reports make it begin anew beyond them.
+    /// Starts a term. `nonce` must differ for each term of this planner, also after a restart. If a report shows a higher
+    /// term of another planner, this one starts again with a term above it.
     pub fn new(settings: Settings, planner: PlannerId, nonce: u64) -> Self {
-        Planner::beyond(settings, Term { number: 1, planner, nonce })
+        Planner::with_term(settings, Term { number: 1, planner, nonce })
     }
 
-    fn beyond(settings: Settings, term: Term) -> Self {
+    fn with_term(settings: Settings, term: Term) -> Self {
         Planner {
             settings,
             term,
@@ -131,78 +134,82 @@
             by_forwarder: HashMap::new(),
             last_holder: 0,
             versions: 0,
-            shared: HashMap::new(),
+            resources: HashMap::new(),
             probes: Assignments::default(),
-            seen: BTreeMap::new(),
-            news: 0,
-            swept: Duration::ZERO,
+            probe_results: BTreeMap::new(),
+            last_result_number: 0,
+            last_sweep: Duration::ZERO,
         }
     }
 
-    /// Its time in charge.
+    /// The current term.
     pub fn term(&self) -> Term {
         self.term
     }
 
-    /// What there is.
+    /// The numbers of forwarders, resources and nodes.
     pub fn sizes(&self) -> Sizes {
         Sizes {
-            forwarders: self.holders.values().filter(|known| !known.silent).count(),
-            resources: self.shared.len(),
-            nodes: self.seen.len(),
+            forwarders: self.holders.values().filter(|state| !state.silent).count(),
+            resources: self.resources.len(),
+            nodes: self.probe_results.len(),
         }
     }
 
-    /// The nodes of the partition, as discovery lists them now.
+    /// Sets the nodes of the partition, as listed by discovery.
     pub fn set_nodes(&mut self, nodes: &[u64]) {
-        let gone: Vec<u64> = self.seen.keys().filter(|node| !nodes.contains(node)).copied().collect();
-        for node in gone {
-            self.seen.remove(&node);
+        let removed: Vec<u64> =
+            self.probe_results.keys().filter(|node| !nodes.contains(node)).copied().collect();
+        for node in removed {
+            self.probe_results.remove(&node);
             self.probes.remove_key(node);
         }
         for node in nodes {
             self.probes.add_key(*node);
-            let unseen = ProbeResult { node: *node, response_time: None, age: Duration::ZERO };
-            self.seen.entry(*node).or_insert((unseen, Duration::ZERO, 0));
+            let unprobed = ProbeResult { node: *node, response_time: None, age: Duration::ZERO };
+            self.probe_results.entry(*node).or_insert((unprobed, Duration::ZERO, 0));
         }
     }
 
-    /// Takes a report and answers it. Nothing comes of one that no forwarder writes, or where there is no room.
+    /// Handles a report and returns the plan that answers it. `None` if the report is too long, if there are too many
+    /// forwarders, or if a pending move can't be resolved yet.
     pub fn handle_report(&mut self, now: Duration, report: &Report) -> Option<Plan> {
-        self.sweep(now);
+        self.remove_silent_holders(now);
         if report.demands.len() > MAX_DEMANDS {
             return None;
         }
         if report.term.is_some_and(|term| term > self.term) {
-            // Somebody was in charge since: what it moved stands beside what is moved from here on.
+            // Another planner led since then. Its moves stay in force besides those of the new term.
             let number = report.term.map_or(0, |term| term.number).saturating_add(1);
-            let nodes: Vec<u64> = self.seen.keys().copied().collect();
-            *self = Planner::beyond(self.settings, Term { number, ..self.term });
+            let nodes: Vec<u64> = self.probe_results.keys().copied().collect();
+            *self = Planner::with_term(self.settings, Term { number, ..self.term });
             self.set_nodes(&nodes);
         }
         let holder = self.holder(now, report)?;
-        self.learn(now, holder, report);
-        let known = self.holders.get_mut(&holder)?;
+        self.apply_report(now, holder, report);
+        let state = self.holders.get_mut(&holder)?;
         self.versions += 1;
-        known.version = self.versions;
-        let version = known.version;
-        let held_version = known.held_version;
-        let mut resources: BTreeSet<Resource> = known.wants.iter().copied().collect();
-        // A plan that is lost must not be taken for held once the next one is: what it moved is moved again until then.
-        let shared = &self.shared;
-        let unheld = |resource: &&Resource| {
-            let newest = shared.get(resource).and_then(|shared| shared.ledger.newest_move(holder));
+        state.version = self.versions;
+        let version = state.version;
+        let held_version = state.held_version;
+        let mut resources: BTreeSet<Resource> = state.demands.iter().copied().collect();
+        // The confirmation of this plan also confirms earlier ones, which may have been lost. So this plan repeats or
+        // replaces all moves that are not confirmed yet.
+        let states = &self.resources;
+        let is_unconfirmed = |resource: &&Resource| {
+            let newest =
+                states.get(resource).and_then(|resource_state| resource_state.ledger.newest_move(holder));
             newest.is_some_and(|(version, ..)| version > held_version)
         };
-        resources.extend(known.moved.iter().filter(unheld));
-        let (mut moves, mut whole) = (Vec::new(), true);
+        resources.extend(state.moved.iter().filter(is_unconfirmed));
+        let (mut moves, mut all_resolved) = (Vec::new(), true);
         for resource in resources {
             match self.decide(now, holder, version, resource) {
                 Ok(moved) => moves.extend(moved.map(|moved| (resource, moved))),
-                Err(Unsettled) => whole = false,
+                Err(UnresolvedMove) => all_resolved = false,
             }
         }
-        if !whole {
+        if !all_resolved {
             return None;
         }
         let (probes, hints) = (self.probes_for(holder, version), self.hints_for(now, holder));
@@ -217,231 +224,241 @@
         })
     }
 
-    /// The process that a report comes from; an earlier one of the same forwarder has ended.
+    /// The process that sent a report, added if it is new. An earlier process of the same forwarder has ended.
     fn holder(&mut self, now: Duration, report: &Report) -> Option<HolderId> {
-        let known = self.by_forwarder.get(&report.forwarder).copied();
-        if let Some(holder) = known {
+        let current = self.by_forwarder.get(&report.forwarder).copied();
+        if let Some(holder) = current {
             match self.holders.get_mut(&holder) {
-                Some(known) if known.incarnation == report.incarnation => {
-                    if std::mem::replace(&mut known.silent, false) {
+                Some(state) if state.incarnation == report.incarnation => {
+                    if std::mem::replace(&mut state.silent, false) {
                         self.probes.add(report.forwarder.0);
                     }
                     return Some(holder);
                 }
-                // Its moves count to their ends: the new process gives back nothing until then.
-                _ => self.fall_silent(holder),
+                // The moves of the earlier process count until they end; the new one gives nothing back until then.
+                _ => self.mark_silent(holder),
             }
         }
-        if self.holders.len() >= MOST_HOLDERS {
+        if self.holders.len() >= MAX_HOLDERS {
             return None;
         }
         self.last_holder += 1;
-        let known = Known {
+        let state = HolderState {
             forwarder: report.forwarder,
             incarnation: report.incarnation,
-            heard: now,
+            last_report: now,
             silent: false,
             version: 0,
             held_version: 0,
             moved: BTreeSet::new(),
-            wants: Vec::new(),
+            demands: Vec::new(),
             probes: None,
-            hinted: 0,
+            last_hint: 0,
         };
-        self.holders.insert(self.last_holder, known);
+        self.holders.insert(self.last_holder, state);
         self.by_forwarder.insert(report.forwarder, self.last_holder);
         self.probes.add(report.forwarder.0);
         Some(self.last_holder)
     }
 
-    /// Takes in what a report says.
-    fn learn(&mut self, now: Duration, holder: HolderId, report: &Report) {
-        let Some(known) = self.holders.get_mut(&holder) else { return };
-        known.heard = now;
+    /// Updates the confirmed version, the demands and the probe results from a report.
+    fn apply_report(&mut self, now: Duration, holder: HolderId, report: &Report) {
+        let Some(state) = self.holders.get_mut(&holder) else { return };
+        state.last_report = now;
         if report.term == Some(self.term)
-            && report.held_version > known.held_version
-            && report.held_version <= known.version
+            && report.held_version > state.held_version
+            && report.held_version <= state.version
         {
-            known.held_version = report.held_version;
-            for resource in &known.moved {
-                if let Some(shared) = self.shared.get_mut(resource) {
+            state.held_version = report.held_version;
+            for resource in &state.moved {
+                if let Some(resource_state) = self.resources.get_mut(resource) {
                     let refused = report.refused.contains(resource);
-                    shared.ledger.confirm(now, holder, report.held_version, refused);
+                    resource_state.ledger.confirm(now, holder, report.held_version, refused);
                 }
             }
         }
-        let wants: Vec<Resource> = report.demands.iter().map(|demand| demand.resource).collect();
-        let before = std::mem::replace(&mut known.wants, wants);
+        let demands: Vec<Resource> = report.demands.iter().map(|demand| demand.resource).collect();
+        let before = std::mem::replace(&mut state.demands, demands);
         for resource in before {
             if !report.demands.iter().any(|demand| demand.resource == resource) {
-                self.forget_wants(holder, resource);
+                self.remove_demand(holder, resource);
             }
         }
         for demand in &report.demands {
-            if self.shared.len() >= MOST_RESOURCES && !self.shared.contains_key(&demand.resource) {
+            if self.resources.len() >= MAX_RESOURCES && !self.resources.contains_key(&demand.resource) {
                 continue;
             }
-            let shared = self.shared.entry(demand.resource).or_default();
-            let wants = HolderDemand {
+            let resource_state = self.resources.entry(demand.resource).or_default();
+            let holder_demand = HolderDemand {
                 even_share: demand.even_share,
                 wanted: f64::from(demand.wanted),
                 gives_back: report.gives_back,
             };
-            if shared.wants.insert(holder, wants).is_none() {
-                shared.reckoned = None;
+            if resource_state.demands.insert(holder, holder_demand).is_none() {
+                resource_state.divided_at = None;
             }
         }
         for probed in &report.probe_results {
-            if let Some(seen) = self.seen.get_mut(&probed.node) {
+            if let Some(last_result) = self.probe_results.get_mut(&probed.node) {
                 let at = now.saturating_sub(probed.age);
-                if at >= seen.1 {
-                    self.news += 1;
-                    *seen = (*probed, at, self.news);
+                if at >= last_result.1 {
+                    self.last_result_number += 1;
+                    *last_result = (*probed, at, self.last_result_number);
                 }
             }
         }
     }
 
-    /// What is to change for a holder in a resource, if anything.
+    /// The move to send to a holder for a resource, if any.
     fn decide(
         &mut self,
         now: Duration,
         holder: HolderId,
         version: u64,
         resource: Resource,
-    ) -> Result<Option<Move>, Unsettled> {
+    ) -> Result<Option<Move>, UnresolvedMove> {
         let Settings { grant, reclaim, .. } = self.settings;
-        let (Some(shared), Some(known)) = (self.shared.get_mut(&resource), self.holders.get_mut(&holder))
+        let (Some(resource_state), Some(state)) =
+            (self.resources.get_mut(&resource), self.holders.get_mut(&holder))
         else {
             return Ok(None);
         };
-        shared.reckon(now);
-        let wants = shared.wants.get(&holder).map(|wants| wants.even_share);
-        // One that wants nothing any more is to have what it has without a planner.
-        let even_share = wants.unwrap_or_default();
-        let to_have = shared.parts.get(&holder).copied().filter(|_| wants.is_some()).unwrap_or(even_share);
-        let ledger = &mut shared.ledger;
+        resource_state.update_shares(now);
+        let reported_even_share = resource_state.demands.get(&holder).map(|demand| demand.even_share);
+        // A process without a demand returns to its share without a planner.
+        let even_share = reported_even_share.unwrap_or_default();
+        let target_share = resource_state
+            .shares
+            .get(&holder)
+            .copied()
+            .filter(|_| reported_even_share.is_some())
+            .unwrap_or(even_share);
+        let ledger = &mut resource_state.ledger;
         ledger.drop_expired(now);
         let newest = ledger.newest_move(holder);
-        let is_held = newest.is_none_or(|(version, ..)| version <= known.held_version);
+        let is_held = newest.is_none_or(|(version, ..)| version <= state.held_version);
         let reclaimed = ledger.bounds(now, holder).0;
-        let moved = if to_have < even_share.minus(LEAST) {
-            let part = even_share.minus(to_have);
-            // One that is as it should be, and lasts, is not sent again.
-            let near = |other: Share| part.0.abs_diff(other.0) < LEAST.0;
-            let lasts = |until: Duration| until > now + reclaim * 7 / 10;
-            if matches!(newest, Some((_, Move::Reclaim(other, _), until)) if is_held && near(other) && lasts(until))
+        let moved = if target_share < even_share.minus(MIN_MOVE) {
+            let share = even_share.minus(target_share);
+            // A similar reclaim that lasts long enough is not repeated.
+            let is_similar = |other: Share| share.0.abs_diff(other.0) < MIN_MOVE.0;
+            let lasts_long_enough = |until: Duration| until > now + reclaim * 7 / 10;
+            if matches!(newest, Some((_, Move::Reclaim(other, _), until)) if is_held && is_similar(other) && lasts_long_enough(until))
             {
                 return Ok(None);
             }
-            // What was granted of it is waited for: until then as much is reclaimed on.
-            let sent = [part, part.max(reclaimed)];
-            let sent = sent.into_iter().find(|part| ledger.reclaim(now, holder, version, *part, reclaim));
-            sent.map(|part| Move::Reclaim(part, reclaim))
+            // A smaller reclaim may not cover grants that are still in force; then the present one is continued.
+            let sent = [share, share.max(reclaimed)];
+            let sent = sent.into_iter().find(|share| ledger.reclaim(now, holder, version, *share, reclaim));
+            sent.map(|share| Move::Reclaim(share, reclaim))
         } else {
-            let part = to_have.minus(even_share).min(ledger.max_grant(now, holder, (now, grant)));
-            let part = if part < LEAST { Share::NONE } else { part };
+            let share = target_share.minus(even_share).min(ledger.max_grant(now, holder, (now, grant)));
+            let share = if share < MIN_MOVE { Share::NONE } else { share };
             let gives_back = matches!(newest, Some((_, Move::Reclaim(..), until)) if until > now);
-            if part == Share::NONE && !gives_back && is_held {
+            if share == Share::NONE && !gives_back && is_held {
                 return Ok(None);
             }
-            if ledger.grant(now, holder, version, part, (now, grant)) {
-                Some(Move::Grant(part, grant))
+            if ledger.grant(now, holder, version, share, (now, grant)) {
+                Some(Move::Grant(share, grant))
             } else {
-                // What was granted of its own is waited for.
+                // Its reclaimed share may still cover a grant, so the reclaim is continued until that has ended.
                 let kept = ledger.reclaim(now, holder, version, reclaimed, reclaim);
                 kept.then_some(Move::Reclaim(reclaimed, reclaim))
             }
         };
         if moved.is_some() {
-            known.moved.insert(resource);
+            state.moved.insert(resource);
         }
         if moved.is_none() && !is_held {
-            return Err(Unsettled);
+            return Err(UnresolvedMove);
         }
         Ok(moved)
     }
 
     fn probes_for(&mut self, holder: HolderId, version: u64) -> Option<Vec<u64>> {
-        let known = self.holders.get_mut(&holder)?;
-        let probes = self.probes.keys_of(known.forwarder.0);
-        match &known.probes {
-            Some((told, with)) if told == probes && *with <= known.held_version => return None,
+        let state = self.holders.get_mut(&holder)?;
+        let probes = self.probes.keys_of(state.forwarder.0);
+        match &state.probes {
+            Some((previous, since_version)) if previous == probes && *since_version <= state.held_version => {
+                return None
+            }
             _ => {}
         }
-        // Told again until it is known to hold it.
-        known.probes = Some((probes.to_vec(), version));
+        // Repeated until the process confirms a plan with it.
+        state.probes = Some((probes.to_vec(), version));
         Some(probes.to_vec())
     }
 
     fn hints_for(&mut self, now: Duration, holder: HolderId) -> Vec<ProbeResult> {
-        let Some(known) = self.holders.get_mut(&holder) else { return Vec::new() };
-        let own = self.probes.keys_of(known.forwarder.0);
-        let mut news: Vec<(u64, ProbeResult)> = Vec::new();
-        for (node, (probed, at, number)) in &self.seen {
-            if *number > known.hinted && own.binary_search(node).is_err() {
-                news.push((*number, ProbeResult { age: now.saturating_sub(*at), ..*probed }));
+        let Some(state) = self.holders.get_mut(&holder) else { return Vec::new() };
+        let own = self.probes.keys_of(state.forwarder.0);
+        let mut hints: Vec<(u64, ProbeResult)> = Vec::new();
+        for (node, (probed, at, number)) in &self.probe_results {
+            if *number > state.last_hint && own.binary_search(node).is_err() {
+                hints.push((*number, ProbeResult { age: now.saturating_sub(*at), ..*probed }));
             }
         }
-        news.sort_by_key(|(number, _)| *number);
-        news.truncate(MOST_HINTS);
-        known.hinted = news.last().map_or(known.hinted.max(self.news), |(number, _)| *number);
-        news.into_iter().map(|(_, probed)| probed).collect()
+        hints.sort_by_key(|(number, _)| *number);
+        hints.truncate(MAX_HINTS);
+        state.last_hint =
+            hints.last().map_or(state.last_hint.max(self.last_result_number), |(number, _)| *number);
+        hints.into_iter().map(|(_, probed)| probed).collect()
     }
 
-    /// Leaves forwarders out that are silent, and forgets what has ended.
-    fn sweep(&mut self, now: Duration) {
-        if now.saturating_sub(self.swept) < self.settings.silence_timeout / 4 {
+    /// Marks silent forwarders, and drops processes, resources and moves that have ended.
+    fn remove_silent_holders(&mut self, now: Duration) {
+        if now.saturating_sub(self.last_sweep) < self.settings.silence_timeout / 4 {
             return;
         }
-        self.swept = now;
-        let silent_for = |known: &Known| now.saturating_sub(known.heard);
-        let silent = |known: &&Known| !known.silent && silent_for(known) > self.settings.silence_timeout;
-        let of = |known: &Known| self.by_forwarder.get(&known.forwarder).copied();
-        let gone: Vec<HolderId> = self.holders.values().filter(silent).filter_map(of).collect();
-        for holder in gone {
-            self.fall_silent(holder);
+        self.last_sweep = now;
+        let silent_for = |state: &HolderState| now.saturating_sub(state.last_report);
+        let silent =
+            |state: &&HolderState| !state.silent && silent_for(state) > self.settings.silence_timeout;
+        let of = |state: &HolderState| self.by_forwarder.get(&state.forwarder).copied();
+        let newly_silent: Vec<HolderId> = self.holders.values().filter(silent).filter_map(of).collect();
+        for holder in newly_silent {
+            self.mark_silent(holder);
         }
-        // One that is heard of again within this goes on as the same: a move to it replaces the one before. The clocks
-        // may run apart, so that twice the longest move is waited for.
+        // A process that reports again before this is continued, so that a new move replaces the earlier one. Twice the
+        // longest move leaves a margin for clock drift.
         let ended: Vec<HolderId> = self
             .holders
             .iter()
-            .filter(|(_, known)| known.silent && silent_for(known) > MAX_MOVE_DURATION * 2)
+            .filter(|(_, state)| state.silent && silent_for(state) > MAX_MOVE_DURATION * 2)
             .map(|(holder, _)| *holder)
             .collect();
         for holder in ended {
-            if let Some(known) = self.holders.remove(&holder) {
-                self.by_forwarder.retain(|forwarder, of| *forwarder != known.forwarder || *of != holder);
+            if let Some(state) = self.holders.remove(&holder) {
+                self.by_forwarder.retain(|forwarder, of| *forwarder != state.forwarder || *of != holder);
             }
         }
-        self.shared.retain(|_, shared| {
-            shared.ledger.drop_expired(now);
-            !shared.wants.is_empty() || !shared.ledger.is_empty()
+        self.resources.retain(|_, resource_state| {
+            resource_state.ledger.drop_expired(now);
+            !resource_state.demands.is_empty() || !resource_state.ledger.is_empty()
         });
-        let shared = &self.shared;
-        for known in self.holders.values_mut() {
-            known
-                .moved
-                .retain(|resource| shared.get(resource).is_some_and(|shared| !shared.ledger.is_empty()));
+        let states = &self.resources;
+        for state in self.holders.values_mut() {
+            state.moved.retain(|resource| {
+                states.get(resource).is_some_and(|resource_state| !resource_state.ledger.is_empty())
+            });
         }
     }
 
-    /// A forwarder's process counts for nothing for now: not for demand, nor for probes.
-    fn fall_silent(&mut self, holder: HolderId) {
-        let Some(known) = self.holders.get_mut(&holder) else { return };
-        known.silent = true;
-        let (forwarder, wants) = (known.forwarder, std::mem::take(&mut known.wants));
+    /// Marks a process as silent: its demand is ignored, and its nodes are probed by others.
+    fn mark_silent(&mut self, holder: HolderId) {
+        let Some(state) = self.holders.get_mut(&holder) else { return };
+        state.silent = true;
+        let (forwarder, demands) = (state.forwarder, std::mem::take(&mut state.demands));
         self.probes.remove(forwarder.0);
-        for resource in wants {
-            self.forget_wants(holder, resource);
+        for resource in demands {
+            self.remove_demand(holder, resource);
         }
     }
 
-    fn forget_wants(&mut self, holder: HolderId, resource: Resource) {
-        if let Some(shared) = self.shared.get_mut(&resource) {
-            shared.wants.remove(&holder);
-            shared.reckoned = None;
+    fn remove_demand(&mut self, holder: HolderId, resource: Resource) {
+        if let Some(resource_state) = self.resources.get_mut(&resource) {
+            resource_state.demands.remove(&holder);
+            resource_state.divided_at = None;
         }
     }
 }
--- a/src/shares/planner/tests.rs
+++ b/src/shares/planner/tests.rs
@@ -3,20 +3,20 @@
 use super::*;
 
 const MS: fn(u64) -> Duration = Duration::from_millis;
-const V: Resource = Resource::Limit(1);
+const VOLUME: Resource = Resource::Limit(1);
 
-/// Forwarders that are no longer young and a planner, all on one clock, with links that lose nothing.
-struct Bench {
+/// A planner and forwarders that are no longer starting, on one clock and with links that lose nothing.
+struct Fixture {
     now: Duration,
     planner: Planner,
     stores: Vec<Store>,
     wanted: Vec<f32>,
 }
 
-impl Bench {
-    fn new(wanted: &[f32]) -> Bench {
+impl Fixture {
+    fn new(wanted: &[f32]) -> Fixture {
         let store = |at: usize| Store::new(ForwarderId(at as u64), 1, 1, Duration::ZERO);
-        Bench {
+        Fixture {
             now: MAX_MOVE_DURATION,
             planner: Planner::new(Settings::default(), PlannerId(1), 1),
             stores: (0..wanted.len()).map(store).collect(),
@@ -30,118 +30,118 @@
 
     fn report(&mut self, at: usize) -> Report {
         let (even_share, wanted) = (self.even_share(), self.wanted[at]);
-        let demand = Demand { resource: V, even_share, wanted };
+        let demand = Demand { resource: VOLUME, even_share, wanted };
         self.stores[at].build_report(self.now, 0, vec![demand], vec![])
     }
 
-    /// A report of each forwarder, each answered at once.
-    fn round(&mut self) -> Vec<Plan> {
+    /// Each forwarder sends a report, which is answered at once.
+    fn run_round(&mut self) -> Vec<Plan> {
         self.now += MS(100);
         let even_share = self.even_share();
         let mut plans = Vec::new();
         for at in 0..self.stores.len() {
             let report = self.report(at);
-            let plan = self.planner.handle_report(self.now, &report).expect("there is room");
-            self.stores[at].apply_plan(self.now, 0, &plan, |_| Some(even_share)).expect("it is newer");
+            let plan = self.planner.handle_report(self.now, &report).expect("a plan answers it");
+            self.stores[at].apply_plan(self.now, 0, &plan, |_| Some(even_share)).expect("the plan is newer");
             plans.push(plan);
-            assert!(self.sum() <= u64::from(Share::WHOLE.0), "{:?}", self.shares());
+            assert!(self.share_sum() <= u64::from(Share::WHOLE.0), "{:?}", self.shares());
         }
         plans
     }
 
-    fn rounds(&mut self, count: usize) {
-        (0..count).for_each(|_| drop(self.round()));
+    fn run_rounds(&mut self, count: usize) {
+        (0..count).for_each(|_| drop(self.run_round()));
     }
 
     fn shares(&self) -> Vec<Share> {
         let even_share = self.even_share();
-        self.stores.iter().map(|store| store.usable_share(self.now, V, even_share)).collect()
+        self.stores.iter().map(|store| store.usable_share(self.now, VOLUME, even_share)).collect()
     }
 
-    fn sum(&self) -> u64 {
-        self.shares().iter().map(|part| u64::from(part.0)).sum()
+    fn share_sum(&self) -> u64 {
+        self.shares().iter().map(|share| u64::from(share.0)).sum()
     }
 }
 
 #[test]
-fn parts_go_where_they_are_wanted_within_a_few_reports_and_follow_when_that_moves() {
-    let mut bench = Bench::new(&[2.0, 0.0, 0.0, 0.0]);
-    bench.rounds(4);
-    assert!(bench.shares()[0].fraction() > 0.75, "{:?}", bench.shares());
-    bench.wanted = vec![0.0, 0.0, 2.0, 0.0];
-    bench.rounds(10);
-    let shares = bench.shares();
+fn shares_follow_demand_within_a_few_reports() {
+    let mut fixture = Fixture::new(&[2.0, 0.0, 0.0, 0.0]);
+    fixture.run_rounds(4);
+    assert!(fixture.shares()[0].fraction() > 0.75, "{:?}", fixture.shares());
+    fixture.wanted = vec![0.0, 0.0, 2.0, 0.0];
+    fixture.run_rounds(10);
+    let shares = fixture.shares();
     assert!(shares[2].fraction() > 0.75 && shares[0].fraction() < 0.1, "{shares:?}");
-    bench.rounds(50);
-    assert_eq!(bench.shares(), shares, "it stays so while nothing changes");
+    fixture.run_rounds(50);
+    assert_eq!(fixture.shares(), shares, "shares are stable while demand does not change");
 }
 
 #[test]
-fn calm_forwarders_are_left_alone_and_told_little() {
-    let mut bench = Bench::new(&[0.1, 0.1, 0.1, 0.1]);
-    bench.rounds(5);
-    assert!(bench.round().iter().all(|plan| plan.moves.is_empty()));
-    assert_eq!(bench.shares(), [Share(250_000); 4]);
+fn low_demand_causes_no_moves() {
+    let mut fixture = Fixture::new(&[0.1, 0.1, 0.1, 0.1]);
+    fixture.run_rounds(5);
+    assert!(fixture.run_round().iter().all(|plan| plan.moves.is_empty()));
+    assert_eq!(fixture.shares(), [Share(250_000); 4]);
 }
 
 #[test]
-fn without_its_planner_everybody_comes_back_to_the_even_part() {
-    let mut bench = Bench::new(&[2.0, 0.0, 0.0, 0.0]);
-    bench.rounds(5);
-    let mut most = bench.shares()[0];
+fn without_a_planner_all_shares_return_to_even() {
+    let mut fixture = Fixture::new(&[2.0, 0.0, 0.0, 0.0]);
+    fixture.run_rounds(5);
+    let mut max_share = fixture.shares()[0];
     for _ in 0..30 {
-        bench.now += MS(50);
-        assert!(bench.sum() <= u64::from(Share::WHOLE.0));
-        assert!(bench.shares()[0] <= most, "it only falls");
-        most = bench.shares()[0];
+        fixture.now += MS(50);
+        assert!(fixture.share_sum() <= u64::from(Share::WHOLE.0));
+        assert!(fixture.shares()[0] <= max_share, "the share only decreases");
+        max_share = fixture.shares()[0];
     }
-    assert_eq!(bench.shares(), [Share(250_000); 4]);
+    assert_eq!(fixture.shares(), [Share(250_000); 4]);
 }
 
 #[test]
-fn a_new_planner_moves_only_what_is_given_back_to_it() {
-    let mut bench = Bench::new(&[2.0, 0.0, 0.0, 0.0]);
-    bench.rounds(5);
-    // It is the lower one of the two, hears of the other's term in the first report, and goes beyond it.
-    bench.planner = Planner::new(Settings::default(), PlannerId(0), 1);
-    bench.wanted = vec![0.0, 2.0, 0.0, 0.0];
-    bench.rounds(15);
-    assert_eq!(bench.planner.term().number, 2);
-    assert!(bench.shares()[1].fraction() > 0.75, "{:?}", bench.shares());
+fn a_new_planner_starts_above_the_known_term_and_moves_shares_again() {
+    let mut fixture = Fixture::new(&[2.0, 0.0, 0.0, 0.0]);
+    fixture.run_rounds(5);
+    // The new planner has the lower id, learns of the other's term from the first report, and starts a higher one.
+    fixture.planner = Planner::new(Settings::default(), PlannerId(0), 1);
+    fixture.wanted = vec![0.0, 2.0, 0.0, 0.0];
+    fixture.run_rounds(15);
+    assert_eq!(fixture.planner.term().number, 2);
+    assert!(fixture.shares()[1].fraction() > 0.75, "{:?}", fixture.shares());
 }
 
 #[test]
-fn one_that_starts_again_gives_back_nothing_and_what_it_had_ends() {
-    let mut bench = Bench::new(&[0.0, 2.0]);
-    bench.rounds(5);
-    assert!(bench.shares()[1].fraction() > 0.8);
-    bench.stores[0] = Store::new(ForwarderId(0), 2, 1, bench.now);
-    bench.rounds(1);
-    assert_eq!(bench.shares()[0], bench.even_share().floor());
-    bench.rounds(20);
-    assert_eq!(bench.shares()[1], bench.even_share(), "what the first process gave back has ended");
-    bench.rounds(50);
-    assert!(bench.shares()[1].fraction() > 0.8, "it is no longer young");
+fn a_restarted_forwarder_gives_nothing_back_and_moves_of_its_old_process_end() {
+    let mut fixture = Fixture::new(&[0.0, 2.0]);
+    fixture.run_rounds(5);
+    assert!(fixture.shares()[1].fraction() > 0.8);
+    fixture.stores[0] = Store::new(ForwarderId(0), 2, 1, fixture.now);
+    fixture.run_rounds(1);
+    assert_eq!(fixture.shares()[0], fixture.even_share().floor());
+    fixture.run_rounds(20);
+    assert_eq!(fixture.shares()[1], fixture.even_share(), "the reclaims from the first process have ended");
+    fixture.run_rounds(50);
+    assert!(fixture.shares()[1].fraction() > 0.8, "the new process is no longer starting");
 }
 
 #[test]
-fn a_dead_forwarders_grant_is_free_again_after_it_has_ended() {
-    let mut bench = Bench::new(&[2.0, 1.0, 0.0, 0.0]);
-    bench.rounds(10);
-    let before = bench.shares()[1];
-    // The first one dies with its grant in hand.
-    let dead = bench.stores.remove(0);
-    bench.wanted.remove(0);
-    let granted = dead.next_expiry(bench.now).unwrap() - bench.now;
+fn the_grant_of_a_crashed_forwarder_is_reused_only_after_it_has_ended() {
+    let mut fixture = Fixture::new(&[2.0, 1.0, 0.0, 0.0]);
+    fixture.run_rounds(10);
+    let before = fixture.shares()[1];
+    // The first forwarder crashes while its grant is in force.
+    let crashed = fixture.stores.remove(0);
+    fixture.wanted.remove(0);
+    let granted = crashed.next_expiry(fixture.now).unwrap() - fixture.now;
     let (mut waited, even_share) = (Duration::ZERO, Share::even(4.0));
-    while bench.stores[0].usable_share(bench.now, V, even_share) < before.plus(Share(50_000)) {
-        bench.now += MS(100);
+    while fixture.stores[0].usable_share(fixture.now, VOLUME, even_share) < before.plus(Share(50_000)) {
+        fixture.now += MS(100);
         waited += MS(100);
         for at in 0..3 {
-            let demand = Demand { resource: V, even_share, wanted: bench.wanted[at] };
-            let report = bench.stores[at].build_report(bench.now, 0, vec![demand], vec![]);
-            let plan = bench.planner.handle_report(bench.now, &report).unwrap();
-            bench.stores[at].apply_plan(bench.now, 0, &plan, |_| Some(even_share)).unwrap();
+            let demand = Demand { resource: VOLUME, even_share, wanted: fixture.wanted[at] };
+            let report = fixture.stores[at].build_report(fixture.now, 0, vec![demand], vec![]);
+            let plan = fixture.planner.handle_report(fixture.now, &report).unwrap();
+            fixture.stores[at].apply_plan(fixture.now, 0, &plan, |_| Some(even_share)).unwrap();
         }
     }
     assert!(waited >= granted, "{waited:?} {granted:?}");
@@ -149,132 +149,128 @@
 }
 
 #[test]
-fn each_node_is_probed_by_one_and_all_others_hear_of_it() {
-    let mut bench = Bench::new(&[0.1; 5]);
+fn each_node_has_one_prober_and_all_others_get_its_results() {
+    let mut fixture = Fixture::new(&[0.1; 5]);
     let nodes: Vec<u64> = (0..40).collect();
-    bench.planner.set_nodes(&nodes);
-    bench.rounds(2);
-    let mut probed: Vec<u64> = bench.stores.iter().flat_map(Store::probes).collect();
+    fixture.planner.set_nodes(&nodes);
+    fixture.run_rounds(2);
+    let mut probed: Vec<u64> = fixture.stores.iter().flat_map(Store::probes).collect();
     probed.sort_unstable();
     assert_eq!(probed, nodes);
-    let prober = (0..5).find(|at| bench.stores[*at].probes().any(|node| node == 7)).unwrap();
-    bench.now += MS(100);
-    let seen = ProbeResult { node: 7, response_time: Some(MS(3)), age: MS(20) };
-    let report = bench.stores[prober].build_report(bench.now, 0, vec![], vec![seen]);
-    bench.planner.handle_report(bench.now, &report).unwrap();
-    let told: Vec<usize> = bench
-        .round()
+    let prober = (0..5).find(|at| fixture.stores[*at].probes().any(|node| node == 7)).unwrap();
+    fixture.now += MS(100);
+    let probe_result = ProbeResult { node: 7, response_time: Some(MS(3)), age: MS(20) };
+    let report = fixture.stores[prober].build_report(fixture.now, 0, vec![], vec![probe_result]);
+    fixture.planner.handle_report(fixture.now, &report).unwrap();
+    let informed: Vec<usize> = fixture
+        .run_round()
         .iter()
         .enumerate()
         .filter(|(_, plan)| plan.hints.iter().any(|hint| hint.node == 7 && hint.age == MS(120)))
         .map(|(at, _)| at)
         .collect();
     let others: Vec<usize> = (0..5).filter(|at| *at != prober).collect();
-    assert_eq!(told, others);
-    assert!(bench.round().iter().all(|plan| plan.hints.is_empty() && plan.probes.is_none()));
-    // One that falls silent is replaced.
-    let (gone, _) = (bench.stores.remove(prober), bench.wanted.remove(prober));
-    bench.rounds(15);
-    assert!(gone.probes().count() > 0);
-    assert_eq!(bench.stores.iter().flat_map(Store::probes).count(), 40);
+    assert_eq!(informed, others);
+    assert!(fixture.run_round().iter().all(|plan| plan.hints.is_empty() && plan.probes.is_none()));
+    // The nodes of a silent prober are probed by others.
+    let (silent, _) = (fixture.stores.remove(prober), fixture.wanted.remove(prober));
+    fixture.run_rounds(15);
+    assert!(silent.probes().count() > 0);
+    assert_eq!(fixture.stores.iter().flat_map(Store::probes).count(), 40);
 }
 
-/// The first plan that asks forwarder 0 to give back, which has it not taken.
-fn first_reclaim(bench: &mut Bench) -> Plan {
+/// The first plan with a reclaim from forwarder 0, which does not receive it.
+fn first_reclaim(fixture: &mut Fixture) -> Plan {
     loop {
-        bench.now += MS(100);
-        for at in (0..bench.stores.len()).rev() {
-            let report = bench.report(at);
-            let plan = bench.planner.handle_report(bench.now, &report).unwrap();
-            if at == 0 && matches!(plan.moves.first(), Some((V, Move::Reclaim(..)))) {
+        fixture.now += MS(100);
+        for at in (0..fixture.stores.len()).rev() {
+            let report = fixture.report(at);
+            let plan = fixture.planner.handle_report(fixture.now, &report).unwrap();
+            if at == 0 && matches!(plan.moves.first(), Some((VOLUME, Move::Reclaim(..)))) {
                 return plan;
             }
-            bench.stores[at].apply_plan(bench.now, 0, &plan, |_| Some(Share::even(2.0))).unwrap();
+            fixture.stores[at].apply_plan(fixture.now, 0, &plan, |_| Some(Share::even(2.0))).unwrap();
         }
     }
 }
 
 #[test]
-fn a_plan_that_was_lost_is_not_taken_for_held_with_the_next() {
-    let mut bench = Bench::new(&[0.0, 2.0]);
-    let lost = first_reclaim(&mut bench);
-    bench.now += MS(100);
-    let report = bench.report(0);
-    let next = bench.planner.handle_report(bench.now, &report).unwrap();
-    assert_eq!(next.moves.len(), 1, "what was lost is moved again");
-    // A demand that has ended meanwhile changes nothing of that.
-    let report = bench.stores[0].build_report(bench.now, 0, vec![], vec![]);
-    let later = bench.planner.handle_report(bench.now, &report).unwrap();
+fn moves_of_a_lost_plan_are_repeated_in_the_next() {
+    let mut fixture = Fixture::new(&[0.0, 2.0]);
+    let lost_plan = first_reclaim(&mut fixture);
+    fixture.now += MS(100);
+    let report = fixture.report(0);
+    let next = fixture.planner.handle_report(fixture.now, &report).unwrap();
+    assert_eq!(next.moves.len(), 1, "the move of the lost plan is repeated");
+    // The move is also repeated if the demand has ended.
+    let report = fixture.stores[0].build_report(fixture.now, 0, vec![], vec![]);
+    let later = fixture.planner.handle_report(fixture.now, &report).unwrap();
     assert_eq!(later.moves.len(), 1);
-    assert!(lost.version < next.version && next.version < later.version);
+    assert!(lost_plan.version < next.version && next.version < later.version);
 }
 
 #[test]
-fn one_that_was_silent_goes_on_as_the_same_with_later_versions() {
-    let mut bench = Bench::new(&[0.0, 2.0]);
-    bench.rounds(10);
-    let held = bench.stores[0].latest_plan(bench.now, 0).unwrap().1;
-    // Silent for longer than it takes to be left out; the other one goes on.
+fn a_silent_forwarder_continues_with_later_plan_versions() {
+    let mut fixture = Fixture::new(&[0.0, 2.0]);
+    fixture.run_rounds(10);
+    let held = fixture.stores[0].latest_plan(fixture.now, 0).unwrap().1;
+    // Forwarder 0 is silent for longer than the timeout; the other one continues.
     for _ in 0..30 {
-        bench.now += MS(100);
-        let report = bench.report(1);
-        let plan = bench.planner.handle_report(bench.now, &report).unwrap();
-        bench.stores[1].apply_plan(bench.now, 0, &plan, |_| Some(Share::even(2.0))).unwrap();
+        fixture.now += MS(100);
+        let report = fixture.report(1);
+        let plan = fixture.planner.handle_report(fixture.now, &report).unwrap();
+        fixture.stores[1].apply_plan(fixture.now, 0, &plan, |_| Some(Share::even(2.0))).unwrap();
     }
-    assert_eq!(bench.planner.sizes().forwarders, 1);
-    bench.round();
-    assert!(bench.stores[0].latest_plan(bench.now, 0).unwrap().1 > held, "it was taken");
-    assert_eq!(bench.planner.holders.len(), 2, "no second account of the same process");
-    // Silent for so long that it is forgotten: what it holds is still older than what it is told now.
+    assert_eq!(fixture.planner.sizes().forwarders, 1);
+    fixture.run_round();
+    assert!(fixture.stores[0].latest_plan(fixture.now, 0).unwrap().1 > held, "the plan was applied");
+    assert_eq!(fixture.planner.holders.len(), 2, "no second account of the same process");
+    // Silent for so long that its state is dropped: later plans must still have higher versions than the one it holds.
     for _ in 0..150 {
-        bench.now += MS(100);
-        let report = bench.report(1);
-        bench.planner.handle_report(bench.now, &report).unwrap();
+        fixture.now += MS(100);
+        let report = fixture.report(1);
+        fixture.planner.handle_report(fixture.now, &report).unwrap();
     }
-    assert_eq!(bench.planner.holders.len(), 1);
-    bench.rounds(20);
-    assert!(bench.shares()[1].fraction() > 0.8);
+    assert_eq!(fixture.planner.holders.len(), 1);
+    fixture.run_rounds(20);
+    assert!(fixture.shares()[1].fraction() > 0.8);
 }
 
 #[test]
-fn what_was_held_of_an_earlier_time_in_charge_is_nothing_held_of_this() {
-    let mut bench = Bench::new(&[0.0, 2.0]);
-    bench.rounds(10);
-    let report = bench.report(0);
-    bench.planner = Planner::new(Settings::default(), PlannerId(1), 2);
-    assert_ne!(
-        report.term,
-        Some(bench.planner.term()),
-        "the same number and planner, another time in charge"
-    );
-    let wanting = bench.report(1);
-    bench.planner.handle_report(bench.now, &wanting).unwrap();
-    // None of its plans arrives, and so it goes on to report what it held before.
-    let asked = (0..report.held_version + 5).filter(|_| {
-        let plan = bench.planner.handle_report(bench.now, &report).unwrap();
-        matches!(plan.moves.first(), Some((V, Move::Reclaim(part, _))) if *part > Share::NONE)
+fn a_version_held_from_an_earlier_term_confirms_nothing_in_this_one() {
+    let mut fixture = Fixture::new(&[0.0, 2.0]);
+    fixture.run_rounds(10);
+    let report = fixture.report(0);
+    fixture.planner = Planner::new(Settings::default(), PlannerId(1), 2);
+    assert_ne!(report.term, Some(fixture.planner.term()), "same number and planner, but another term");
+    let other_report = fixture.report(1);
+    fixture.planner.handle_report(fixture.now, &other_report).unwrap();
+    // No plan of the new term arrives, so forwarder 0 keeps reporting the version that it held before.
+    let reclaims = (0..report.held_version + 5).filter(|_| {
+        let plan = fixture.planner.handle_report(fixture.now, &report).unwrap();
+        matches!(plan.moves.first(), Some((VOLUME, Move::Reclaim(share, _))) if *share > Share::NONE)
     });
-    assert!(asked.count() > 10, "it is asked to give back all the time");
-    let granted = bench.report(1);
-    let plan = bench.planner.handle_report(bench.now, &granted).unwrap();
+    assert!(reclaims.count() > 10, "the reclaim is repeated in each plan");
+    let granted = fixture.report(1);
+    let plan = fixture.planner.handle_report(fixture.now, &granted).unwrap();
     assert!(!plan
         .moves
         .iter()
-        .any(|(_, moved)| matches!(moved, Move::Grant(part, _) if *part > Share::NONE)));
+        .any(|(_, moved)| matches!(moved, Move::Grant(share, _) if *share > Share::NONE)));
 }
 
 #[test]
-fn what_is_too_much_is_not_answered() {
+fn oversized_reports_and_too_many_forwarders_are_not_answered() {
     let mut planner = Planner::new(Settings::default(), PlannerId(1), 1);
     let mut store = Store::new(ForwarderId(1), 1, 1, Duration::ZERO);
-    let demand = Demand { resource: V, even_share: Share::even(2.0), wanted: f32::NAN };
+    let demand = Demand { resource: VOLUME, even_share: Share::even(2.0), wanted: f32::NAN };
     let nonsense = store.build_report(MS(1), 0, vec![demand], vec![]);
-    assert!(planner.handle_report(MS(1), &nonsense).is_some(), "a demand that is no number is none");
+    assert!(planner.handle_report(MS(1), &nonsense).is_some(), "a NaN demand counts as none");
     let long = Report { demands: vec![demand; MAX_DEMANDS + 1], ..nonsense };
     assert!(planner.handle_report(MS(1), &long).is_none());
-    for forwarder in 0..MOST_HOLDERS as u64 {
+    for forwarder in 0..MAX_HOLDERS as u64 {
         let mut store = Store::new(ForwarderId(10 + forwarder), 1, 1, Duration::ZERO);
         planner.handle_report(MS(1), &store.build_report(MS(1), 0, vec![], vec![]));
     }
-    assert_eq!(planner.sizes().forwarders, MOST_HOLDERS);
+    assert_eq!(planner.sizes().forwarders, MAX_HOLDERS);
 }
--- a/src/shares/store.rs
+++ b/src/shares/store.rs
@@ -1,46 +1,47 @@
-//! What a forwarder holds of the plans that it was sent, and what it may use by them now. Times are its own, on a clock
-//! that goes on while the process is stopped.
+//! The plans that a forwarder holds, and the shares that it may use by them. Times are on the forwarder's clock, which has
+//! to go on while the process is suspended.
 //!
-//! Of each resource it may use its even part, less what it gave back, and besides what it was granted; each move counts
-//! until its own end, whoever sent it. Without planners all of them end, one by one, and the even part is left.
+//! Of each resource a forwarder may use its even share, minus what it gives back, plus what it was granted. Each move is in
+//! force until its own end, whichever planner sent it. Without planners all moves end, and the even share remains.
 
 use super::{Demand, ForwarderId, Move, Plan, ProbeResult, Report, Resource, Share, Term, MAX_MOVE_DURATION};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// Reports that a plan may still answer. Grants of a plan that answers an older one have no beginning.
-const MOST_ASKED: usize = 64;
-/// Moves that a plan may name. Guards against a planner that floods.
+/// Maximum of reports that a plan may still answer. The grants of a plan that answers an older one are ignored, since
+/// their start is not known.
+const MAX_PENDING_REPORTS: usize = 64;
+/// Maximum of moves in a plan, which bounds the memory used for a faulty planner.
 pub const MAX_MOVES: usize = 65_536;
-/// A plan that is older is said to be stale.
-const STALE: Duration = Duration::from_secs(1);
+/// Age from which on the last plan of a partition is stale.
+const STALE_AFTER: Duration = Duration::from_secs(1);
 
-/// Why a plan was not taken.
+/// Why a plan was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlanRejection {
-    /// A later planner has spoken.
+    /// A plan of a later term was received before.
     OldTerm,
-    /// A later plan of the same planner came before.
+    /// The same or a later version of the same term was received before.
     OldVersion,
     /// It is for a process of this forwarder that has ended.
     OtherProcess,
-    /// More moves than any plan has.
+    /// It has more than [`MAX_MOVES`] moves.
     TooLong,
 }
 
-/// By what a forwarder goes, for one partition.
+/// What a forwarder's shares in one partition are based on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Mode {
-    /// By plans that are fresh.
+    /// Recent plans.
     Planned,
-    /// By the last plan, which has become old: moves end one by one.
+    /// An old plan, whose moves end one after the other.
     Stale,
-    /// By even parts: no plan has come for longer than any move lasts.
+    /// Even shares: no plan was received for longer than any move lasts.
     Safe,
 }
 
 impl Mode {
-    /// Its name.
+    /// The name of the mode in reports.
     pub fn name(self) -> &'static str {
         match self {
             Mode::Planned => "planned",
@@ -50,95 +51,99 @@
     }
 }
 
-/// What goes on with one partition's planner.
+/// The exchange with one partition's planner.
 #[derive(Clone, Debug, Default)]
-struct Charge {
+struct PartitionState {
     term: Option<Term>,
     version: u64,
-    /// When the last plan was taken.
-    heard: Option<Duration>,
-    /// Reports sent last: their numbers and times.
-    asked: VecDeque<(u64, Duration)>,
-    number: u64,
-    /// Resources whose reclaims, in the newest moves, were not taken.
+    /// When the last plan was applied.
+    last_plan: Option<Duration>,
+    /// Numbers and times of the last reports.
+    reports: VecDeque<(u64, Duration)>,
+    report_number: u64,
+    /// Resources whose newest reclaims were refused.
     refused: BTreeSet<Resource>,
     probes: Vec<u64>,
 }
 
-/// A move that counts until its end.
+/// A move in force until the given time.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Counts {
+enum ActiveMove {
     Reclaimed(Share, Duration),
     Granted(Share, Duration),
 }
 
 #[derive(Clone, Debug, Default)]
-struct Held {
-    /// The newest move of each planner that has sent one.
-    moves: Vec<(Term, Counts)>,
+struct ResourceMoves {
+    /// The newest move of each term.
+    moves: Vec<(Term, ActiveMove)>,
 }
 
-/// The plans of one forwarder's process.
+/// The state of one forwarder's process towards the planners.
 #[derive(Clone, Debug)]
 pub struct Store {
     forwarder: ForwarderId,
     incarnation: u64,
     started: Duration,
-    partitions: Vec<Charge>,
-    held: BTreeMap<Resource, Held>,
+    partitions: Vec<PartitionState>,
+    resources: BTreeMap<Resource, ResourceMoves>,
 }
 
 impl Store {
-    /// A process that starts now, with so many partitions of planners.
+    /// The state of a process that starts now, with this number of partitions.
     pub fn new(forwarder: ForwarderId, incarnation: u64, partitions: usize, now: Duration) -> Self {
-        let partitions = vec![Charge::default(); partitions];
-        Store { forwarder, incarnation, started: now, partitions, held: BTreeMap::new() }
+        let partitions = vec![PartitionState::default(); partitions];
+        Store { forwarder, incarnation, started: now, partitions, resources: BTreeMap::new() }
     }
 
-    /// The part of a resource that may be used now, of which this is the even part.
+    /// The share of a resource that may be used now, given the even share.
     pub fn usable_share(&self, now: Duration, resource: Resource, even_share: Share) -> Share {
         let own = if self.is_starting(now) { even_share.floor() } else { even_share };
-        let Some(held) = self.held.get(&resource) else { return own };
-        let (reclaimed, granted) = held.sums(now);
+        let Some(resource_moves) = self.resources.get(&resource) else { return own };
+        let (reclaimed, granted) = resource_moves.totals(now);
         own.minus(reclaimed).plus(granted)
     }
 
-    /// Whether it cannot know yet what it gave back before it was started.
+    /// Whether moves of an earlier process of this forwarder may still be in force, which this process does not know.
     pub fn is_starting(&self, now: Duration) -> bool {
         now.saturating_sub(self.started) < MAX_MOVE_DURATION
     }
 
-    /// By what it goes for a partition.
+    /// The mode of a partition.
     pub fn mode(&self, now: Duration, partition: usize) -> Mode {
-        match self.partitions[partition].heard.map(|at| now.saturating_sub(at)) {
-            Some(age) if age < STALE => Mode::Planned,
+        match self.partitions[partition].last_plan.map(|at| now.saturating_sub(at)) {
+            Some(age) if age < STALE_AFTER => Mode::Planned,
             Some(age) if age < MAX_MOVE_DURATION => Mode::Stale,
             _ => Mode::Safe,
         }
     }
 
-    /// The term that it goes by, the newest version held, and the age of that.
+    /// The term, version and age of the newest plan of a partition.
     pub fn latest_plan(&self, now: Duration, partition: usize) -> Option<(Term, u64, Duration)> {
-        let charge = &self.partitions[partition];
-        Some((charge.term?, charge.version, now.saturating_sub(charge.heard?)))
+        let state = &self.partitions[partition];
+        Some((state.term?, state.version, now.saturating_sub(state.last_plan?)))
     }
 
-    /// Nodes that it is to probe.
+    /// The nodes that this forwarder must probe.
     pub fn probes(&self) -> impl Iterator<Item = u64> + '_ {
-        self.partitions.iter().flat_map(|charge| charge.probes.iter().copied())
+        self.partitions.iter().flat_map(|state| state.probes.iter().copied())
     }
 
-    /// Moves in force: shares given back and grants.
+    /// The numbers of reclaims and grants in force.
     pub fn in_force(&self, now: Duration) -> (usize, usize) {
-        let counts = self.held.values().flat_map(|held| &held.moves);
-        counts.fold((0, 0), |(reclaimed, granted), (_, counts)| match counts {
-            Counts::Reclaimed(part, until) if now < *until && *part > Share::NONE => (reclaimed + 1, granted),
-            Counts::Granted(part, until) if now < *until && *part > Share::NONE => (reclaimed, granted + 1),
+        let active = self.resources.values().flat_map(|resource_moves| &resource_moves.moves);
+        active.fold((0, 0), |(reclaimed, granted), (_, active)| match active {
+            ActiveMove::Reclaimed(share, until) if now < *until && *share > Share::NONE => {
+                (reclaimed + 1, granted)
+            }
+            ActiveMove::Granted(share, until) if now < *until && *share > Share::NONE => {
+                (reclaimed, granted + 1)
+            }
             _ => (reclaimed, granted),
         })
     }
 
-    /// The next report to a partition's planner.
+    /// Builds the next report to a partition's planner.
     pub fn build_report(
         &mut self,
         now: Duration,
@@ -147,26 +152,26 @@
         probe_results: Vec<ProbeResult>,
     ) -> Report {
         let gives_back = !self.is_starting(now);
-        let charge = &mut self.partitions[partition];
-        charge.number += 1;
-        charge.asked.push_back((charge.number, now));
-        if charge.asked.len() > MOST_ASKED {
-            charge.asked.pop_front();
+        let state = &mut self.partitions[partition];
+        state.report_number += 1;
+        state.reports.push_back((state.report_number, now));
+        if state.reports.len() > MAX_PENDING_REPORTS {
+            state.reports.pop_front();
         }
         Report {
             forwarder: self.forwarder,
             incarnation: self.incarnation,
-            number: charge.number,
+            number: state.report_number,
             gives_back,
-            term: charge.term,
-            held_version: charge.version,
-            refused: charge.refused.iter().copied().collect(),
+            term: state.term,
+            held_version: state.version,
+            refused: state.refused.iter().copied().collect(),
             demands,
             probe_results,
         }
     }
 
-    /// Takes a plan of a partition's planner. `even` tells the even part of a resource.
+    /// Applies a plan of a partition's planner. `even_share` returns the even share of a resource, if known.
     pub fn apply_plan(
         &mut self,
         now: Duration,
@@ -177,54 +182,60 @@
         if plan.moves.len() > MAX_MOVES {
             return Err(PlanRejection::TooLong);
         }
-        // Guards against grants that would count from a report of another process with the same number.
+        // Otherwise a grant could start with a report of this process that only has the same number as that of the other.
         if plan.incarnation != self.incarnation {
             return Err(PlanRejection::OtherProcess);
         }
-        let young = self.is_starting(now);
-        let charge = &mut self.partitions[partition];
-        match charge.term {
+        let is_starting = self.is_starting(now);
+        let state = &mut self.partitions[partition];
+        match state.term {
             Some(term) if plan.term < term => return Err(PlanRejection::OldTerm),
-            Some(term) if plan.term == term && plan.version <= charge.version => {
+            Some(term) if plan.term == term && plan.version <= state.version => {
                 return Err(PlanRejection::OldVersion);
             }
             Some(term) if plan.term == term => {}
-            // What an earlier planner moved goes on until its end; what it wants of probes does not.
-            _ => (charge.refused, charge.probes) = (BTreeSet::new(), Vec::new()),
+            // Moves of earlier terms stay in force until their ends; their lists of nodes to probe don't.
+            _ => (state.refused, state.probes) = (BTreeSet::new(), Vec::new()),
         }
-        (charge.term, charge.version, charge.heard) = (Some(plan.term), plan.version, Some(now));
-        let asked = charge.asked.iter().find(|(number, _)| *number == plan.answers_report).map(|(_, at)| *at);
+        (state.term, state.version, state.last_plan) = (Some(plan.term), plan.version, Some(now));
+        let reported_at =
+            state.reports.iter().find(|(number, _)| *number == plan.answers_report).map(|(_, at)| *at);
         if let Some(probes) = &plan.probes {
-            charge.probes.clone_from(probes);
+            state.probes.clone_from(probes);
         }
-        for (resource, moved) in &plan.moves {
-            charge.refused.remove(resource);
-            let held = self.held.entry(*resource).or_default();
-            let reclaimed = |(term, counts): &&(Term, Counts)| {
-                *term == plan.term && matches!(counts, Counts::Reclaimed(_, until) if now < *until)
+        for (resource, new_move) in &plan.moves {
+            state.refused.remove(resource);
+            let resource_moves = self.resources.entry(*resource).or_default();
+            let reclaimed = |(term, active): &&(Term, ActiveMove)| {
+                *term == plan.term && matches!(active, ActiveMove::Reclaimed(_, until) if now < *until)
             };
-            let reclaimed = held.moves.iter().find(reclaimed).copied();
-            held.moves.retain(|(term, counts)| *term != plan.term && counts.until() > now);
-            match *moved {
-                Move::Reclaim(part, lasts) => {
-                    let room = even_share(*resource).map_or(Share::NONE, |even_share| {
-                        even_share.minus(even_share.floor()).minus(held.sums(now).0)
+            let reclaimed = resource_moves.moves.iter().find(reclaimed).copied();
+            resource_moves.moves.retain(|(term, active)| *term != plan.term && active.until() > now);
+            match *new_move {
+                Move::Reclaim(share, duration) => {
+                    let reclaimable = even_share(*resource).map_or(Share::NONE, |even_share| {
+                        even_share.minus(even_share.floor()).minus(resource_moves.totals(now).0)
                     });
-                    // Guards its floor from two planners that both ask, and what it may have given back before it started.
-                    if part > room || young {
-                        // What it gave back before goes on: the planner counts on the lesser of the two until it hears.
-                        // A grant does not: the planner counts on it to end.
-                        held.moves.extend(reclaimed);
-                        charge.refused.insert(*resource);
+                    // Two planners that both reclaim must not take the floor, and a starting process does not know what
+                    // an earlier one gave back.
+                    if share > reclaimable || is_starting {
+                        // An earlier reclaim stays in force: the planner counts on the smaller of the two until it learns
+                        // of the refusal. An earlier grant ends, since the planner counts on its end.
+                        resource_moves.moves.extend(reclaimed);
+                        state.refused.insert(*resource);
                     } else {
-                        held.moves
-                            .push((plan.term, Counts::Reclaimed(part, now + lasts.min(MAX_MOVE_DURATION))));
+                        resource_moves.moves.push((
+                            plan.term,
+                            ActiveMove::Reclaimed(share, now + duration.min(MAX_MOVE_DURATION)),
+                        ));
                     }
                 }
-                Move::Grant(part, lasts) => {
-                    if let Some(asked) = asked {
-                        held.moves
-                            .push((plan.term, Counts::Granted(part, asked + lasts.min(MAX_MOVE_DURATION))));
+                Move::Grant(share, duration) => {
+                    if let Some(reported_at) = reported_at {
+                        resource_moves.moves.push((
+                            plan.term,
+                            ActiveMove::Granted(share, reported_at + duration.min(MAX_MOVE_DURATION)),
+                        ));
                     }
                 }
             }
@@ -232,39 +243,42 @@
         Ok(())
     }
 
-    /// Forgets moves that have ended.
+    /// Drops moves that have ended.
     pub fn drop_expired(&mut self, now: Duration) {
-        self.held.retain(|_, held| {
-            held.moves.retain(|(_, counts)| counts.until() > now);
-            !held.moves.is_empty()
+        self.resources.retain(|_, resource_moves| {
+            resource_moves.moves.retain(|(_, active)| active.until() > now);
+            !resource_moves.moves.is_empty()
         });
     }
 
-    /// When the next move ends, so that what depends on it is looked at again.
+    /// When the next move ends, so that dependent shares can be recomputed.
     pub fn next_expiry(&self, now: Duration) -> Option<Duration> {
-        let ends = self.held.values().flat_map(|held| held.moves.iter().map(|(_, counts)| counts.until()));
+        let ends = self
+            .resources
+            .values()
+            .flat_map(|resource_moves| resource_moves.moves.iter().map(|(_, active)| active.until()));
         ends.filter(|at| *at > now).min()
     }
 }
 
-impl Held {
-    /// What is given back and what is granted now.
-    fn sums(&self, now: Duration) -> (Share, Share) {
+impl ResourceMoves {
+    /// The sums of reclaims and of grants in force now.
+    fn totals(&self, now: Duration) -> (Share, Share) {
         self.moves.iter().fold(
             (Share::NONE, Share::NONE),
-            |(reclaimed, granted), (_, counts)| match *counts {
-                Counts::Reclaimed(part, until) if now < until => (reclaimed.plus(part), granted),
-                Counts::Granted(part, until) if now < until => (reclaimed, granted.plus(part)),
+            |(reclaimed, granted), (_, active)| match *active {
+                ActiveMove::Reclaimed(share, until) if now < until => (reclaimed.plus(share), granted),
+                ActiveMove::Granted(share, until) if now < until => (reclaimed, granted.plus(share)),
                 _ => (reclaimed, granted),
             },
         )
     }
 }
 
-impl Counts {
+impl ActiveMove {
     fn until(&self) -> Duration {
         match self {
-            Counts::Reclaimed(_, until) | Counts::Granted(_, until) => *until,
+            ActiveMove::Reclaimed(_, until) | ActiveMove::Granted(_, until) => *until,
         }
     }
 }
