--- a/src/bin/topazpath-planner.rs
+++ b/src/bin/topazpath-planner.rs
@@ -1,5 +1,6 @@
 //! The planner process, which divides shared limits among initiators for the partitions that it is elected for. Its
-//! argument is its configuration file. With `configuration` it is the operators' command for live configuration instead.
+//! argument is its configuration file. With `configuration` it is the operators' command for live configuration
+//! instead.
 
 use clap::error::ErrorKind;
 use clap::{Args, Parser, Subcommand};
@@ -34,8 +35,9 @@
 enum Command {
     /// Submits, shows and follows revisions of the live configuration.
     ///
-    /// Exit codes: 0 done or in force, 1 refused (a conflict, or a document that can't be accepted), 2 arguments or files that
-    /// can't be used, 3 not decided (no quorum, an unknown outcome, planners out of reach), 4 not in force everywhere in time.
+    /// Exit codes: 0 done or in force, 1 refused (a conflict, or a document that can't be accepted), 2 arguments or
+    /// files that can't be used, 3 not decided (no quorum, an unknown outcome, planners out of reach), 4 not in force
+    /// everywhere in time.
     #[command(subcommand)]
     Configuration(Action),
 }
@@ -166,7 +168,7 @@
     }
     let exit_code = ExitCode::from(Failure::Usage(String::new()).exit_code());
     if error.kind() == ErrorKind::DisplayHelpOnMissingArgumentOrSubcommand {
-        eprintln!("usage: {NAME} FILE, or {NAME} configuration COMMAND; --help says more");
+        eprintln!("usage: {NAME} FILE, or {NAME} configuration COMMAND; see --help");
         return exit_code;
     }
     let text = error.render().to_string();
--- a/src/planner/client/configuration.rs
+++ b/src/planner/client/configuration.rs
@@ -1,5 +1,5 @@
-//! An initiator's side of live configuration: chooses the planner to subscribe to, keeps the newest revision that is ready
-//! to be applied, and returns the messages for each planner. No I/O; the time is passed in.
+//! An initiator's side of live configuration: chooses the planner to subscribe to, keeps the newest revision that is
+//! ready to be applied, and returns the messages for each planner. No I/O; the time is passed in.
 
 use super::super::frame::ToPlanner;
 use crate::interface::Settings;
@@ -15,7 +15,8 @@
 struct Source {
     address: SocketAddr,
     connected: bool,
-    /// Whether it is in contact with a majority of the planners; `None` until it sends anything about live configuration.
+    /// Whether it is in contact with a majority of the planners; `None` until it sends anything about live
+    /// configuration.
     quorum: Option<bool>,
     /// Whether there is or was a subscription on this connection.
     was_subscribed: bool,
@@ -33,7 +34,8 @@
     preference: Vec<usize>,
     subscribed: Option<usize>,
     prepared: Option<Prepared>,
-    /// When the last message from a planner in contact with a majority was received; at first the start of this process.
+    /// When the last message from a planner in contact with a majority was received; at first the start of this
+    /// process.
     last_quorum: Instant,
 }
 
--- a/src/planner/client/mod.rs
+++ b/src/planner/client/mod.rs
@@ -127,7 +127,8 @@
         links.chain([self.next_report, self.next_change]).min().unwrap_or(self.next_report)
     }
 
-    /// Records the demand of new requests. Returns changed shares, which the scheduler must receive before these requests.
+    /// Records the demand of new requests. Returns changed shares, which the scheduler must receive before these
+    /// requests.
     pub fn record_requests(&mut self, now: Instant, events: &[Event]) -> Option<Event> {
         let at = self.clock.unix(now);
         let mut is_new = false;
@@ -154,8 +155,8 @@
                 limits.push((volume, Some(share.fraction())));
             }
         }
-        // A volume that is no longer metered had no requests for a long time. Its next request is recorded first, so its
-        // share is announced before the scheduler sees the request.
+        // A volume that is no longer metered had no requests for a long time. Its next request is recorded first, so
+        // its share is announced before the scheduler sees the request.
         let (meter, announced) = (&self.meter, &mut self.announced);
         announced.retain(|volume, _| {
             let is_metered = meter.even_share(*volume).is_some();
@@ -326,8 +327,8 @@
         }
     }
 
-    /// The newest revision that can be taken over; it is handed out once. Say with [`Planners::configuration_taken_over`]
-    /// that it was, or with [`Planners::configuration_not_taken_over`] why it could not be.
+    /// The newest revision that is ready to be applied. It is returned once; the result has to be reported with
+    /// [`Planners::configuration_taken_over`] or [`Planners::configuration_not_taken_over`].
     pub fn prepared_configuration(&mut self) -> Option<Prepared> {
         self.configuration.as_mut()?.take_prepared()
     }
--- a/src/planner/configuration.rs
+++ b/src/planner/configuration.rs
@@ -1,6 +1,6 @@
-//! Live configuration at a planner: handles the messages of initiators, other planners and operators that concern it, and
-//! returns the messages to send. It owns this planner's replica of the agreement, the distributor of revisions and the
-//! connections to the other planners.
+//! Live configuration at a planner: handles the messages of initiators, other planners and operators that concern it,
+//! and returns the messages to send. It owns this planner's replica of the agreement, the distributor of revisions
+//! and the connections to the other planners.
 
 use super::frame::{FromPlanner, OperatorReply, OperatorRequest, PlannerStatus};
 use super::peers::Peers;
@@ -62,8 +62,8 @@
     ///
     /// # Errors
     ///
-    /// There is no store, it belongs to another planner, or the initiator's configuration can't be used. The error is one
-    /// line.
+    /// There is no store, it belongs to another planner, or the initiator's configuration can't be used. The error is
+    /// one line.
     pub fn start(
         name: &str,
         config: &settings::Configuration,
--- a/src/planner/connection.rs
+++ b/src/planner/connection.rs
@@ -1,5 +1,5 @@
-//! A connection accepted by a planner. Its first message tells whether the client is an initiator, another planner or an
-//! operator's command; the limit on message lengths depends on that.
+//! A connection accepted by a planner. Its first message tells whether the client is an initiator, another planner or
+//! an operator's command; the limit on message lengths depends on that.
 
 use super::frame::{self, ToPlanner, LENGTH_BYTES, MAX_MESSAGE_BYTES};
 use crate::conn::{Conn, ReadEnd};
@@ -9,8 +9,8 @@
 
 /// A connection without a complete message for this time is closed.
 pub(super) const SILENCE_TIMEOUT: Duration = Duration::from_secs(3);
-/// Bytes that may be queued for a client that does not read. Beyond that, plans are skipped until it has read, since the
-/// next plan makes up for them; a message that must not be skipped ends the connection instead.
+/// Bytes that may be queued for a client that does not read. Beyond that, plans are skipped until it has read, since
+/// the next plan makes up for them; a message that must not be skipped ends the connection instead.
 pub(super) const MAX_UNSENT_BYTES: usize = 256 * 1024;
 /// The longest first message: a greeting, or an operator's command with a document.
 const MAX_GREETING_BYTES: usize = 256 * 1024;
--- a/src/planner/frame.rs
+++ b/src/planner/frame.rs
@@ -1,9 +1,9 @@
 //! Wire format between planners and their peers (forwarders, other planners, operators' commands): a four-byte
 //! big-endian length, then the message encoded with postcard.
 //!
-//! A forwarder begins with [`ToPlanner::Hello`], whose bytes up to and including the schema number are the same in every
-//! schema; a planner that does not support that schema answers with a refusal and closes the connection. Then, for each
-//! partition that the planner leads, reports go one way and plans the other.
+//! A forwarder begins with [`ToPlanner::Hello`], whose bytes up to and including the schema number are the same in
+//! every schema; a planner that does not support that schema answers with a refusal and closes the connection. Then,
+//! for each partition that the planner leads, reports go one way and plans the other.
 
 use crate::revisions::agreement::{Proposal, ProposalError};
 use crate::revisions::distribution::InitiatorStatus;
@@ -130,8 +130,8 @@
     },
     /// A revision, or its difference from an earlier one; sent to subscribers.
     Update(Update),
-    /// Whether this planner is in contact with a majority of the planners; sent at the beginning and at each change. While
-    /// it is not, a subscriber may prefer another planner, and the age of its configuration grows.
+    /// Whether this planner is in contact with a majority of the planners; sent at the beginning and at each change.
+    /// While it is not, a subscriber may prefer another planner, and the age of its configuration grows.
     Quorum(bool),
     /// Answers an operator's command.
     OperatorReply(OperatorReply),
@@ -145,8 +145,8 @@
     output.extend_from_slice(&body);
 }
 
-/// Removes the first message from `input`, once it is complete; `None` until then. Fails if the bytes are no such message
-/// or the message is too long.
+/// Removes the first message from `input`, once it is complete; `None` until then. Fails if the bytes are no such
+/// message or the message is too long.
 pub fn decode<M: DeserializeOwned>(input: &mut Vec<u8>) -> Result<Option<M>, String> {
     decode_bounded(input, MAX_MESSAGE_BYTES)
 }
--- a/src/planner/mod.rs
+++ b/src/planner/mod.rs
@@ -1,10 +1,10 @@
 //! Planning: the local scheduler and the remote planners.
 //!
-//! Each initiator owns its scheduler, which alone chooses nodes, retries requests and sheds load. A few remote planners, if
-//! configured, divide the rate limits that all initiators share. `client` is the initiator's side of the link to them and
-//! `server` is the planner process: `settings` its file, `connection` a client's connection, `configuration` and `peers` its
-//! part in live configuration. `operator` is the operators' side of live configuration, and `frame` has the messages of
-//! all of them.
+//! Each initiator owns its scheduler, which alone chooses nodes, retries requests and sheds load. A few remote
+//! planners, if configured, divide the rate limits that all initiators share. `client` is the initiator's side of the
+//! link to them and `server` is the planner process: `settings` its file, `connection` a client's connection,
+//! `configuration` and `peers` its part in live configuration. `operator` is the operators' side of live
+//! configuration, and `frame` has the messages of all of them.
 
 pub mod client;
 mod configuration;
--- a/src/planner/operator.rs
+++ b/src/planner/operator.rs
@@ -1,8 +1,8 @@
-//! The operators' side of live configuration: sends requests to planners, each on a connection of its own, with blocking
-//! I/O and timeouts.
+//! The operators' side of live configuration: sends requests to planners, each on a connection of its own, with
+//! blocking I/O and timeouts.
 //!
-//! Planners are tried one after the other. A proposal whose outcome is unknown is sent again under the same id, never under
-//! a new one, so that it becomes at most one revision.
+//! Planners are tried one after the other. A proposal whose outcome is unknown is sent again under the same id, never
+//! under a new one, so that it becomes at most one revision.
 
 use super::frame::{self, FromPlanner, OperatorReply, OperatorRequest, PlannerStatus, ToPlanner, SCHEMA};
 use crate::revisions::agreement::{Proposal, ProposalError, ProposalId};
@@ -134,13 +134,13 @@
         Ok(revision.ok_or_else(missing)?.document)
     }
 
-    /// Submits a document as the next revision. The planners are asked one after the other until one has the decision, for
-    /// the time `within`, but each at least once.
+    /// Submits a document as the next revision. The planners are asked one after the other until one has the
+    /// decision, for the time `within`, but each at least once.
     ///
     /// # Errors
     ///
-    /// The document is refused, or it is not decided. In the latter case it may still be accepted if the message says that
-    /// the outcome is not known.
+    /// The document is refused, or it is not decided. In the latter case it may still be accepted if the message says
+    /// that the outcome is not known.
     pub fn submit(
         &self,
         document: Document,
--- a/src/planner/operator/fleet.rs
+++ b/src/planner/operator/fleet.rs
@@ -96,8 +96,8 @@
         progress
     }
 
-    /// Whether a revision may be one that these planners accepted. An initiator may still have one of an earlier group of
-    /// planners.
+    /// Whether a revision may be one that these planners accepted. An initiator may still have one of an earlier
+    /// group of planners.
     fn may_be_accepted(&self, revision: RevisionId) -> bool {
         revision.number < self.newest.number || revision == self.newest
     }
@@ -151,13 +151,13 @@
     }
 }
 
-/// Waits until a revision, or the newest, is in force at every connected initiator. Returns its number, and the number of
-/// initiators where it is in force.
+/// Waits until a revision, or the newest, is in force at every connected initiator. Returns its number, and the
+/// number of initiators where it is in force.
 ///
 /// # Errors
 ///
-/// [`Failure::NotInForce`] when the time is over, or when only initiators that refuse it are left; [`Failure::Undecided`]
-/// if no planner answers when the time is over.
+/// [`Failure::NotInForce`] when the time is over, or when only initiators that refuse it are left;
+/// [`Failure::Undecided`] if no planner answers when the time is over.
 pub fn wait(
     planners: &Planners,
     number: Option<RevisionNumber>,
@@ -217,9 +217,9 @@
     format!("{listed} and {omitted} more")
 }
 
-/// Merges another planner's status of an initiator. A planner that is connected to it takes precedence over one that is
-/// not; of two that are connected, the one with the older revision in force does, so that a revision is never reported as
-/// in force too early.
+/// Merges another planner's status of an initiator. A planner that is connected to it takes precedence over one that
+/// is not; of two that are connected, the one with the older revision in force does, so that a revision is never
+/// reported as in force too early.
 fn merge(known: &mut InitiatorStatus, other: &InitiatorStatus) {
     let is_behind = other.in_force.number < known.in_force.number;
     let replace = match (known.connected, other.connected) {
--- a/src/planner/operator/tests.rs
+++ b/src/planner/operator/tests.rs
@@ -2,7 +2,7 @@
 use std::net::TcpListener;
 use std::sync::mpsc;
 
-/// Stands in for planners: each connection is the next planner's, which says what it was asked for, and answers or closes.
+/// A fake planner: forwards the request of each connection to the receiver, and sends the next answer or closes.
 fn planners(answers: Vec<Option<OperatorReply>>) -> (Planners, mpsc::Receiver<OperatorRequest>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addresses = vec![listener.local_addr().unwrap()];
--- a/src/planner/peers.rs
+++ b/src/planner/peers.rs
@@ -1,5 +1,6 @@
-//! A planner's outgoing connections to the other planners. They carry this planner's agreement messages; the others send
-//! theirs on connections that they open. A message that can't be sent is dropped: the agreement repeats what it needs.
+//! A planner's outgoing connections to the other planners. They carry this planner's agreement messages; the others
+//! send theirs on connections that they open. A message that can't be sent is dropped: the agreement repeats what it
+//! needs.
 
 use super::frame::{self, FromPlanner, ToPlanner, LENGTH_BYTES, SCHEMA};
 use super::settings::Peer;
--- a/src/planner/server.rs
+++ b/src/planner/server.rs
@@ -1,5 +1,5 @@
-//! The planner process: leads the partitions for which it is elected and answers initiators' reports for these with plans.
-//! If live configuration is enabled, other planners and operators' commands connect to the same address.
+//! The planner process: leads the partitions for which it is elected and answers initiators' reports for these with
+//! plans. If live configuration is enabled, other planners and operators' commands connect to the same address.
 
 use super::configuration::{Configuration, Outgoing};
 use super::connection::{Connection, Role};
@@ -330,8 +330,8 @@
         Ok(())
     }
 
-    /// Handles the greeting of another planner. Its earlier connections are closed, since the end of one may not have been
-    /// noticed.
+    /// Handles the greeting of another planner. Its earlier connections are closed, since the end of one may not have
+    /// been noticed.
     fn welcome_peer(&mut self, now: Instant, id: usize, name: &str) -> Result<(), String> {
         let configuration =
             self.configuration.as_ref().ok_or("live configuration is not switched on here")?;
--- a/src/shares/deal.rs
+++ b/src/shares/deal.rs
@@ -1,6 +1,6 @@
 //! Rendezvous hashing: each key belongs to the candidate with the highest score for it. When a candidate is added or
-//! removed, only the keys that it gains or had change their owner. All processes that know the same candidates compute the
-//! same owners without communication.
+//! removed, only the keys that it gains or had change their owner. All processes that know the same candidates
+//! compute the same owners without communication.
 
 use std::collections::BTreeMap;
 
--- a/src/shares/divide.rs
+++ b/src/shares/divide.rs
@@ -16,8 +16,8 @@
 /// Fraction of the demand that is given in addition, if there is enough, since demand may grow between two reports.
 const HEADROOM: f64 = 0.25;
 
-/// The share that each should have, in the order of `holders`. They sum to at most the sum of the even shares, and none is
-/// below its floor (one that can't give back keeps its even share).
+/// The share that each should have, in the order of `holders`. They sum to at most the sum of the even shares, and
+/// none is below its floor (one that can't give back keeps its even share).
 ///
 /// If the rest after these reserved shares covers the excess demand with some headroom, the surplus is divided in
 /// proportion to the even shares. Otherwise the rest is divided in proportion to the excess demand.
--- a/src/shares/ledger.rs
+++ b/src/shares/ledger.rs
@@ -1,9 +1,10 @@
 //! The ledger of one planner's moves of one resource, which tells what it may still move.
 //!
-//! For each forwarder the planner knows the moves that it sent and the newest one that the forwarder confirmed. Any move
-//! sent since then may be in force now, later, or never. So the ledger counts the smallest reclaim with the shortest time,
-//! and the greatest grant with the longest time. A move is allowed only if, at every time from now on, the certain reclaims
-//! cover the possible grants. Times are on the planner's clock, with a margin for clock drift at both ends.
+//! For each forwarder the planner knows the moves that it sent and the newest one that the forwarder confirmed. Any
+//! move sent since then may be in force now, later, or never. So the ledger counts the smallest reclaim with the
+//! shortest time, and the greatest grant with the longest time. A move is allowed only if, at every time from now on,
+//! the certain reclaims cover the possible grants. Times are on the planner's clock, with a margin for clock drift at
+//! both ends.
 //!
 //! The sums over all forwarders are kept by time slots, so that the cost of a move does not depend on the number of
 //! forwarders; docs/planners.md has measurements against computing the sums anew.
@@ -114,7 +115,8 @@
         }
     }
 
-    /// The smallest sum from the current slot to slot `until`, both included, without the balance of the `excluded` account.
+    /// The smallest sum from the current slot to slot `until`, both included, without the balance of the `excluded`
+    /// account.
     fn min_sum(&self, until: u64, excluded: Option<&Account>) -> i32 {
         let last = until.min(self.first + SLOT_COUNT as u64 - 1);
         let sum = |slot_number: u64| {
@@ -137,8 +139,9 @@
 }
 
 impl Ledger {
-    /// Records a reclaim from a holder, sent now and in force from when the holder receives it. False if grants would no
-    /// longer be covered, or if too many moves are pending; then nothing is recorded, and the move must not be sent.
+    /// Records a reclaim from a holder, sent now and in force from when the holder receives it. False if grants would
+    /// no longer be covered, or if too many moves are pending; then nothing is recorded, and the move must not be
+    /// sent.
     pub fn reclaim(
         &mut self,
         now: Duration,
@@ -148,7 +151,8 @@
         duration: Duration,
     ) -> bool {
         let duration = duration.min(MAX_MOVE_DURATION);
-        // The holder's clock may run fast and the planner's slow, so that the reclaim ends early by the planner's clock.
+        // The holder's clock may run fast and the planner's slow, so that the reclaim ends early by the planner's
+        // clock.
         let until = now + duration - duration * 2 / CLOCK_DRIFT_DIVISOR;
         self.record(now, holder, SentMove { version, kind: MoveKind::Reclaimed(share), until })
     }
@@ -179,8 +183,8 @@
         Share(u32::try_from(self.coverage.min_sum(until, self.accounts.get(&holder))).unwrap_or(0))
     }
 
-    /// Records that a holder has this version of the plans. The newest move up to that version is in force there, unless it
-    /// was refused.
+    /// Records that a holder has this version of the plans. The newest move up to that version is in force there,
+    /// unless it was refused.
     pub fn confirm(&mut self, now: Duration, holder: HolderId, version: u64, refused: bool) {
         let Some(account) = self.accounts.get_mut(&holder) else { return };
         if account.confirmed_version.is_some_and(|confirmed| confirmed >= version) {
--- a/src/shares/ledger/tests.rs
+++ b/src/shares/ledger/tests.rs
@@ -23,8 +23,8 @@
     let mut ledger = Ledger::default();
     ledger.reclaim(MS(0), 0, 1, TENTH, MS(800));
     ledger.confirm(MS(0), 0, 1, false);
-    // The reclaim is certain until 784, which counts up to the start of the slot at 780; a grant of 400 from 370 may last
-    // until 782.
+    // The reclaim is certain until 784, which counts up to the start of the slot at 780; a grant of 400 from 370 may
+    // last until 782.
     assert!(!ledger.grant(MS(390), 1, 1, TENTH, (MS(370), MS(400))));
     assert!(ledger.grant(MS(390), 1, 1, TENTH, (MS(367), MS(400))));
     assert!(ledger.is_covered(MS(390)));
@@ -74,8 +74,8 @@
     assert_eq!(sent, MAX_PENDING_MOVES);
 }
 
-/// The moves that are really in force at a holder. Their ends are computed for a holder's clock that runs 1 % off while the
-/// planner's runs 1 % off in the other direction.
+/// The moves that are really in force at a holder. Their ends are computed for a holder's clock that runs 1 % off
+/// while the planner's runs 1 % off in the other direction.
 #[derive(Clone, Copy, Default)]
 struct HolderState {
     version: u64,
@@ -84,7 +84,8 @@
 }
 
 proptest! {
-    /// Whichever moves are lost, late or out of order, the grants really in force never exceed the reclaims really in force.
+    /// Whichever moves are lost, late or out of order, the grants really in force never exceed the reclaims really in
+    /// force.
     #[test]
     fn grants_in_force_are_covered_by_reclaims_in_force(
         steps in prop::collection::vec((0..4_usize, 0..4_u8, 0..100_000_u32, 0..120_u64, 0..500_u64), 1..200),
--- a/src/shares/meter.rs
+++ b/src/shares/meter.rs
@@ -1,5 +1,5 @@
-//! Measures the demand of clients for volumes with a rate limit, for a forwarder's reports: the smoothed rate of requested
-//! units as a fraction of the limit. Volumes without requests are forgotten after a while.
+//! Measures the demand of clients for volumes with a rate limit, for a forwarder's reports: the smoothed rate of
+//! requested units as a fraction of the limit. Volumes without requests are forgotten after a while.
 
 use super::{Demand, Resource, Share};
 use crate::interface::{NewRequest, Settings, VolumeId};
--- a/src/shares/mod.rs
+++ b/src/shares/mod.rs
@@ -2,11 +2,11 @@
 //! divide them. No I/O, clock or randomness: reports go in, plans come out, and times are passed in.
 //!
 //! Each forwarder has an even share of each resource, which it may use without a planner. A planner moves shares: a
-//! *reclaim* makes one forwarder give back some of its even share for a limited time, and a *grant* lets another use more.
-//! Grants never exceed what is certainly reclaimed, and never last longer. So the shares in force never sum to more than
-//! the whole, whatever message is lost, late or repeated, whatever process restarts, and however many planners believe
-//! that they lead: each of them moves only what was given back to it. docs/planners.md has the argument and the
-//! alternatives considered.
+//! *reclaim* makes one forwarder give back some of its even share for a limited time, and a *grant* lets another use
+//! more. Grants never exceed what is certainly reclaimed, and never last longer. So the shares in force never sum to
+//! more than the whole, whatever message is lost, late or repeated, whatever process restarts, and however many
+//! planners believe that they lead: each of them moves only what was given back to it. docs/planners.md has the
+//! argument and the alternatives considered.
 //!
 //! [`Share`] and the messages are here. [`deal`] assigns keys to planners and probers, [`meter`] measures demand,
 //! [`divide`] computes the share that each forwarder should have, [`ledger`] tells what may be moved safely, and
@@ -22,13 +22,13 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// The longest duration of a move; longer ones are cut to it. A forwarder uses only its floor for as long after its start,
-/// since it cannot know what an earlier process of it gave back.
+/// The longest duration of a move; longer ones are cut to it. A forwarder uses only its floor for as long after its
+/// start, since it cannot know what an earlier process of it gave back.
 pub const MAX_MOVE_DURATION: Duration = Duration::from_secs(5);
 /// A clock may run fast or slow by one part in this number.
 pub const CLOCK_DRIFT_DIVISOR: u32 = 100;
-/// A forwarder never gives back its floor, which is its even share divided by this number. It may use the floor from its
-/// start on.
+/// A forwarder never gives back its floor, which is its even share divided by this number. It may use the floor from
+/// its start on.
 pub const FLOOR_DIVISOR: u32 = 4;
 
 /// A share of a resource in whole millionths, so that sums are exact.
--- a/src/shares/planner.rs
+++ b/src/shares/planner.rs
@@ -91,8 +91,8 @@
     last_sweep: Duration,
 }
 
-/// A move that may be lost can neither be repeated nor replaced now. No plan may be sent, since its confirmation would also
-/// confirm that move.
+/// A move that may be lost can neither be repeated nor replaced now. No plan may be sent, since its confirmation
+/// would also confirm that move.
 struct UnresolvedMove;
 
 /// The numbers of objects that a planner keeps, for its status.
@@ -120,8 +120,8 @@
 }
 
 impl Planner {
-    /// Starts a term. `nonce` must differ for each term of this planner, also after a restart. If a report shows a higher
-    /// term of another planner, this one starts again with a term above it.
+    /// Starts a term. `nonce` must differ for each term of this planner, also after a restart. If a report shows a
+    /// higher term of another planner, this one starts again with a term above it.
     pub fn new(settings: Settings, planner: PlannerId, nonce: u64) -> Self {
         Planner::with_term(settings, Term { number: 1, planner, nonce })
     }
@@ -341,9 +341,9 @@
         let moved = if target_share < even_share.minus(MIN_MOVE) {
             let share = even_share.minus(target_share);
             // A similar reclaim that lasts long enough is not repeated.
-            let is_similar = |other: Share| share.0.abs_diff(other.0) < MIN_MOVE.0;
-            let lasts_long_enough = |until: Duration| until > now + reclaim * 7 / 10;
-            if matches!(newest, Some((_, Move::Reclaim(other, _), until)) if is_held && is_similar(other) && lasts_long_enough(until))
+            let similar = |other: Share| share.0.abs_diff(other.0) < MIN_MOVE.0;
+            let lasts = |until: Duration| until > now + reclaim * 7 / 10;
+            if matches!(newest, Some((_, Move::Reclaim(other, _), until)) if is_held && similar(other) && lasts(until))
             {
                 return Ok(None);
             }
--- a/src/shares/store.rs
+++ b/src/shares/store.rs
@@ -1,8 +1,9 @@
-//! The plans that a forwarder holds, and the shares that it may use by them. Times are on the forwarder's clock, which has
-//! to go on while the process is suspended.
+//! The plans that a forwarder holds, and the shares that it may use by them. Times are on the forwarder's clock,
+//! which has to go on while the process is suspended.
 //!
-//! Of each resource a forwarder may use its even share, minus what it gives back, plus what it was granted. Each move is in
-//! force until its own end, whichever planner sent it. Without planners all moves end, and the even share remains.
+//! Of each resource a forwarder may use its even share, minus what it gives back, plus what it was granted. Each move
+//! is in force until its own end, whichever planner sent it. Without planners all moves end, and the even share
+//! remains.
 
 use super::{Demand, ForwarderId, Move, Plan, ProbeResult, Report, Resource, Share, Term, MAX_MOVE_DURATION};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -182,7 +183,8 @@
         if plan.moves.len() > MAX_MOVES {
             return Err(PlanRejection::TooLong);
         }
-        // Otherwise a grant could start with a report of this process that only has the same number as that of the other.
+        // Otherwise a grant could start with a report of this process that only has the same number as that of the
+        // other.
         if plan.incarnation != self.incarnation {
             return Err(PlanRejection::OtherProcess);
         }
@@ -219,8 +221,8 @@
                     // Two planners that both reclaim must not take the floor, and a starting process does not know what
                     // an earlier one gave back.
                     if share > reclaimable || is_starting {
-                        // An earlier reclaim stays in force: the planner counts on the smaller of the two until it learns
-                        // of the refusal. An earlier grant ends, since the planner counts on its end.
+                        // An earlier reclaim stays in force: the planner counts on the smaller of the two until it
+                        // learns of the refusal. An earlier grant ends, since the planner counts on its end.
                         resource_moves.moves.extend(reclaimed);
                         state.refused.insert(*resource);
                     } else {
