--- a/lab/src/hollow/files.rs
+++ b/lab/src/hollow/files.rs
@@ -1,53 +1,55 @@
-//! The files of an initiator, the same for hollow and real ones: configuration, planners and fleet, in a folder of its own.
+//! Configuration files of an initiator: settings, planners and fleet, in a folder of its own. Hollow and real
+//! initiators use the same files.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 use topazpath::config::Files;
 
-/// Units of a mean request.
+/// Mean size of a request in units.
 pub const MEAN_UNITS: f64 = 4.5;
-/// Units that a cold node bears for each initiator of the fleet within [`FALL`]: some requests of the mean size, as each
-/// of 460 has where a node serves eight thousand units a second.
-const COLD_UNITS: f64 = 25.0;
-/// The time over which the rule on cold nodes counts.
-pub const FALL: Duration = Duration::from_millis(3000);
-/// Part of its capacity that a node has when it is coldest; it grows evenly to all of it.
-pub const COLD_SHARE: f64 = 0.16;
-/// How long a node is cold.
-pub const COLD: Duration = Duration::from_secs(18);
-/// How long a draining node may still get work.
-pub const GRACE: Duration = Duration::from_secs(2);
-/// Names of the regions, which are the zones of the settings.
+/// Units that a node at the beginning of its slow start accepts per initiator of the fleet within
+/// [`SLOW_START_WINDOW`]: a few requests of mean size, the share of each of 460 initiators at a node that serves 8000
+/// units per second.
+const SLOW_START_UNITS: f64 = 25.0;
+/// Window over which the slow-start limit counts units.
+pub const SLOW_START_WINDOW: Duration = Duration::from_millis(3000);
+/// Share of its capacity that a node has at the beginning of its slow start; it grows linearly to 1.
+pub const SLOW_START_SHARE: f64 = 0.16;
+/// Duration of a node's slow start.
+pub const SLOW_START: Duration = Duration::from_secs(18);
+/// How long a draining node may still receive requests.
+pub const DRAIN_GRACE: Duration = Duration::from_secs(2);
+/// Names of the regions, used as zones in the settings.
 pub const REGIONS: [&str; 3] = ["r-0", "r-1", "r-2"];
 
-/// What a cold node bears within [`FALL`] in any case, over a whole fleet.
-pub fn cold_units(initiators: usize) -> f64 {
-    COLD_UNITS * initiators as f64
+/// Units that a node at the beginning of its slow start accepts within [`SLOW_START_WINDOW`] from a fleet of this size.
+pub fn slow_start_units(initiators: usize) -> f64 {
+    SLOW_START_UNITS * initiators as f64
 }
 
-/// What an initiator is told.
+/// Values in an initiator's configuration files.
 #[derive(Clone, Debug)]
 pub struct Setup {
-    /// Its name, in the fleet as well.
+    /// Its name, also as a member of the fleet.
     pub name: String,
-    /// Where clients connect.
+    /// Listening address for clients.
     pub listen: SocketAddr,
-    /// Where discovery is.
+    /// Address of discovery.
     pub discovery: SocketAddr,
-    /// Its planners.
+    /// Addresses of its planners.
     pub planners: Vec<SocketAddr>,
-    /// Where it hears the fleet, and where the others send to.
+    /// Its own fleet address, and the one that it advertises to the other members.
     pub fleet: (SocketAddr, SocketAddr),
-    /// Members by which the fleet may be founded.
+    /// Seed members for the bootstrap of the fleet.
     pub seeds: Vec<(String, SocketAddr)>,
-    /// Initiators in all.
+    /// Total number of initiators.
     pub initiators: usize,
-    /// Whether planners may change its settings while it runs.
+    /// Whether it accepts live configuration from planners.
     pub live: bool,
 }
 
-/// The paths in its folder.
+/// Paths of the files in an initiator's folder.
 pub fn paths(folder: &Path) -> Files {
     let file = |name: &str| -> PathBuf { folder.join(name) };
     Files {
@@ -60,7 +62,7 @@
     }
 }
 
-/// Writes them all.
+/// Creates the folder and writes all files. Fails if one can't be written.
 pub fn write(folder: &Path, setup: &Setup, seed: u64) -> std::io::Result<()> {
     std::fs::create_dir_all(folder)?;
     let paths = paths(folder);
@@ -68,17 +70,17 @@
     let planners: Vec<String> = setup.planners.iter().map(SocketAddr::to_string).collect();
     let live = if setup.live { "configuration = true\n" } else { "" };
     std::fs::write(&paths.planners, format!("enabled = true\nplanners = {planners:?}\n{live}"))?;
-    let (own, reached) = setup.fleet;
+    let (own, advertised) = setup.fleet;
     let seeds: Vec<String> = setup
         .seeds
         .iter()
         .map(|(name, address)| format!("[[seed]]\nname = {name:?}\naddress = \"{address}\"\n"))
         .collect();
-    // Periods are those of the shipped file.
+    // Intervals keep their defaults, as in the shipped file.
     std::fs::write(
         &paths.fleet,
         format!(
-            "enabled = true\nfleet = \"hollow\"\nname = {:?}\naddress = \"{own}\"\nadvertise = \"{reached}\"\n{}",
+            "enabled = true\nfleet = \"hollow\"\nname = {:?}\naddress = \"{own}\"\nadvertise = \"{advertised}\"\n{}",
             setup.name,
             seeds.concat()
         ),
@@ -87,8 +89,9 @@
 
 fn configuration(setup: &Setup, seed: u64) -> String {
     let Setup { name, listen, discovery, initiators, .. } = setup;
-    let cold = cold_units(*initiators);
-    let (fall, age, grace) = (FALL.as_millis(), COLD.as_millis(), GRACE.as_millis());
+    let slow_start_limit = slow_start_units(*initiators);
+    let (window_ms, slow_start_ms, drain_grace_ms) =
+        (SLOW_START_WINDOW.as_millis(), SLOW_START.as_millis(), DRAIN_GRACE.as_millis());
     format!(
         r#"{{"name":"{name}","listen":"{listen}","discovery":"{discovery}","seed":"{seed:016x}",
  "limits":{{"cores":1.0,"memory_mb":256,"sockets":1024}},"known":null,
@@ -100,21 +103,21 @@
  "service_levels":[
   {{"name":"base","base_rate":40,"ceiling_rate":80,"guaranteed":20,"limit_burst":48,"tolerance":8}},
   {{"name":"plus","base_rate":1000,"guaranteed":1000}}],
- "domain":{{"largest":8,"unit_mean":{MEAN_UNITS},"share_worth":0.35,"idle_worth":0.05,"young_limit":{cold}}},
- "contract":{{"grace_to_answer_ms":8,"drain_grace_ms":{grace},"cold_from":{COLD_SHARE},"warm_after_ms":{age},"tip_multiple":3,"fall_ms":{fall}}},
+ "domain":{{"largest":8,"unit_mean":{MEAN_UNITS},"share_worth":0.35,"idle_worth":0.05,"young_limit":{slow_start_limit}}},
+ "contract":{{"grace_to_answer_ms":8,"drain_grace_ms":{drain_grace_ms},"cold_from":{SLOW_START_SHARE},"warm_after_ms":{slow_start_ms},"tip_multiple":3,"fall_ms":{window_ms}}},
  "limits":{{"attempts_cap":4,"connect_timeout_ms":250,"conn_idle_ms":30000,"max_retry_after_ms":500,"retry_after":true,"may_cancel":true}}}}}}"#
     )
 }
 
-/// Number and hash of the revision in force, as the planners' report of an initiator has them; none before the first, or
-/// where live configuration is off.
+/// Number and hash of the revision in force, from an initiator's report on planners (JSON). `None` before the first
+/// revision or if live configuration is off.
 pub fn revision(report: &str) -> Option<(u64, String)> {
-    // A report is long, and asked for ten times a second.
+    // Avoids parsing: reports are long and are read ten times a second.
     if !report.contains("\"configuration\":") {
         return None;
     }
     let report: serde_json::Value = serde_json::from_str(report).ok()?;
-    let it = &report["configuration"];
-    let number = it["number"].as_u64().filter(|number| *number > 0)?;
-    Some((number, it["hash"].as_str()?.to_string()))
+    let section = &report["configuration"];
+    let number = section["number"].as_u64().filter(|number| *number > 0)?;
+    Some((number, section["hash"].as_str()?.to_string()))
 }
--- a/lab/src/hollow/initiator.rs
+++ b/lab/src/hollow/initiator.rs
@@ -1,5 +1,5 @@
-//! One hollow initiator: the real control code, driven in the order of the program's loop, without clients and without
-//! connections to nodes. All calls into the library's control code are here.
+//! One hollow initiator: the real control plane, driven in the same order as by the program's loop, without clients
+//! and without connections to nodes. Only this module calls the library's control plane.
 
 use super::files;
 use super::messages::Standing;
@@ -17,10 +17,10 @@
 use topazpath::planner::Planner;
 use topazpath::tokens::{Kind, Tokens};
 
-/// What a hollow initiator lacks against a real one.
+/// Parts of a real initiator that a hollow one lacks.
 pub const LEFT_OUT: [&str; 9] = ["fronts: listeners, client connections, parsing and answers", "connections to nodes, attempts and their outcomes, so nothing learned of nodes", "requests before the scheduler: it is told lists alone (the planners' client is told of requests, where volumes are asked for)", "the pause that the loop makes between two turns", "signals, reload, admin endpoint and takeover by another process", "VRRP", "the second front", "the carrying of what was learned between processes", "a process of its own: memory of the program itself and its allocator is shared by many"];
-/// How often volumes are asked for.
-const ASKED: Duration = Duration::from_secs(1);
+/// Interval between rounds of simulated requests.
+const REQUEST_INTERVAL: Duration = Duration::from_secs(1);
 
 /// One hollow initiator.
 pub struct Hollow {
@@ -37,24 +37,25 @@
     planner_lines: String,
     /// Number of the revision in force.
     revision: u64,
-    /// Volumes asked for each second, and of how many.
-    asks: (usize, u64),
-    next_ask: Option<Instant>,
+    /// Volumes requested every second, and distinct volumes in the fleet.
+    simulated_requests: (usize, u64),
+    next_requests: Option<Instant>,
     requests: u64,
-    /// When it is to be turned next.
+    /// When its next iteration is due.
     pub due: Instant,
 }
 
-/// What came to an initiator and is in use there.
-pub enum Told {
-    /// A version of the list.
+/// A change that an initiator has received and applied.
+pub enum Applied {
+    /// The node list of this version.
     List(u64),
-    /// A revision of the live configuration: its number, and its content's hash.
+    /// A revision of the live configuration: its number and the hash of its content.
     Revision(u64, String),
 }
 
 impl Hollow {
-    /// Reads its files and joins; the tokens it takes are those given out meanwhile.
+    /// Reads the files in `folder` and joins the fleet. Every token issued by `tokens` during the call belongs to this
+    /// initiator. Fails if the configuration is unusable or a socket can't be opened.
     pub fn start(
         who: usize,
         folder: &Path,
@@ -76,12 +77,12 @@
             tokens,
         );
         let scheduler = Planner::new(settings, config.seed, clock);
-        let manner = PollingPolicy::new(&config.settings, config.seed);
-        let discovery = Discovery::new(config.discovery, tokens.next(Kind::Discovery), now, None, manner);
+        let polling = PollingPolicy::new(&config.settings, config.seed);
+        let discovery = Discovery::new(config.discovery, tokens.next(Kind::Discovery), now, None, polling);
         let fleet_token = tokens.next(Kind::Upgrade);
-        let part = config.fleet.as_ref().ok_or("no fleet is set up")?;
-        let drawn = (clock.unix(now), config.seed);
-        let fleet = Driver::start(part, drawn, None, fleet_token, registry, now)?;
+        let fleet_config = config.fleet.as_ref().ok_or("the configuration has no fleet section")?;
+        let time_and_seed = (clock.unix(now), config.seed);
+        let fleet = Driver::start(fleet_config, time_and_seed, None, fleet_token, registry, now)?;
         let mut core = Core::new(clock, config.settings.limits.max_retry_after);
         core.set_classes(&config.settings.classes);
         Ok(Hollow {
@@ -97,35 +98,36 @@
             fleet_lines: String::new(),
             planner_lines: String::new(),
             revision: 0,
-            asks: (0, 1),
-            next_ask: None,
+            simulated_requests: (0, 1),
+            next_requests: None,
             requests: 0,
             due: now,
         })
     }
 
-    /// From now on so many volumes are asked for each second.
-    pub fn ask(&mut self, now: Instant, each: usize, of: u64) {
-        self.asks = (each, of.max(1));
-        self.next_ask = (each > 0).then_some(now);
+    /// Sets the simulated requests: `each` volumes every second, of `of` distinct volumes; 0 stops them.
+    pub fn simulate_requests(&mut self, now: Instant, each: usize, of: u64) {
+        self.simulated_requests = (each, of.max(1));
+        self.next_requests = (each > 0).then_some(now);
         self.due = now;
     }
 
-    /// One turn, as the program's loop makes it: what is ready first, then what is due.
-    pub fn turn(&mut self, now: Instant, ready: &[Token], registry: &Registry) -> Vec<Told> {
+    /// Runs one iteration in the order of the program's loop: ready sockets first, then due timers. Returns the changes
+    /// applied in it.
+    pub fn run_iteration(&mut self, now: Instant, ready: &[Token], registry: &Registry) -> Vec<Applied> {
         let late = now.saturating_duration_since(self.due);
-        let mut told = Vec::new();
+        let mut applied = Vec::new();
         self.core.set_lateness(late);
         for token in ready {
             if *token == self.fleet_token {
                 self.fleet.set_readable();
             } else if Kind::of(token.0) == Some(Kind::Planner) {
                 self.planners.ready(now, *token);
-            } else if let Some(news) = self.discovery.ready(now, now, *token) {
-                let (index, kind) = (news.message.index, news.message.kind());
-                let (event, _) = self.nodes.apply(news, kind);
+            } else if let Some(update) = self.discovery.ready(now, now, *token) {
+                let (index, kind) = (update.message.index, update.message.kind());
+                let (event, _) = self.nodes.apply(update, kind);
                 self.core.push_event(event);
-                told.push(Told::List(index));
+                applied.push(Applied::List(index));
             }
         }
         self.fleet.poll(now, late);
@@ -137,60 +139,61 @@
         if self.planners.tick(now, registry) {
             let (lines, json) = self.planners.info(now);
             self.planner_lines = lines;
-            told.extend(self.new_revision(&json));
+            applied.extend(self.new_revision(&json));
         }
         self.follow_configuration(now);
         self.decide(now);
         self.due = self.next_timer(now);
-        told
+        applied
     }
 
-    /// Takes over the newest revision that planners have sent, as the program's loop does.
+    /// Applies the newest revision received from planners, as the program's loop does.
     fn follow_configuration(&mut self, now: Instant) {
         let Some(prepared) = self.planners.prepared_configuration() else { return };
-        if let Err(why) = self.scheduler.reconfigure(now, prepared.settings.clone()) {
-            return self.planners.configuration_not_taken_over(&prepared, why.to_string());
+        if let Err(error) = self.scheduler.reconfigure(now, prepared.settings.clone()) {
+            return self.planners.configuration_not_taken_over(&prepared, error.to_string());
         }
-        let out = self.nodes.set_configured_out(now, self.clock.unix(now), &prepared.nodes_out);
-        out.into_iter().for_each(|event| self.core.push_event(event));
+        let events = self.nodes.set_configured_out(now, self.clock.unix(now), &prepared.nodes_out);
+        events.into_iter().for_each(|event| self.core.push_event(event));
         self.planners.configuration_taken_over(now, &prepared);
     }
 
-    /// A revision that is in force since the last report. So its time is late by up to the pause between two reports.
-    fn new_revision(&mut self, report: &str) -> Option<Told> {
+    /// The revision in `report` if it is newer than the last one seen. It is seen late by up to the interval between
+    /// two reports.
+    fn new_revision(&mut self, report: &str) -> Option<Applied> {
         let (number, hash) = files::revision(report)?;
         let newer = number > self.revision;
         self.revision = number;
-        newer.then_some(Told::Revision(number, hash))
+        newer.then_some(Applied::Revision(number, hash))
     }
 
-    /// What the scheduler is told, until nothing more happens at once.
+    /// Passes pending events to the scheduler and carries out its actions, until no event is left.
     fn decide(&mut self, now: Instant) {
-        let mut asked = self.requests_due(now);
+        let mut requests = self.requests_due(now);
         loop {
             let mut events = self.core.drain_events();
-            let shares = self.planners.before(now, &asked);
-            asked.clear();
+            let shares = self.planners.before(now, &requests);
+            requests.clear();
             events.splice(0..0, shares);
             if events.is_empty() {
                 return;
             }
             let actions = self.scheduler.decide(now, &events);
             self.core.carry_out(now, actions);
-            // There is no request that an effect could be for.
+            // Effects concern requests, of which there are none.
             self.core.drain_effects();
         }
     }
 
-    /// Requests that the planners' client counts, where they are due.
+    /// Simulated requests for the planners' client to count, if they are due.
     fn requests_due(&mut self, now: Instant) -> Vec<Event> {
-        if self.next_ask.take_if(|at| *at <= now).is_none() {
+        if self.next_requests.take_if(|at| *at <= now).is_none() {
             return Vec::new();
         }
-        self.next_ask = Some(now + ASKED);
-        let (each, of) = self.asks;
+        self.next_requests = Some(now + REQUEST_INTERVAL);
+        let (each, of) = self.simulated_requests;
         let first = self.who as u64 * each as u64;
-        let deadline = self.clock.unix(now) + ASKED;
+        let deadline = self.clock.unix(now) + REQUEST_INTERVAL;
         (0..each as u64)
             .map(|at| {
                 self.requests += 1;
@@ -214,15 +217,15 @@
         next = self.discovery.next_timer().map_or(next, |at| next.min(at));
         next = self.core.next_timer().map_or(next, |at| next.min(at));
         next = self.fleet.next_timer(now).map_or(next, |at| next.min(at));
-        self.next_ask.map_or(next, |at| next.min(at))
+        self.next_requests.map_or(next, |at| next.min(at))
     }
 
-    /// How it stands.
-    pub fn standing(&self) -> Standing {
+    /// Its present state.
+    pub fn state(&self) -> Standing {
         let lines = format!("{}{}", self.fleet_lines, self.planner_lines);
-        let mut standing = Standing::read(self.who, &lines);
-        standing.list = self.discovery.version();
-        standing.nodes = self.nodes.ready();
-        standing
+        let mut state = Standing::read(self.who, &lines);
+        state.list = self.discovery.version();
+        state.nodes = self.nodes.ready();
+        state
     }
 }
--- a/lab/src/hollow/messages.rs
+++ b/lab/src/hollow/messages.rs
@@ -1,120 +1,120 @@
-//! What the run says to its worker processes and what they answer: JSON, one line each.
+//! Protocol between the run and its worker processes: one JSON object per line in each direction.
 
 use serde::{Deserialize, Serialize};
 use std::path::PathBuf;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// To a worker.
+/// Command to a worker.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum Command {
-    /// Start these initiators, each with its number and folder.
+    /// Start these initiators, each given by its number and folder.
     Start(Vec<(usize, PathBuf)>),
-    /// End these without goodbye.
+    /// Drop these initiators abruptly, without leaving the fleet.
     Drop(Vec<usize>),
-    /// From now on each initiator is asked for so many volumes a second, of as many in all.
+    /// Simulate requests at each initiator from now on, every second.
     Ask {
-        /// Volumes of one initiator.
+        /// Volumes requested at each initiator.
         each: usize,
-        /// Volumes in all.
+        /// Distinct volumes in the fleet.
         of: u64,
     },
-    /// Say how all stand, and how late the loop was since the last time.
+    /// Report the state of all initiators, and the lateness of the loop since the last report.
     Status,
 }
 
-/// From a worker.
+/// Message from a worker.
 #[derive(Debug, Serialize, Deserialize)]
-pub enum Seen {
-    /// An initiator could not start.
+pub enum WorkerMessage {
+    /// An initiator failed to start, for this reason.
     Failed(usize, String),
-    /// A version of the list came to an initiator and is in its node list, at this Unix time in microseconds.
+    /// An initiator has received and applied a version of the node list.
     List {
-        /// The initiator.
+        /// Number of the initiator.
         who: usize,
-        /// The version.
+        /// Version of the list.
         index: u64,
-        /// When.
+        /// Unix time in microseconds.
         at: u64,
     },
-    /// A revision of the live configuration is in force at an initiator, at this Unix time in microseconds.
+    /// A revision of the live configuration has come into force at an initiator.
     Revision {
-        /// The initiator.
+        /// Number of the initiator.
         who: usize,
-        /// Its number.
+        /// Number of the revision.
         number: u64,
-        /// The hash of its content.
+        /// Hash of its content.
         hash: String,
-        /// When.
+        /// Unix time in microseconds.
         at: u64,
     },
-    /// Answers [`Command::Status`].
+    /// Answer to [`Command::Status`].
     Status {
-        /// How each stands.
+        /// State of each initiator.
         hollow: Vec<Standing>,
-        /// How late the loop was.
+        /// Lateness of the loop since the last report.
         late: Late,
     },
 }
 
-/// How late a loop woke, in microseconds, since the last time it was asked.
+/// Lateness of a loop's wake-ups since the last report, in microseconds.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 pub struct Late {
-    /// Turns of the loop that had something due.
+    /// Iterations in which a timer was due.
     pub turns: u64,
-    /// The latest.
+    /// The maximum.
     pub most: u64,
     /// The 99th percentile.
     pub p99: u64,
 }
 
-/// How an initiator stands, hollow or real.
+/// State of an initiator, hollow or real.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Standing {
-    /// The initiator.
+    /// Number of the initiator.
     pub who: usize,
-    /// Its phase in the fleet.
+    /// Its membership phase.
     pub phase: String,
-    /// Whether it hears most of the fleet.
+    /// Whether it has a quorum of the fleet.
     pub quorate: bool,
-    /// Members of its view, and the view's number.
+    /// Members in its view.
     pub members: usize,
-    /// Likewise.
+    /// Number of its view.
     pub view: u64,
-    /// Version of the list; none where it is not known.
+    /// Version of its node list; `None` where it is not known.
     pub list: Option<u64>,
-    /// Nodes that it knows.
+    /// Nodes in its node list.
     pub nodes: usize,
-    /// Partitions in each mode.
+    /// Planner partitions in planned mode.
     pub planned: usize,
-    /// Likewise.
+    /// Planner partitions in stale mode.
     pub stale: usize,
-    /// Likewise.
+    /// Planner partitions in safe mode.
     pub safe: usize,
 }
 
 impl Standing {
-    /// Reads the lines that `INFO` has of the fleet and the planners.
+    /// Parses the lines of `INFO` on the fleet and the planners; a missing line leaves the default.
     pub fn read(who: usize, lines: &str) -> Standing {
-        let mut standing = Standing { who, ..Standing::default() };
+        let mut state = Standing { who, ..Standing::default() };
         for (name, value) in lines.lines().filter_map(|line| line.split_once(':')) {
             let number = || value.parse::<u64>().unwrap_or(0);
             match name {
-                "fleet_phase" => standing.phase = value.to_string(),
-                "fleet_quorate" => standing.quorate = value == "1",
-                "fleet_members" => standing.members = number() as usize,
-                "fleet_view" => standing.view = number(),
-                "nodes" => standing.nodes = number() as usize,
-                "planners_partitions_planned" => standing.planned = number() as usize,
-                "planners_partitions_stale" => standing.stale = number() as usize,
-                "planners_partitions_safe" => standing.safe = number() as usize,
+                "fleet_phase" => state.phase = value.to_string(),
+                "fleet_quorate" => state.quorate = value == "1",
+                "fleet_members" => state.members = number() as usize,
+                "fleet_view" => state.view = number(),
+                "nodes" => state.nodes = number() as usize,
+                "planners_partitions_planned" => state.planned = number() as usize,
+                "planners_partitions_stale" => state.stale = number() as usize,
+                "planners_partitions_safe" => state.safe = number() as usize,
                 _ => {}
             }
         }
-        standing
+        state
     }
 }
 
-/// The system's time in microseconds, the same for all processes of the run.
+/// The Unix time in microseconds, which all processes of the run share.
 pub fn unix_micros() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_micros() as u64)
 }
--- a/lab/src/hollow/mod.rs
+++ b/lab/src/hollow/mod.rs
@@ -1,11 +1,11 @@
-//! `topazpath-lab hollow`: a whole fleet on one machine. Hollow initiators run the real control code without clients and
-//! without connections to nodes, many to a process; real processes of the program among them serve stand-in clients. All of
-//! it talks over loopback sockets in real time, and scenes of faults and changes are played on it.
+//! `topazpath-lab hollow`: a whole fleet on one machine. Hollow initiators run the real control plane without clients
+//! and without connections to nodes, many to a process. A few real initiator processes serve stand-in clients. All
+//! communicate over loopback sockets in real time while scenes inject faults and changes.
 //!
-//! From below: [`files`] and [`messages`] are what processes are told, [`initiator`] is one hollow initiator, [`worker`] a
-//! process of many, [`switch`], [`relay`] and [`registry`] are the network and discovery, [`processes`] the processes, which [`keeper`] ends with
-//! the run,
-//! [`rig`] all of them together, [`scenes`] what is played.
+//! Bottom up: [`files`] writes the initiators' configuration, [`messages`] defines the protocol between the run and
+//! its workers, [`initiator`] is one hollow initiator, [`worker`] a process with many of them. [`switch`] (UDP),
+//! [`relay`] (TCP) and [`registry`] (discovery) stand in for the network. [`processes`] starts the child processes,
+//! [`keeper`] ends them if the run dies, [`rig`] holds the whole fleet, and [`scenes`] are the experiments.
 
 mod files;
 mod initiator;
@@ -29,98 +29,99 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use topazpath::process::{max_descriptors, resident_memory};
 
-/// Regions of the fleet, and planners, one in each.
+/// Number of regions, each with one planner.
 pub const REGIONS: usize = 3;
-/// Initiators that the addresses of a run suffice for.
-const MOST_INITIATORS: usize = 700;
-const MOST_NODES: usize = 5000;
-/// What is set aside for each hollow and each real initiator before a run is begun, in megabytes.
-const HOLLOW_MEGABYTES: usize = 12;
-const REAL_MEGABYTES: usize = 48;
-const OTHER_MEGABYTES: usize = 512;
-/// Descriptors of this process for each initiator, for each real one beyond that, and for all else.
-const DESCRIPTORS: usize = 9;
-const REAL_DESCRIPTORS: usize = 160;
+/// Limited by the loopback addresses of a run.
+const MAX_INITIATORS: usize = 700;
+const MAX_NODES: usize = 5000;
+/// Memory that a run reserves for each hollow initiator, for each real one and for everything else, in megabytes.
+const MEMORY_MB_PER_HOLLOW: usize = 12;
+const MEMORY_MB_PER_REAL: usize = 48;
+const OTHER_MEMORY_MB: usize = 512;
+/// Descriptors that this process needs for each initiator, in addition for each real one, and for everything else.
+const DESCRIPTORS_PER_INITIATOR: usize = 9;
+const EXTRA_DESCRIPTORS_PER_REAL: usize = 160;
 const OTHER_DESCRIPTORS: usize = 512;
-/// Volumes with a limit over the fleet, where hollow initiators are asked for any.
+/// Default number of distinct volumes with a fleet-wide limit.
 const VOLUMES_OF: u64 = 1000;
-/// Requests a second of each real initiator that serves.
+/// Default requests per second to each serving real initiator.
 const RATE: f64 = 20.0;
 
-/// What is asked of a run.
+/// Command line options of a run.
 #[derive(Args, Clone)]
 pub struct Options {
-    /// Initiators in all (460; with --short 36).
+    /// Total number of initiators (default 460; with --short 36).
     #[arg(long)]
     pub initiators: Option<usize>,
-    /// Real ones among them; the last serves no clients and is measured beside a hollow one (21; with --short 4).
+    /// Real initiators among them; the last serves no clients and is compared with a hollow one (default 21; with
+    /// --short 4).
     #[arg(long)]
     pub real: Option<usize>,
-    /// Nodes listed (730; with --short 40).
+    /// Nodes in the discovery list (default 730; with --short 40).
     #[arg(long)]
     pub nodes: Option<usize>,
-    /// Nodes that are there, each with a shard of its own that clients ask for (12; with --short 6).
+    /// Nodes that actually run, each with its own shard that clients request (default 12; with --short 6).
     #[arg(long)]
     pub alive: Option<usize>,
-    /// Processes with hollow initiators, and one more (8; with --short 2).
+    /// Worker processes for hollow initiators, besides the one for the first initiator (default 8; with --short 2).
     #[arg(long)]
     pub workers: Option<usize>,
-    /// Volumes with a limit that each hollow initiator is asked for every second.
+    /// Limited volumes that each hollow initiator gets requests for every second.
     #[arg(long, default_value_t = 0)]
     pub volumes: usize,
-    /// Such volumes over the fleet.
+    /// Distinct limited volumes over the whole fleet.
     #[arg(long, default_value_t = VOLUMES_OF)]
     pub volumes_of: u64,
-    /// Requests a second of each real initiator that serves.
+    /// Requests per second to each serving real initiator.
     #[arg(long, default_value_t = RATE)]
     pub rate: f64,
-    /// Seconds at rest (60; with --short 10).
+    /// Duration of the idle scene in seconds (default 60; with --short 10).
     #[arg(long)]
     pub rest_s: Option<u64>,
-    /// Seconds that a region is cut off (60; with --short 8).
+    /// Seconds that a region is cut off (default 60; with --short 8).
     #[arg(long)]
     pub cut_s: Option<u64>,
-    /// All initiators start at once, and not in ten parts.
+    /// Start all initiators at once instead of in ten stages.
     #[arg(long)]
     pub at_once: bool,
-    /// Only these scenes, by name; without it, all.
+    /// Run only these scenes, by name (default: all).
     #[arg(long, value_delimiter = ',')]
     pub only: Vec<String>,
 }
 
-/// The sizes of a run.
+/// Validated sizes of a run.
 #[derive(Clone, Debug)]
 pub struct Sizes {
-    /// Few and short.
+    /// Whether this is the short variant.
     pub short: bool,
-    /// Seeds everything that is drawn.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// Initiators in all.
+    /// Total number of initiators.
     pub initiators: usize,
-    /// Real ones, the last of all.
+    /// Real initiators; they have the highest numbers.
     pub real: usize,
-    /// Nodes listed.
+    /// Nodes in the discovery list.
     pub nodes: usize,
-    /// Nodes that are there, the first of all.
+    /// Nodes that actually run; they have the lowest numbers.
     pub alive: usize,
-    /// Processes with hollow initiators, besides that of the first one.
+    /// Worker processes, besides the one that runs only the first hollow initiator.
     pub workers: usize,
-    /// Volumes of each hollow initiator, and in all.
+    /// Volumes requested at each hollow initiator, and distinct volumes in total.
     pub volumes: (usize, u64),
-    /// Requests a second of each real initiator that serves.
+    /// Requests per second to each serving real initiator.
     pub rate: f64,
-    /// Seconds at rest, and that a region is cut off.
+    /// Duration of the idle scene in seconds.
     pub rest_s: u64,
-    /// Likewise.
+    /// Seconds that a region is cut off.
     pub cut_s: u64,
-    /// All initiators start at once.
+    /// Whether all initiators start at once.
     pub at_once: bool,
-    /// The scenes wanted; none: all.
+    /// Names of the scenes to run; empty for all.
     pub only: Vec<String>,
 }
 
 impl Default for Options {
-    /// What the command line does without options.
+    /// The same as a command line without options.
     fn default() -> Self {
         Options {
             initiators: None,
@@ -140,12 +141,12 @@
 }
 
 impl Options {
-    /// The sizes, or one line that says what is not allowed.
+    /// The validated sizes. Fails with a one-line message if a value is out of range or the machine is too small.
     pub fn sizes(&self, common: &Common) -> Result<Sizes, String> {
         let pick =
-            |given: Option<usize>, full, short| given.unwrap_or(if common.short { short } else { full });
+            |option: Option<usize>, full, short| option.unwrap_or(if common.short { short } else { full });
         let seconds =
-            |given: Option<u64>, full, short| given.unwrap_or(if common.short { short } else { full });
+            |option: Option<u64>, full, short| option.unwrap_or(if common.short { short } else { full });
         let sizes = Sizes {
             short: common.short,
             seed: common.seed,
@@ -167,14 +168,14 @@
 
 impl Sizes {
     fn check(&self) -> Result<(), String> {
-        let within = |name: &str, value: usize, least: usize, most: usize| match value {
-            value if (least..=most).contains(&value) => Ok(()),
-            value => Err(format!("--{name} {value}: {least} to {most} are allowed")),
+        let within = |name: &str, value: usize, min: usize, max: usize| match value {
+            value if (min..=max).contains(&value) => Ok(()),
+            value => Err(format!("--{name} {value}: {min} to {max} are allowed")),
         };
-        within("initiators", self.initiators, 12, MOST_INITIATORS)?;
+        within("initiators", self.initiators, 12, MAX_INITIATORS)?;
         within("real", self.real, 2, self.initiators / 2)?;
         within("alive", self.alive, 3, 64)?;
-        within("nodes", self.nodes, self.alive + 10, MOST_NODES)?;
+        within("nodes", self.nodes, self.alive + 10, MAX_NODES)?;
         within("workers", self.workers, 1, 64)?;
         within("volumes", self.volumes.0, 0, 1000)?;
         within("volumes-of", self.volumes.1 as usize, 1, 1_000_000)?;
@@ -188,17 +189,23 @@
             let names: Vec<&str> = scenes::ALL.iter().map(|(name, _)| *name).collect();
             return Err(format!("--only {name}: one of {} is allowed", names.join(", ")));
         }
-        self.fits(max_descriptors().unwrap_or(usize::MAX), megabytes("MemTotal:"), megabytes("MemAvailable:"))
+        self.fits(
+            max_descriptors().unwrap_or(usize::MAX),
+            meminfo_mb("MemTotal:"),
+            meminfo_mb("MemAvailable:"),
+        )
     }
 
-    /// Whether the machine has enough descriptors, and memory in all and to spare, for this size.
+    /// Checks that this size fits into the limit on descriptors, half of the total memory and the available memory.
     fn fits(&self, descriptors: usize, total: usize, available: usize) -> Result<(), String> {
-        let needed = self.initiators * DESCRIPTORS + self.real * REAL_DESCRIPTORS + OTHER_DESCRIPTORS;
+        let needed = self.initiators * DESCRIPTORS_PER_INITIATOR
+            + self.real * EXTRA_DESCRIPTORS_PER_REAL
+            + OTHER_DESCRIPTORS;
         if needed > descriptors {
             return Err(format!("about {needed} descriptors are needed, the system allows {descriptors}"));
         }
         let hollow = self.initiators - self.real;
-        let needed = hollow * HOLLOW_MEGABYTES + self.real * REAL_MEGABYTES + OTHER_MEGABYTES;
+        let needed = hollow * MEMORY_MB_PER_HOLLOW + self.real * MEMORY_MB_PER_REAL + OTHER_MEMORY_MB;
         let allowed = (total / 2).min(available);
         if needed > allowed {
             return Err(format!("about {needed} MB are needed, {allowed} of {total} may be used"));
@@ -206,31 +213,31 @@
         Ok(())
     }
 
-    /// Hollow initiators, the first of all.
+    /// Number of hollow initiators; they have the lowest numbers.
     pub fn hollow(&self) -> usize {
         self.initiators - self.real
     }
 
-    /// Real initiators that serve clients; the last of all does not.
+    /// Numbers of the real initiators that serve clients: all but the last.
     pub fn serving(&self) -> std::ops::Range<usize> {
         self.hollow()..self.initiators - 1
     }
 
-    /// The real initiator that is measured beside the first hollow one.
+    /// Number of the real initiator without clients, which is compared with the first hollow one.
     pub fn aside(&self) -> usize {
         self.initiators - 1
     }
 }
 
-/// A line of the machine's memory, in megabytes.
-fn megabytes(line: &str) -> usize {
+/// A field of `/proc/meminfo` in megabytes; `usize::MAX` if it cannot be read.
+fn meminfo_mb(line: &str) -> usize {
     let text = std::fs::read_to_string("/proc/meminfo").unwrap_or_default();
     let found = text.lines().find_map(|it| it.strip_prefix(line));
     let kilobytes = found.and_then(|it| it.trim().trim_end_matches(" kB").parse::<usize>().ok());
     kilobytes.map_or(usize::MAX, |kilobytes| kilobytes / 1024)
 }
 
-/// The region that is cut off from the others, if one is.
+/// Which region is cut off from the others, if any: 0 for none, else the region's number plus one.
 #[derive(Debug, Default)]
 pub struct Cut(AtomicUsize);
 
@@ -240,125 +247,128 @@
         self.0.store(region + 1, Ordering::Relaxed);
     }
 
-    /// Joins it again.
+    /// Reconnects the region.
     pub fn end(&self) {
         self.0.store(0, Ordering::Relaxed);
     }
 
-    /// Whether one is cut off.
-    pub fn is_on(&self) -> bool {
+    /// Whether a region is cut off.
+    pub fn is_active(&self) -> bool {
         self.0.load(Ordering::Relaxed) > 0
     }
 
-    /// Whether nothing passes between two regions.
-    pub fn is_between(&self, one: usize, other: usize) -> bool {
+    /// Whether traffic between two regions is blocked.
+    pub fn separates(&self, one: usize, other: usize) -> bool {
         let cut = self.0.load(Ordering::Relaxed);
         one != other && (one + 1 == cut || other + 1 == cut)
     }
 }
 
-/// What came of a run.
+/// Result of a run.
 #[derive(Debug, Serialize)]
 pub struct Report {
-    /// Initiators in all.
+    /// Total number of initiators.
     pub initiators: usize,
-    /// Real ones among them.
+    /// Real initiators among them.
     pub real: usize,
-    /// Nodes listed, and those that are there.
+    /// Nodes in the discovery list.
     pub nodes: usize,
-    /// Likewise.
+    /// Nodes that actually ran.
     pub nodes_alive: usize,
-    /// Processes, this one included.
+    /// Processes, including this one.
     pub processes: usize,
-    /// Memory of all of them, at the most that was seen.
+    /// Maximum of the summed memory of all processes, sampled after each scene.
     pub memory_mb: f64,
-    /// Seconds until all were in one view, had the list and a plan, from the start.
+    /// Seconds from the start until all initiators shared one view and had the node list and a plan.
     pub formed_s: f64,
-    /// What was played.
+    /// Results of the scenes that ran.
     pub scenes: Vec<Scene>,
-    /// What was asked for and not played, since the planners' program has no live configuration.
+    /// Requested scenes that were skipped because the planner program has no live configuration.
     pub not_played: Vec<&'static str>,
-    /// What a real one spends over what a hollow one does, on the same control work; from the rest.
+    /// Cost of a real initiator divided by that of a hollow one for the same control work; from the `rest` scene.
     pub real_over_hollow: Value,
-    /// How late the workers' loops woke: the most, and the greatest of the workers' 99th percentiles, in milliseconds.
+    /// Maximum lateness of the workers' loops in milliseconds.
     pub late_max_ms: f64,
-    /// Likewise.
+    /// Highest 99th percentile of any worker's lateness in milliseconds.
     pub late_p99_ms: f64,
-    /// What became of the stand-in clients' requests.
+    /// Outcomes of the stand-in clients' requests.
     pub requests: Requests,
-    /// What hollow initiators lack.
+    /// Parts of a real initiator that hollow ones lack.
     pub left_out: Vec<&'static str>,
-    /// What the cut of a region does not cut.
+    /// Traffic that cutting off a region does not affect.
     pub not_cut: Vec<&'static str>,
-    /// Seed of all that is drawn.
+    /// Seed of all random choices.
     pub seed: u64,
 }
 
-/// Requests of the stand-in clients by their ends.
+/// Requests of the stand-in clients by outcome.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct Requests {
-    /// All that were sent.
+    /// Requests sent.
     pub sent: usize,
-    /// With a value.
+    /// Answered with a value.
     pub served: usize,
-    /// Turned away with a clear word.
+    /// Answered with a refusal.
     pub refused: usize,
-    /// Failed with a clear word.
+    /// Answered with an error.
     pub failed: usize,
-    /// Closed, or without an answer, at an initiator that was not killed.
+    /// Closed or unanswered, at an initiator that was not killed meanwhile.
     pub lost: usize,
-    /// Likewise, at one that was.
+    /// Closed or unanswered, at an initiator that was killed meanwhile.
     pub lost_with_it: usize,
 }
 
 impl Report {
-    /// Whether all that was played holds.
+    /// Whether no request was lost and every scene passed.
     pub fn holds(&self) -> bool {
         self.requests.lost == 0 && self.scenes.iter().all(|scene| scene.holds)
     }
 }
 
-/// The worst of two.
-fn worse(one: Late, other: Late) -> Late {
+/// Combines two lateness statistics: sum of iterations, maximum of maxima and of percentiles.
+fn combine_lateness(one: Late, other: Late) -> Late {
     Late { turns: one.turns + other.turns, most: one.most.max(other.most), p99: one.p99.max(other.p99) }
 }
 
-/// Starts a fleet and plays the scenes. An error if a process was lost on the way.
+/// Starts a fleet and runs the scenes. Fails if a process ends by itself or the fleet doesn't form.
 pub fn run(sizes: &Sizes) -> Result<Report, String> {
     let mut rig = Rig::start(sizes)?;
     let formed = rig.form()?;
     println!(
-        "{} initiators, {} of them real, {} nodes: together after {:.1} s",
+        "{} initiators, {} of them real, {} nodes: formed after {:.1} s",
         sizes.initiators,
         sizes.real,
         sizes.nodes,
         formed.as_secs_f64()
     );
-    let (mut played, mut late) = (Vec::new(), Late::default());
+    let (mut results, mut late) = (Vec::new(), Late::default());
     let mut memory = rig.memory_mb();
     let mut ratio = Value::Null;
     let wanted = |name: &str| sizes.only.is_empty() || sizes.only.iter().any(|only| only == name);
     let mut not_played = Vec::new();
-    for (name, play) in scenes::ALL.iter().filter(|(name, _)| wanted(name)) {
-        if scenes::LIVE.contains(name) && !rig.live {
-            println!("  {name:<20} not played: the planners' program has no live configuration");
+    for (name, run_scene) in scenes::ALL.iter().filter(|(name, _)| wanted(name)) {
+        if scenes::NEED_LIVE_CONFIGURATION.contains(name) && !rig.live {
+            println!("  {name:<20} skipped: the planner program has no live configuration");
             not_played.push(*name);
             continue;
         }
         rig.late()?;
-        let mut scene = play(&mut rig).map_err(|why| format!("{name}: {why}"))?;
-        let of_scene = rig.late()?;
-        late = worse(late, of_scene);
+        let mut scene = run_scene(&mut rig).map_err(|error| format!("{name}: {error}"))?;
+        let scene_lateness = rig.late()?;
+        late = combine_lateness(late, scene_lateness);
         memory = memory.max(rig.memory_mb());
         let millis = |micros: u64| micros as f64 / 1000.0;
-        scene.tell("late_ms", json!({ "max": millis(of_scene.most), "p99": millis(of_scene.p99) }));
+        scene.add_figure(
+            "late_ms",
+            json!({ "max": millis(scene_lateness.most), "p99": millis(scene_lateness.p99) }),
+        );
         if let Some(measured) = scene.figures.get("real_over_hollow") {
             ratio = measured.clone();
         }
         println!("  {name:<20} {:>7.1} s  holds {}  {}", scene.seconds, scene.holds, scene.short());
-        played.push(scene);
+        results.push(scene);
     }
-    // This one, and the keeper of the others.
+    // Plus this process and the keeper.
     let processes = rig.processes() + 2;
     let requests = rig.finish()?;
     Ok(Report {
@@ -369,7 +379,7 @@
         processes,
         memory_mb: memory,
         formed_s: formed.as_secs_f64(),
-        scenes: played,
+        scenes: results,
         not_played,
         real_over_hollow: ratio,
         late_max_ms: late.most as f64 / 1000.0,
@@ -381,11 +391,11 @@
     })
 }
 
-/// The command of its own: prints what was played, and the report as one JSON object where that is asked for.
+/// Runs the subcommand: prints the results, with `--json` also the report as one JSON object. Returns whether it holds.
 pub fn command(options: &Options, common: &Common) -> Result<bool, String> {
     let report = run(&options.sizes(common)?)?;
     println!(
-        "{} processes, {:.0} MB; workers' loops late by at most {:.1} ms, p99 {:.1} ms; requests {:?}",
+        "{} processes, {:.0} MB; workers' loop lateness at most {:.1} ms, p99 {:.1} ms; requests {:?}",
         report.processes, report.memory_mb, report.late_max_ms, report.late_p99_ms, report.requests
     );
     if common.json {
@@ -394,8 +404,8 @@
     Ok(report.holds())
 }
 
-/// Bytes that this process and others use.
-fn memory(processes: impl Iterator<Item = u32>) -> f64 {
+/// Resident memory of this process and the given ones, in MiB.
+fn memory_mb(processes: impl Iterator<Item = u32>) -> f64 {
     let all = processes.chain([std::process::id()]);
     all.filter_map(resident_memory).sum::<usize>() as f64 / 1048576.0
 }
--- a/lab/src/hollow/processes.rs
+++ b/lab/src/hollow/processes.rs
@@ -1,9 +1,9 @@
-//! The processes of a run: workers with hollow initiators, real initiators, planners. Each ends with its owner here, so
-//! that none outlives a run that fails.
+//! Child processes of a run: workers with hollow initiators, real initiators and planners. Each is killed when its
+//! handle is dropped, so that none outlives a failed run.
 
 use super::files;
 use super::keeper::Keeper;
-use super::messages::{Command as Order, Late, Seen, Standing};
+use super::messages::{Command as WorkerCommand, Late, Standing, WorkerMessage};
 use std::ffi::OsStr;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -14,12 +14,12 @@
 use std::time::{Duration, Instant};
 use topazpath::resp::{self, Value as Resp};
 
-/// How long a process may take to answer.
-const PATIENCE: Duration = Duration::from_secs(10);
+/// How long a worker may take to answer.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A child process, killed when this is dropped.
 pub struct Process {
-    /// What it is called where a run tells of it.
+    /// Its name in messages.
     pub name: String,
     child: Child,
     keeper: Arc<Keeper>,
@@ -27,26 +27,26 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // It may have ended already.
+        // The process may have ended already.
         let _ = self.child.kill();
         let _ = self.child.wait();
-        self.keeper.forget(self.child.id());
+        self.keeper.unregister(self.child.id());
     }
 }
 
 impl Process {
     fn start(name: String, mut command: Command, keeper: &Arc<Keeper>) -> Result<Process, String> {
         let child = command.spawn().map_err(|error| format!("{name}: {error}"))?;
-        keeper.keep(child.id());
+        keeper.register(child.id());
         Ok(Process { name, child, keeper: keeper.clone() })
     }
 
-    /// Its number in the system.
+    /// Its process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// An error if it has ended by itself.
+    /// Fails if the process has ended by itself.
     pub fn check(&mut self) -> Result<(), String> {
         match self.child.try_wait() {
             Ok(None) => Ok(()),
@@ -56,73 +56,75 @@
     }
 }
 
-/// A worker with its hollow initiators.
+/// A worker process with its hollow initiators.
 pub struct Worker {
     /// Its process.
     pub process: Process,
-    /// Its initiators.
+    /// Numbers of its initiators.
     pub hollow: Vec<usize>,
-    /// Memory before it had any.
+    /// Resident memory before it started any initiator.
     pub empty_bytes: usize,
     input: ChildStdin,
-    seen: Receiver<Seen>,
+    statuses: Receiver<WorkerMessage>,
 }
 
 impl Worker {
-    /// Starts the process; what it sees of lists goes to `lists`.
+    /// Starts the process. Its status answers are read by [`Worker::status`], all its other messages go to
+    /// `messages`. Fails if the process can't be spawned or doesn't answer.
     pub fn start(
         number: usize,
         hollow: Vec<usize>,
-        lists: Sender<Seen>,
+        messages: Sender<WorkerMessage>,
         keeper: &Arc<Keeper>,
     ) -> Result<Worker, String> {
         let name = format!("hollow worker {number}");
-        let mut command = Command::new(lab()?);
+        let mut command = Command::new(lab_program()?);
         command.arg("hollow-worker").stdin(Stdio::piped()).stdout(Stdio::piped());
         let mut process = Process::start(name.clone(), command, keeper)?;
         let (input, output) = (process.child.stdin.take(), process.child.stdout.take());
         let (Some(input), Some(output)) = (input, output) else { return Err(format!("{name}: no pipes")) };
-        let (send, seen) = std::sync::mpsc::channel();
+        let (send, statuses) = std::sync::mpsc::channel();
         std::thread::spawn(move || {
             for line in BufReader::new(output).lines().map_while(Result::ok) {
-                let Ok(one) = serde_json::from_str::<Seen>(&line) else {
-                    eprintln!("{name} says something else: {line}");
+                let Ok(message) = serde_json::from_str::<WorkerMessage>(&line) else {
+                    eprintln!("{name} sent a malformed message: {line}");
                     return;
                 };
-                let target = if matches!(one, Seen::Status { .. }) { &send } else { &lists };
-                if target.send(one).is_err() {
+                let target = if matches!(message, WorkerMessage::Status { .. }) { &send } else { &messages };
+                if target.send(message).is_err() {
                     return;
                 }
             }
         });
-        let mut worker = Worker { process, hollow, empty_bytes: 0, input, seen };
+        let mut worker = Worker { process, hollow, empty_bytes: 0, input, statuses };
         worker.status()?;
         worker.empty_bytes = topazpath::process::resident_memory(worker.process.id()).unwrap_or(0);
         Ok(worker)
     }
 
-    /// Tells it something.
-    pub fn order(&mut self, order: &Order) -> Result<(), String> {
-        let mut line = serde_json::to_string(order).map_err(|error| error.to_string())?;
+    /// Sends it a command. Fails if its input is closed.
+    pub fn send(&mut self, command: &WorkerCommand) -> Result<(), String> {
+        let mut line = serde_json::to_string(command).map_err(|error| error.to_string())?;
         line.push('\n');
         let written = self.input.write_all(line.as_bytes()).and_then(|()| self.input.flush());
         written.map_err(|error| format!("{}: {error}", self.process.name))
     }
 
-    /// How its initiators stand, and how late its loop was since the last time.
+    /// State of its initiators, and lateness of its loop since the last call. Fails if it doesn't answer in time.
     pub fn status(&mut self) -> Result<(Vec<Standing>, Late), String> {
-        self.order(&Order::Status)?;
-        match self.seen.recv_timeout(PATIENCE) {
-            Ok(Seen::Status { hollow, late }) => Ok((hollow, late)),
+        self.send(&WorkerCommand::Status)?;
+        match self.statuses.recv_timeout(ANSWER_TIMEOUT) {
+            Ok(WorkerMessage::Status { hollow, late }) => Ok((hollow, late)),
             _ => Err(format!("{} does not answer", self.process.name)),
         }
     }
 }
 
-/// This program, which is the workers' as well. Tests lie one folder further down.
-pub fn lab() -> Result<PathBuf, String> {
+/// Path of the laboratory's program, which also runs the workers. From a test, whose binary lies in `deps` below it,
+/// the program is built first if Cargo runs the test.
+pub fn lab_program() -> Result<PathBuf, String> {
     let own = std::env::current_exe().map_err(|error| error.to_string())?;
-    let mut folder = own.parent().ok_or("this program lies nowhere")?;
+    let mut folder = own.parent().ok_or("the path of this program has no folder")?;
     if !folder.ends_with("deps") {
         return Ok(own);
     }
@@ -149,7 +151,7 @@
 pub struct Real {
     /// Its number among all initiators.
     pub who: usize,
-    /// Where clients connect.
+    /// Listening address for clients.
     pub listen: SocketAddr,
     program: PathBuf,
     folder: PathBuf,
@@ -158,7 +160,7 @@
 }
 
 impl Real {
-    /// One that is off.
+    /// An initiator that is not started yet.
     pub fn new(
         who: usize,
         program: &Path,
@@ -170,7 +172,7 @@
         Real { who, listen, program, folder, keeper, process: None }
     }
 
-    /// Starts it.
+    /// Starts the process. Fails if it can't be spawned.
     pub fn start(&mut self) -> Result<(), String> {
         let files = files::paths(&self.folder);
         let mut command = Command::new(&self.program);
@@ -182,7 +184,7 @@
         Ok(())
     }
 
-    /// Ends it at once.
+    /// Kills the process.
     pub fn kill(&mut self) {
         self.process = None;
     }
@@ -192,19 +194,19 @@
         self.process.as_mut()
     }
 
-    /// How it stands; nothing while it does not answer.
-    pub fn standing(&self) -> Option<Standing> {
-        let text = self.ask(&[b"INFO"])?;
+    /// Its state; `None` while it doesn't answer.
+    pub fn state(&self) -> Option<Standing> {
+        let text = self.query(&[b"INFO"])?;
         Some(Standing::read(self.who, &String::from_utf8_lossy(&text)))
     }
 
-    /// Number and hash of the revision in force; nothing before the first.
+    /// Number and hash of the revision in force; `None` before the first or while it doesn't answer.
     pub fn revision(&self) -> Option<(u64, String)> {
-        let report = self.ask(&[b"INFO", b"PLANNERS"])?;
+        let report = self.query(&[b"INFO", b"PLANNERS"])?;
         files::revision(&String::from_utf8_lossy(&report))
     }
 
-    fn ask(&self, words: &[&[u8]]) -> Option<Vec<u8>> {
+    fn query(&self, words: &[&[u8]]) -> Option<Vec<u8>> {
         self.process.as_ref()?;
         let mut stream = TcpStream::connect_timeout(&self.listen, Duration::from_secs(1)).ok()?;
         stream.set_read_timeout(Some(Duration::from_secs(2))).ok()?;
@@ -222,7 +224,7 @@
     }
 }
 
-/// The planners.
+/// The planner processes, running or not.
 pub struct Planners {
     program: PathBuf,
     folder: PathBuf,
@@ -231,58 +233,58 @@
     running: Vec<Option<Process>>,
 }
 
-/// Where a planner listens for initiators, hears the others, and is heard by them.
+/// Addresses of a planner.
 #[derive(Clone, Copy, Debug)]
-pub struct Place {
-    /// For initiators.
+pub struct PlannerAddresses {
+    /// Listening address for initiators.
     pub listen: SocketAddr,
-    /// For advertisements.
-    pub hears: SocketAddr,
-    /// Where the others send them.
+    /// Address that receives the other planners' advertisements.
+    pub receive: SocketAddr,
+    /// Address to which the others send advertisements.
     pub relay: SocketAddr,
 }
 
-/// Live configuration at the planners: the initiator's file that documents are checked against, and where each planner
-/// reaches each of the others, by position.
+/// Setup of live configuration at the planners.
 pub struct Live<'a> {
-    /// The file.
+    /// The initiator's settings against which documents are validated.
     pub initiator: &'a Path,
-    /// The addresses.
+    /// Address at which one planner (first argument) reaches another (second), both by position.
     pub peers: &'a dyn Fn(usize, usize) -> SocketAddr,
 }
 
 impl Planners {
-    /// Whether the planners' program knows live configuration.
-    pub fn can_configure(program: &Path) -> bool {
+    /// Whether the planner program supports live configuration.
+    pub fn supports_live_configuration(program: &Path) -> bool {
         let mut command = Command::new(program.with_file_name("topazpath-planner"));
         command.args(["configuration", "--help"]).stdin(Stdio::null());
         let status = command.stdout(Stdio::null()).stderr(Stdio::null()).status();
         status.is_ok_and(|status| status.success())
     }
 
-    /// Writes their files, and their stores where live configuration is on; all are off.
+    /// Writes the planners' files and, with `live`, creates their stores; starts none. Fails if a file or a store can't
+    /// be created.
     pub fn prepare(
         program: &Path,
         folder: &Path,
-        places: &[Place],
+        places: &[PlannerAddresses],
         live: Option<&Live>,
         keeper: &Arc<Keeper>,
     ) -> Result<Planners, String> {
-        let told = |error: std::io::Error| error.to_string();
-        std::fs::create_dir_all(folder).map_err(told)?;
+        let error_text = |error: std::io::Error| error.to_string();
+        std::fs::create_dir_all(folder).map_err(error_text)?;
         let names: Vec<String> = (0..places.len()).map(|at| format!("p-{at}")).collect();
         for (at, place) in places.iter().enumerate() {
-            let others = places.iter().filter(|it| it.hears != place.hears);
+            let others = places.iter().filter(|it| it.receive != place.receive);
             let peers: Vec<String> = others.map(|it| it.relay.to_string()).collect();
             let mut text = format!(
                 "listen = \"{}\"\nname = \"{}\"\nplanners = {names:?}\n[vrrp]\nvrid = 1\ninterval_ms = 100\n\
                  address = \"{}\"\npeers = {peers:?}\n",
-                place.listen, names[at], place.hears
+                place.listen, names[at], place.receive
             );
             if let Some(live) = live {
-                text += &live.section(folder, at, &names);
+                text += &live.config_section(folder, at, &names);
             }
-            std::fs::write(folder.join(format!("{at}.toml")), text).map_err(told)?;
+            std::fs::write(folder.join(format!("{at}.toml")), text).map_err(error_text)?;
         }
         let program = program.with_file_name("topazpath-planner");
         let running = places.iter().map(|_| None).collect();
@@ -298,7 +300,7 @@
         Ok(planners)
     }
 
-    /// Runs the operators' command for live configuration; what it prints.
+    /// Runs `topazpath-planner configuration`. Returns its output, or as an error what it wrote to standard error.
     fn configuration(&self, arguments: &[&OsStr]) -> Result<String, String> {
         let mut command = Command::new(&self.program);
         command.arg("configuration").args(arguments).stdin(Stdio::null());
@@ -310,7 +312,8 @@
         }
     }
 
-    /// Submits a document as the next revision; its number, and the beginning of its content's hash.
+    /// Submits a document as the next revision. Returns its number and a prefix of its content's hash; fails if it is
+    /// not accepted.
     pub fn submit(&self, document: &str) -> Result<(u64, String), String> {
         let file = self.folder.join("document.toml");
         std::fs::write(&file, document).map_err(|error| error.to_string())?;
@@ -325,10 +328,10 @@
             let hash = hash.trim_start_matches('(').trim_end_matches(')');
             Some((number.parse().ok()?, hash.to_string()))
         });
-        read.ok_or_else(|| format!("submit prints {printed:?}"))
+        read.ok_or_else(|| format!("unexpected output of submit: {printed:?}"))
     }
 
-    /// Starts one.
+    /// Starts a planner. Fails if it can't be spawned.
     pub fn start(&mut self, at: usize) -> Result<(), String> {
         let mut command = Command::new(&self.program);
         command.arg(self.folder.join(format!("{at}.toml"))).stdin(Stdio::null()).stdout(Stdio::null());
@@ -336,19 +339,19 @@
         Ok(())
     }
 
-    /// Ends one at once.
+    /// Kills a planner.
     pub fn kill(&mut self, at: usize) {
         self.running[at] = None;
     }
 
-    /// Those that run.
+    /// The processes of the running planners.
     pub fn running(&mut self) -> impl Iterator<Item = &mut Process> {
         self.running.iter_mut().flatten()
     }
 }
 
 impl Live<'_> {
-    fn section(&self, folder: &Path, at: usize, names: &[String]) -> String {
+    fn config_section(&self, folder: &Path, at: usize, names: &[String]) -> String {
         let others = names.iter().enumerate().filter(|(other, _)| *other != at);
         let peers: Vec<String> = others
             .map(|(other, name)| {
@@ -365,18 +368,18 @@
     }
 }
 
-/// Waits until a check comes true; how long that took, or nothing where it never did.
-pub fn until(
-    patience: Duration,
-    pause: Duration,
+/// Polls `check` every `interval` until it is true. Returns how long that took, `None` after `timeout`, or its error.
+pub fn wait_until(
+    timeout: Duration,
+    interval: Duration,
     mut check: impl FnMut() -> Result<bool, String>,
 ) -> Result<Option<Duration>, String> {
     let start = Instant::now();
     while !check()? {
-        if start.elapsed() > patience {
+        if start.elapsed() > timeout {
             return Ok(None);
         }
-        std::thread::sleep(pause);
+        std::thread::sleep(interval);
     }
     Ok(Some(start.elapsed()))
 }
--- a/lab/src/hollow/registry.rs
+++ b/lab/src/hollow/registry.rs
@@ -1,7 +1,8 @@
-//! Stand-in discovery for hundreds of watches in one thread: whole lists, and from a version on what changed, each watch
-//! answered at once when something did, and with nothing at the end of its wait. It counts calls and bytes by group.
+//! Stand-in discovery server: one thread serves hundreds of long polls. A client without a version gets the whole
+//! list, one with a version the changes since then: as soon as there are any, or an empty answer when its wait is
+//! over. Calls and bytes are counted per group of initiators.
 
-use super::switch::Counted;
+use super::switch::Traffic;
 use crate::sync::lock;
 use mio::net::{TcpListener, TcpStream};
 use mio::{Events, Interest, Poll, Token, Waker};
@@ -13,30 +14,30 @@
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-const MOST_EVENTS: usize = 4096;
-/// How often the thread looks for waits that are over, at the least.
-const LOOK: Duration = Duration::from_millis(20);
-/// A longer request is none.
-const LONGEST_REQUEST: usize = 8 * 1024;
+const MAX_EVENTS: usize = 4096;
+/// Maximum interval between checks for waits that are over.
+const CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// A client that sends a longer request is disconnected.
+const MAX_REQUEST_BYTES: usize = 8 * 1024;
 
-/// A line of the list.
+/// An entry of the node list.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Line {
+pub struct Entry {
     /// The node's name.
     pub name: String,
-    /// Where it is.
+    /// The node's address.
     pub address: SocketAddr,
     /// Its zone.
     pub zone: String,
-    /// The shard that it holds.
+    /// The shard that the node serves.
     pub shard: u32,
     /// `active`, `leaving` or `left`.
     pub status: &'static str,
-    /// Unix time of its last start, in milliseconds; 0: long ago.
+    /// Unix time of its last start in milliseconds; 0 for long ago.
     pub since_ms: u64,
 }
 
-/// The Unix time in milliseconds, for nodes that start now.
+/// The present Unix time in milliseconds.
 pub fn now_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64)
 }
@@ -44,12 +45,12 @@
 #[derive(Default)]
 struct List {
     index: u64,
-    /// Lines by name, with the version of their last change.
-    lines: BTreeMap<String, (Line, u64)>,
+    /// Entries by name, each with the version of its last change.
+    entries: BTreeMap<String, (Entry, u64)>,
 }
 
 impl List {
-    /// An answer to who knows a version; nothing while there is nothing new.
+    /// Answer to a client that has version `after`; `None` if it has the current one.
     fn answer(&self, after: Option<u64>) -> Option<Vec<u8>> {
         match after.filter(|after| *after <= self.index) {
             Some(after) if after == self.index => None,
@@ -58,51 +59,55 @@
     }
 
     fn body(&self, after: Option<u64>) -> Vec<u8> {
-        let wanted = |(line, changed): &&(Line, u64)| match after {
+        let wanted = |(entry, changed): &&(Entry, u64)| match after {
             Some(after) => *changed > after,
-            None => line.status != "left",
+            None => entry.status != "left",
         };
-        let lines: Vec<String> = self.lines.values().filter(wanted).map(|(line, _)| text(line)).collect();
+        let entries: Vec<String> =
+            self.entries.values().filter(wanted).map(|(entry, _)| entry_json(entry)).collect();
         let snapshot = after.is_none();
-        let body =
-            format!(r#"{{"index":{},"snapshot":{snapshot},"endpoints":[{}]}}"#, self.index, lines.join(","));
+        let body = format!(
+            r#"{{"index":{},"snapshot":{snapshot},"endpoints":[{}]}}"#,
+            self.index,
+            entries.join(",")
+        );
         format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
     }
 }
 
-fn text(line: &Line) -> String {
+fn entry_json(entry: &Entry) -> String {
     format!(
         r#"{{"name":"{}","address":"{}","zone":"{}","type":"t","group":{},"status":"{}","weight":1.0,"since_ms":{}}}"#,
-        line.name, line.address, line.zone, line.shard, line.status, line.since_ms
+        entry.name, entry.address, entry.zone, entry.shard, entry.status, entry.since_ms
     )
 }
 
-/// Discovery's stand-in; it ends when it is dropped.
-pub struct Registry {
-    /// Where each group asks.
+/// Stand-in discovery server; it stops when this is dropped.
+pub struct DiscoveryServer {
+    /// Listening address for each group.
     pub addresses: Vec<SocketAddr>,
-    /// Bytes of each group, as its initiators see them.
-    pub counted: Arc<Vec<Counted>>,
+    /// Bytes sent and received by the initiators of each group.
+    pub traffic: Arc<Vec<Traffic>>,
     calls: Arc<AtomicU64>,
     list: Arc<Mutex<List>>,
     waker: Arc<Waker>,
-    ended: Arc<AtomicBool>,
+    stop: Arc<AtomicBool>,
     thread: Option<thread::JoinHandle<()>>,
 }
 
-impl Drop for Registry {
+impl Drop for DiscoveryServer {
     fn drop(&mut self) {
-        self.ended.store(true, Ordering::Relaxed);
+        self.stop.store(true, Ordering::Relaxed);
         if let Some(thread) = self.thread.take() {
-            // A panic there has been told on standard error.
+            // A panic of the thread has been printed to standard error.
             let _ = thread.join();
         }
     }
 }
 
-impl Registry {
-    /// Starts one with these lines, and a listener for each group.
-    pub fn start(ip: Ipv4Addr, groups: usize, lines: Vec<Line>) -> std::io::Result<Registry> {
+impl DiscoveryServer {
+    /// Starts the server with these entries and one listener per group. Fails if a socket can't be opened.
+    pub fn start(ip: Ipv4Addr, groups: usize, entries: Vec<Entry>) -> std::io::Result<DiscoveryServer> {
         let poll = Poll::new()?;
         let mut listeners = Vec::new();
         for number in 0..groups {
@@ -112,48 +117,48 @@
         }
         let addresses = listeners.iter().map(TcpListener::local_addr).collect::<Result<_, _>>()?;
         let waker = Arc::new(Waker::new(poll.registry(), Token(groups))?);
-        let counted = Arc::new((0..groups).map(|_| Counted::default()).collect::<Vec<_>>());
-        let (calls, list, ended) = <(Arc<AtomicU64>, Arc<Mutex<List>>, Arc<AtomicBool>)>::default();
-        let mut work = Work {
+        let traffic = Arc::new((0..groups).map(|_| Traffic::default()).collect::<Vec<_>>());
+        let (calls, list, stop) = <(Arc<AtomicU64>, Arc<Mutex<List>>, Arc<AtomicBool>)>::default();
+        let mut server_loop = ServerLoop {
             poll,
             next: groups + 1,
             listeners,
-            callers: HashMap::new(),
+            connections: HashMap::new(),
             list: list.clone(),
-            counted: counted.clone(),
+            traffic: traffic.clone(),
             calls: calls.clone(),
         };
-        let at_work = ended.clone();
+        let stop_requested = stop.clone();
         let thread = thread::spawn(move || {
-            while !at_work.load(Ordering::Relaxed) {
-                if let Err(error) = work.turn() {
-                    eprintln!("discovery's stand-in: {error}");
+            while !stop_requested.load(Ordering::Relaxed) {
+                if let Err(error) = server_loop.run_iteration() {
+                    eprintln!("discovery stand-in: {error}");
                     return;
                 }
             }
         });
-        let registry = Registry { addresses, counted, calls, list, waker, ended, thread: Some(thread) };
-        registry.tell(lines);
-        Ok(registry)
+        let server = DiscoveryServer { addresses, traffic, calls, list, waker, stop, thread: Some(thread) };
+        server.publish(entries);
+        Ok(server)
     }
 
-    /// Tells changed lines from now on; the version that has them.
-    pub fn tell(&self, changed: Vec<Line>) -> u64 {
+    /// Publishes changed entries. Returns the version that contains them.
+    pub fn publish(&self, changed: Vec<Entry>) -> u64 {
         let mut list = lock(&self.list);
         list.index += 1;
         let index = list.index;
-        for line in changed {
-            list.lines.insert(line.name.clone(), (line, index));
+        for entry in changed {
+            list.entries.insert(entry.name.clone(), (entry, index));
         }
         drop(list);
-        // The thread looks by itself as well, only later.
+        // If this fails, the thread notices the change at its next periodic check.
         let _ = self.waker.wake();
         index
     }
 
-    /// The lines as they are.
-    pub fn lines(&self) -> Vec<Line> {
-        lock(&self.list).lines.values().map(|(line, _)| line.clone()).collect()
+    /// The present entries.
+    pub fn entries(&self) -> Vec<Entry> {
+        lock(&self.list).entries.values().map(|(entry, _)| entry.clone()).collect()
     }
 
     /// Calls answered so far.
@@ -162,29 +167,29 @@
     }
 }
 
-struct Caller {
+struct Connection {
     stream: TcpStream,
     group: usize,
     input: Vec<u8>,
     output: Vec<u8>,
-    /// What it waits for: the version it knows, and until when.
-    waits: Option<(u64, Instant)>,
+    /// The long poll in progress: the client's version, and when the wait is over.
+    long_poll: Option<(u64, Instant)>,
 }
 
-struct Work {
+struct ServerLoop {
     poll: Poll,
     listeners: Vec<TcpListener>,
-    callers: HashMap<usize, Caller>,
+    connections: HashMap<usize, Connection>,
     next: usize,
     list: Arc<Mutex<List>>,
-    counted: Arc<Vec<Counted>>,
+    traffic: Arc<Vec<Traffic>>,
     calls: Arc<AtomicU64>,
 }
 
-impl Work {
-    fn turn(&mut self) -> std::io::Result<()> {
-        let mut events = Events::with_capacity(MOST_EVENTS);
-        match self.poll.poll(&mut events, Some(LOOK)) {
+impl ServerLoop {
+    fn run_iteration(&mut self) -> std::io::Result<()> {
+        let mut events = Events::with_capacity(MAX_EVENTS);
+        match self.poll.poll(&mut events, Some(CHECK_INTERVAL)) {
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
             other => other?,
         }
@@ -202,34 +207,35 @@
 
     fn accept(&mut self, group: usize) -> std::io::Result<()> {
         while let Ok((mut stream, _)) = self.listeners[group].accept() {
-            // Without it answers come later, and that shows in the figures.
+            // Nagle's algorithm would delay answers and distort the measurements.
             let _ = stream.set_nodelay(true);
-            let both = Interest::READABLE | Interest::WRITABLE;
-            self.poll.registry().register(&mut stream, Token(self.next), both)?;
-            let caller = Caller { stream, group, input: Vec::new(), output: Vec::new(), waits: None };
-            self.callers.insert(self.next, caller);
+            let interest = Interest::READABLE | Interest::WRITABLE;
+            self.poll.registry().register(&mut stream, Token(self.next), interest)?;
+            let connection =
+                Connection { stream, group, input: Vec::new(), output: Vec::new(), long_poll: None };
+            self.connections.insert(self.next, connection);
             self.next += 1;
         }
         Ok(())
     }
 
     fn read(&mut self, id: usize) {
-        let Some(caller) = self.callers.get_mut(&id) else { return };
-        let sent = &self.counted[caller.group].sent;
-        if !caller.read(sent) || !caller.write() {
-            self.callers.remove(&id);
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        let sent = &self.traffic[connection.group].sent;
+        if !connection.read(sent) || !connection.write() {
+            self.connections.remove(&id);
         }
     }
 
-    /// Answers whoever there is something new for, or whose wait is over.
+    /// Answers the clients for whom there are changes or whose wait is over.
     fn answer_all(&mut self, now: Instant) {
         let list = lock(&self.list);
-        // Most ask for the same.
+        // Most clients have the same version, so bodies are shared.
         let mut bodies: HashMap<Option<u64>, Vec<u8>> = HashMap::new();
-        let mut broken = Vec::new();
-        for (id, caller) in &mut self.callers {
-            caller.take_request(now);
-            let Some((after, until)) = caller.waits else { continue };
+        let mut closed = Vec::new();
+        for (id, connection) in &mut self.connections {
+            connection.take_request(now);
+            let Some((after, until)) = connection.long_poll else { continue };
             let after = (after > 0).then_some(after);
             let answer = match bodies.get(&after) {
                 Some(body) => Some(body.clone()),
@@ -237,29 +243,29 @@
             };
             let answer = answer.or_else(|| (until <= now).then(|| list.body(after)));
             let Some(answer) = answer else { continue };
-            caller.waits = None;
+            connection.long_poll = None;
             self.calls.fetch_add(1, Ordering::Relaxed);
-            self.counted[caller.group].received.fetch_add(answer.len() as u64, Ordering::Relaxed);
-            caller.output.extend_from_slice(&answer);
-            if !caller.write() {
-                broken.push(*id);
+            self.traffic[connection.group].received.fetch_add(answer.len() as u64, Ordering::Relaxed);
+            connection.output.extend_from_slice(&answer);
+            if !connection.write() {
+                closed.push(*id);
             }
         }
-        broken.into_iter().for_each(|id| drop(self.callers.remove(&id)));
+        closed.into_iter().for_each(|id| drop(self.connections.remove(&id)));
     }
 }
 
-impl Caller {
-    /// Reads what is there; false once it is over.
+impl Connection {
+    /// Reads the available input; false once the connection has ended.
     fn read(&mut self, sent: &AtomicU64) -> bool {
-        let mut bytes = [0; LONGEST_REQUEST];
+        let mut bytes = [0; MAX_REQUEST_BYTES];
         loop {
             match self.stream.read(&mut bytes) {
                 Ok(0) => return false,
                 Ok(count) => {
                     sent.fetch_add(count as u64, Ordering::Relaxed);
                     self.input.extend_from_slice(&bytes[..count]);
-                    if self.input.len() > LONGEST_REQUEST {
+                    if self.input.len() > MAX_REQUEST_BYTES {
                         return false;
                     }
                 }
@@ -268,9 +274,9 @@
         }
     }
 
-    /// Takes the next request, once it is whole and the one before was answered.
+    /// Parses the next request if it is complete and the previous one has been answered.
     fn take_request(&mut self, now: Instant) {
-        if self.waits.is_some() {
+        if self.long_poll.is_some() {
             return;
         }
         let Some(end) = self.input.windows(4).position(|it| it == b"\r\n\r\n") else { return };
@@ -281,7 +287,7 @@
             rest.split(|it: char| !it.is_ascii_digit()).next()?.parse::<u64>().ok()
         };
         let wait = Duration::from_millis(number("wait_ms=").unwrap_or(0));
-        self.waits = Some((number("after=").unwrap_or(0), now + wait));
+        self.long_poll = Some((number("after=").unwrap_or(0), now + wait));
     }
 
     fn write(&mut self) -> bool {
--- a/lab/src/hollow/relay.rs
+++ b/lab/src/hollow/relay.rs
@@ -1,7 +1,7 @@
-//! TCP relays between initiators and planners, one listener for each group of initiators and planner. They count what
-//! passes, hold everything up between regions that are cut off from each other, and cut connections as told.
+//! TCP relays between initiators and planners, one listener for each pair of a group of initiators and a planner. They
+//! count traffic, delay everything between regions that are cut off from each other, and close connections on demand.
 
-use super::switch::Counted;
+use super::switch::Traffic;
 use super::Cut;
 use mio::net::{TcpListener, TcpStream};
 use mio::{Events, Interest, Poll, Token};
@@ -13,16 +13,16 @@
 use std::thread;
 use std::time::Duration;
 
-/// How often the thread looks whether it is to end, to cut, or to go on with what was held up.
-const LOOK: Duration = Duration::from_millis(20);
-const MOST_EVENTS: usize = 4096;
-/// Bytes that wait for an end that does not read: no more is read from the other.
-const MOST_WAITING: usize = 1 << 20;
-const READ: usize = 64 * 1024;
+/// Maximum interval between checks whether to stop, to close connections or to resume after a cut.
+const CHECK_INTERVAL: Duration = Duration::from_millis(20);
+const MAX_EVENTS: usize = 4096;
+/// Maximum bytes queued for an end that does not read; beyond that nothing is read from the other end.
+const MAX_QUEUED_BYTES: usize = 1 << 20;
+const READ_BYTES: usize = 64 * 1024;
 
-/// Whom a listener leads to, and for whom.
+/// Which initiators a listener serves, and the planner it connects them to.
 #[derive(Clone, Copy, Debug)]
-pub struct Way {
+pub struct Route {
     /// The group of initiators that use it.
     pub group: usize,
     /// Their region.
@@ -33,99 +33,99 @@
     pub planner: SocketAddr,
 }
 
-/// The relays; they end when this is dropped.
+/// The relays; they stop when this is dropped.
 pub struct Relay {
-    /// Where the initiators connect, by way.
+    /// Listening addresses for initiators, one per route.
     pub addresses: Vec<SocketAddr>,
-    /// What passed for each group, as its initiators see it.
-    pub counted: Arc<Vec<Counted>>,
-    /// Connections that are still to be cut, in thousandths of all that are open.
-    cuts: Arc<AtomicU64>,
-    ended: Arc<AtomicBool>,
+    /// Bytes sent and received by the initiators of each group.
+    pub traffic: Arc<Vec<Traffic>>,
+    /// Connections to close in the next iteration, in thousandths of those that are open.
+    pending_closes: Arc<AtomicU64>,
+    stop: Arc<AtomicBool>,
     thread: Option<thread::JoinHandle<()>>,
 }
 
 impl Drop for Relay {
     fn drop(&mut self) {
-        self.ended.store(true, Ordering::Relaxed);
+        self.stop.store(true, Ordering::Relaxed);
         if let Some(thread) = self.thread.take() {
-            // A panic there has been told on standard error.
+            // A panic of the thread has been printed to standard error.
             let _ = thread.join();
         }
     }
 }
 
 impl Relay {
-    /// Starts listeners for these ways.
-    pub fn start(ip: Ipv4Addr, ways: Vec<Way>, cut: Arc<Cut>) -> std::io::Result<Relay> {
+    /// Starts a listener for each route. Fails if a socket can't be opened.
+    pub fn start(ip: Ipv4Addr, routes: Vec<Route>, cut: Arc<Cut>) -> std::io::Result<Relay> {
         let poll = Poll::new()?;
         let mut listeners = Vec::new();
-        for number in 0..ways.len() {
+        for number in 0..routes.len() {
             let mut listener = TcpListener::bind(SocketAddr::from((ip, 0)))?;
             poll.registry().register(&mut listener, Token(number), Interest::READABLE)?;
             listeners.push(listener);
         }
         let addresses = listeners.iter().map(TcpListener::local_addr).collect::<Result<_, _>>()?;
-        let groups = ways.iter().map(|way| way.group + 1).max().unwrap_or(0);
-        let counted = Arc::new((0..groups).map(|_| Counted::default()).collect::<Vec<_>>());
-        let (ended, cuts) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicU64::new(0)));
-        let mut work = Work {
+        let groups = routes.iter().map(|route| route.group + 1).max().unwrap_or(0);
+        let traffic = Arc::new((0..groups).map(|_| Traffic::default()).collect::<Vec<_>>());
+        let (stop, pending_closes) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicU64::new(0)));
+        let mut relay_loop = RelayLoop {
             poll,
             listeners,
-            next: ways.len(),
-            ways,
+            next: routes.len(),
+            routes,
             pairs: BTreeMap::new(),
-            counted: counted.clone(),
+            traffic: traffic.clone(),
             cut,
-            cuts: cuts.clone(),
-            held: false,
-            cut_from: 0,
+            pending_closes: pending_closes.clone(),
+            was_cut: false,
+            close_from: 0,
         };
-        let at_work = ended.clone();
+        let stop_requested = stop.clone();
         let thread = thread::spawn(move || {
-            while !at_work.load(Ordering::Relaxed) {
-                if let Err(error) = work.turn() {
-                    eprintln!("the planners' relay: {error}");
+            while !stop_requested.load(Ordering::Relaxed) {
+                if let Err(error) = relay_loop.run_iteration() {
+                    eprintln!("planner relay: {error}");
                     return;
                 }
             }
         });
-        Ok(Relay { addresses, counted, cuts, ended, thread: Some(thread) })
+        Ok(Relay { addresses, traffic, pending_closes, stop, thread: Some(thread) })
     }
 
-    /// Cuts so many thousandths of the connections that are open, in turn.
-    pub fn cut_connections(&self, thousandths: u64) {
-        self.cuts.store(thousandths, Ordering::Relaxed);
+    /// Closes this many thousandths of the open connections; successive calls close different ones.
+    pub fn close_connections(&self, thousandths: u64) {
+        self.pending_closes.store(thousandths, Ordering::Relaxed);
     }
 }
 
-/// Two connections that are carried to each other.
+/// An initiator's connection and the relay's connection to the planner.
 struct Pair {
-    way: usize,
-    /// Of the initiator, and to the planner, with what waits to be written to each.
+    route: usize,
+    /// The initiator's and the planner's end, each with the bytes queued for it.
     ends: [(TcpStream, Vec<u8>); 2],
 }
 
-struct Work {
+struct RelayLoop {
     poll: Poll,
     listeners: Vec<TcpListener>,
-    ways: Vec<Way>,
-    /// By the lower of two tokens: an even number beyond the listeners for the initiator, and the next for the planner.
+    routes: Vec<Route>,
+    /// By the initiator's token, an even offset past the listeners' tokens; the planner's token is the next one.
     pairs: BTreeMap<usize, Pair>,
     next: usize,
-    counted: Arc<Vec<Counted>>,
+    traffic: Arc<Vec<Traffic>>,
     cut: Arc<Cut>,
-    cuts: Arc<AtomicU64>,
-    /// A cut was in force in the last turn.
-    held: bool,
-    /// Where the next connections to cut are looked for.
-    cut_from: usize,
+    pending_closes: Arc<AtomicU64>,
+    /// Whether a region was cut off in the last iteration.
+    was_cut: bool,
+    /// Token at which the choice of connections to close continues.
+    close_from: usize,
 }
 
-impl Work {
-    fn turn(&mut self) -> std::io::Result<()> {
-        let mut events = Events::with_capacity(MOST_EVENTS);
-        match self.poll.poll(&mut events, Some(LOOK)) {
+impl RelayLoop {
+    fn run_iteration(&mut self) -> std::io::Result<()> {
+        let mut events = Events::with_capacity(MAX_EVENTS);
+        match self.poll.poll(&mut events, Some(CHECK_INTERVAL)) {
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
             other => other?,
         }
@@ -134,90 +134,91 @@
             if id < self.listeners.len() {
                 self.accept(id)?;
             } else {
-                self.carry(self.first_of(id));
+                self.forward(self.pair_token(id));
             }
         }
-        let held = self.cut.is_on();
-        if self.held && !held {
-            // What came while it was held up is not told again.
+        let is_cut = self.cut.is_active();
+        if self.was_cut && !is_cut {
+            // Readiness is edge-triggered: what arrived during the cut is not reported again.
             let all: Vec<usize> = self.pairs.keys().copied().collect();
-            all.into_iter().for_each(|first| self.carry(first));
+            all.into_iter().for_each(|first| self.forward(first));
         }
-        self.held = held;
-        self.cut_some();
+        self.was_cut = is_cut;
+        self.close_some();
         Ok(())
     }
 
-    fn first_of(&self, id: usize) -> usize {
-        let beyond = id - self.listeners.len();
-        id - beyond % 2
+    fn pair_token(&self, id: usize) -> usize {
+        let offset = id - self.listeners.len();
+        id - offset % 2
     }
 
     fn accept(&mut self, listener: usize) -> std::io::Result<()> {
         while let Ok((mut initiator, _)) = self.listeners[listener].accept() {
-            // One that is not there resets, which closes the pair.
-            let Ok(mut planner) = TcpStream::connect(self.ways[listener].planner) else { continue };
-            // Without it what is carried comes later, and that shows in the figures.
+            // A planner that is not running resets the connection, which closes the pair.
+            let Ok(mut planner) = TcpStream::connect(self.routes[listener].planner) else { continue };
+            // Nagle's algorithm would delay the forwarded bytes and distort the measurements.
             let _ = initiator.set_nodelay(true);
-            let both = Interest::READABLE | Interest::WRITABLE;
-            self.poll.registry().register(&mut initiator, Token(self.next), both)?;
-            self.poll.registry().register(&mut planner, Token(self.next + 1), both)?;
+            let interest = Interest::READABLE | Interest::WRITABLE;
+            self.poll.registry().register(&mut initiator, Token(self.next), interest)?;
+            self.poll.registry().register(&mut planner, Token(self.next + 1), interest)?;
             let ends = [(initiator, Vec::new()), (planner, Vec::new())];
-            self.pairs.insert(self.next, Pair { way: listener, ends });
+            self.pairs.insert(self.next, Pair { route: listener, ends });
             self.next += 2;
         }
         Ok(())
     }
 
-    /// Carries what is there both ways; a pair with an end that is over is closed.
-    fn carry(&mut self, first: usize) {
+    /// Forwards available bytes in both directions; closes the pair if either end has closed.
+    fn forward(&mut self, first: usize) {
         let Some(pair) = self.pairs.get_mut(&first) else { return };
-        let way = self.ways[pair.way];
-        let is_held = self.cut.is_between(way.region, way.planner_region);
-        let counted = &self.counted[way.group];
+        let route = self.routes[pair.route];
+        let is_blocked = self.cut.separates(route.region, route.planner_region);
+        let traffic = &self.traffic[route.group];
         let mut open = true;
-        for (from, passed) in [(0, &counted.sent), (1, &counted.received)] {
+        for (from, forwarded) in [(0, &traffic.sent), (1, &traffic.received)] {
             let [initiator, planner] = &mut pair.ends;
             let (source, target) = if from == 0 { (initiator, planner) } else { (planner, initiator) };
-            open &= pass(&mut source.0, target, passed, is_held);
+            open &= forward_one_way(&mut source.0, target, forwarded, is_blocked);
         }
         if !open {
             self.pairs.remove(&first);
         }
     }
 
-    fn cut_some(&mut self) {
-        let thousandths = self.cuts.swap(0, Ordering::Relaxed) as usize;
+    fn close_some(&mut self) {
+        let thousandths = self.pending_closes.swap(0, Ordering::Relaxed) as usize;
         let count = (self.pairs.len() * thousandths).div_ceil(1000);
-        let after = self.pairs.range(self.cut_from..).map(|(first, _)| *first);
+        let after = self.pairs.range(self.close_from..).map(|(first, _)| *first);
         let victims: Vec<usize> = after.chain(self.pairs.keys().copied()).step_by(7).take(count).collect();
         for first in victims {
             self.pairs.remove(&first);
-            self.cut_from = first + 1;
+            self.close_from = first + 1;
         }
     }
 }
 
-/// Carries one way; false once it is over. While it is held up what comes is taken and kept for later, and an end is seen
-/// all the same. Guards the descriptors: who is cut off gives up and comes again for as long as that lasts.
-fn pass(
+/// Forwards one direction; false once an end has closed. While blocked it still reads, queues the bytes and notices a
+/// close: initiators that are cut off give up and reconnect all the time, and unnoticed closes would use up the
+/// descriptors.
+fn forward_one_way(
     source: &mut TcpStream,
     target: &mut (TcpStream, Vec<u8>),
-    passed: &AtomicU64,
-    is_held: bool,
+    forwarded: &AtomicU64,
+    is_blocked: bool,
 ) -> bool {
-    let mut bytes = [0; READ];
+    let mut bytes = [0; READ_BYTES];
     loop {
-        if !is_held && !write(target) {
+        if !is_blocked && !write(target) {
             return false;
         }
-        if target.1.len() >= MOST_WAITING {
+        if target.1.len() >= MAX_QUEUED_BYTES {
             return true;
         }
         match source.read(&mut bytes) {
             Ok(0) => return false,
             Ok(count) => {
-                passed.fetch_add(count as u64, Ordering::Relaxed);
+                forwarded.fetch_add(count as u64, Ordering::Relaxed);
                 target.1.extend_from_slice(&bytes[..count]);
             }
             Err(error) => return is_pending(&error),
@@ -225,17 +226,18 @@
     }
 }
 
-fn write((stream, waiting): &mut (TcpStream, Vec<u8>)) -> bool {
-    while !waiting.is_empty() {
-        match stream.write(waiting) {
-            Ok(count) => drop(waiting.drain(..count)),
+fn write((stream, queued): &mut (TcpStream, Vec<u8>)) -> bool {
+    while !queued.is_empty() {
+        match stream.write(queued) {
+            Ok(count) => drop(queued.drain(..count)),
             Err(error) => return is_pending(&error),
         }
     }
     true
 }
 
-/// It is neither over nor broken; a connection that is being made is told as not connected.
+/// Whether the operation is to be tried again later. `NotConnected` means that the connection is still being
+/// established.
 fn is_pending(error: &std::io::Error) -> bool {
     matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted | ErrorKind::NotConnected)
 }
--- a/lab/src/hollow/rig.rs
+++ b/lab/src/hollow/rig.rs
@@ -1,15 +1,15 @@
-//! Everything that a run needs, started together and ended together: network, discovery, nodes, planners, hollow and real
-//! initiators, and the clients of the real ones.
+//! The whole fleet of a run, started and ended together: network, discovery, nodes, planners, hollow and real
+//! initiators, and the stand-in clients of the real ones.
 
-use super::files::{self, Setup, REGIONS as NAMES};
+use super::files::{self, Setup, REGIONS as REGION_NAMES};
 use super::keeper::Keeper;
-use super::messages::{unix_micros, Command, Late, Seen, Standing};
-use super::processes::{until, Live, Place, Planners, Process, Real, Worker};
-use super::registry::{Line, Registry};
-use super::relay::{Relay, Way};
+use super::messages::{unix_micros, Command, Late, Standing, WorkerMessage};
+use super::processes::{wait_until, Live, PlannerAddresses, Planners, Process, Real, Worker};
+use super::registry::{DiscoveryServer, Entry};
+use super::relay::{Relay, Route};
 use super::switch::Switch;
-use super::{memory, worse, Cut, Requests, Sizes, REGIONS};
-use crate::stand_ins::clients::{Clients, Item, Load, Told, Way as Clientele};
+use super::{combine_lateness, memory_mb, Cut, Requests, Sizes, REGIONS};
+use crate::stand_ins::clients::{Clients, Item, Load, Told, Way as ClientRoute};
 use crate::stand_ins::service::{node, Attempts};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
@@ -18,146 +18,148 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How long the fleet may take to be as it should, before a run gives up.
-const PATIENCE: Duration = Duration::from_secs(240);
-/// In how many parts the initiators start, each once the parts before are one fleet.
+/// How long the fleet may take to form before a run fails.
+const FORM_TIMEOUT: Duration = Duration::from_secs(240);
+/// Stages in which the initiators start; a stage starts once the previous ones have formed one fleet.
 const STAGES: usize = 10;
-/// How often all are asked how they stand.
-const LOOK: Duration = Duration::from_millis(200);
-/// The second bytes of the addresses: of each region, and of nodes and all else.
+/// Interval at which all initiators are asked for their state.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
+/// Second byte of the loopback addresses: of the first region (the others follow), and of nodes and everything else.
 const REGION_BYTE: u8 = 230;
 const OTHER_BYTE: u8 = 233;
-/// What a node takes for a request.
-const TAKES: Duration = Duration::from_millis(3);
-/// A port at which nobody listens: nodes that are only listed.
-const NOBODY: u16 = 9;
-/// Groups whose bytes are counted apart, beyond the regions: the hollow initiator that has a process of its own, and the
-/// real one beside it.
+/// Time that a node takes for a request.
+const SERVICE_TIME: Duration = Duration::from_millis(3);
+/// A port without a listener, for nodes that are only listed.
+const CLOSED_PORT: u16 = 9;
+/// Traffic group of the hollow initiator that has a process of its own. The groups before it are the regions.
 pub const HOLLOW_ASIDE: usize = REGIONS;
-/// Likewise.
+/// Traffic group of the real initiator without clients, which is compared with it.
 pub const REAL_ASIDE: usize = REGIONS + 1;
 const GROUPS: usize = REGIONS + 2;
-/// The first of the groups of the planners themselves, whose ways are those to each other.
-const PLANNERS: usize = GROUPS;
+/// First of the planners' own traffic groups, one per planner, for the connections to each other.
+const PLANNER_GROUPS: usize = GROUPS;
 
-/// The folder of a run, removed with it.
-struct Folder(PathBuf);
+/// Temporary folder of a run, removed when this is dropped.
+struct RunFolder(PathBuf);
 
-impl Drop for Folder {
+impl Drop for RunFolder {
     fn drop(&mut self) {
-        // What is left of a folder is the system's to clean.
+        // A remainder is left to the system's cleaning of temporary files.
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-/// A revision in force at an initiator.
+/// Observation of a revision in force at an initiator.
 #[derive(Clone, Debug)]
 pub struct InForce {
-    /// The initiator.
+    /// Number of the initiator.
     pub who: usize,
-    /// Its number.
+    /// Number of the revision.
     pub number: u64,
-    /// The hash of its content.
+    /// Hash of its content.
     pub hash: String,
-    /// When that was seen, in Unix microseconds.
+    /// When it was observed, in Unix microseconds.
     pub at: u64,
 }
 
-/// A whole fleet. Its processes end with it, first of all.
+/// A whole fleet. Dropping it ends its processes before everything else.
 pub struct Rig {
-    /// Its sizes.
+    /// Sizes of the run.
     pub sizes: Sizes,
-    /// Processes with hollow initiators; the first has one alone.
+    /// Worker processes; the first runs a single hollow initiator.
     pub workers: Vec<Worker>,
     /// Real initiators.
     pub real: Vec<Real>,
     /// The planners.
     pub planners: Planners,
     clients: Vec<Clients>,
-    /// Which region is cut off.
+    /// Which region is cut off, if any.
     pub cut: Arc<Cut>,
-    /// Under the datagrams of fleet and elections.
+    /// Carries the datagrams of the fleet and of the planners' elections.
     pub switch: Switch,
-    /// Between initiators and planners.
+    /// Carries the connections to planners.
     pub relay: Relay,
-    /// Discovery.
-    pub registry: Registry,
-    /// What the nodes saw.
+    /// The stand-in for discovery.
+    pub discovery: DiscoveryServer,
+    /// Attempts that the nodes received.
     pub attempts: Attempts,
-    /// Nodes that are there, the spare one last.
+    /// Addresses of the running nodes; the last one is a spare.
     pub alive: Vec<SocketAddr>,
-    lists: Receiver<Seen>,
-    /// Whether the program knows live configuration.
+    messages: Receiver<WorkerMessage>,
+    /// Whether the planner program supports live configuration.
     pub live: bool,
-    /// Revisions that came into force at initiators.
+    /// Revisions observed in force since [`Rig::revisions`] was last called.
     revisions: Vec<InForce>,
-    /// When a version of the list was in a hollow initiator's node list, in Unix microseconds.
-    told: BTreeMap<usize, BTreeMap<u64, u64>>,
-    /// Real initiators that were killed, with the times just before and after.
+    /// When each hollow initiator applied each version of the node list, in Unix microseconds.
+    received: BTreeMap<usize, BTreeMap<u64, u64>>,
+    /// Real initiators that were killed, with the times just before and after the kill.
     killed: Vec<(usize, Instant, Instant)>,
-    /// How late the workers' loops were since that was asked for.
+    /// Lateness of the workers' loops since [`Rig::late`] was last called.
     late: Late,
-    folder: Folder,
+    folder: RunFolder,
 }
 
-/// An address of this run's own.
+/// A loopback address that only this run uses; its third byte is taken from the process id.
 fn ip(second: u8, last: usize) -> Ipv4Addr {
     Ipv4Addr::new(127, second, std::process::id() as u8, last as u8)
 }
 
-/// The region of an initiator or a planner.
+/// Region of an initiator or a planner.
 pub fn region(who: usize) -> usize {
     who % REGIONS
 }
 
-fn told(error: std::io::Error) -> String {
+fn error_text(error: std::io::Error) -> String {
     error.to_string()
 }
 
 impl Rig {
-    /// Starts everything; the fleet is not formed yet.
+    /// Starts everything but the initiators. Fails if a process or a socket can't be started.
     pub fn start(sizes: &Sizes) -> Result<Rig, String> {
         let program = crate::vrrp::experiments::program()?;
         let keeper = Arc::new(Keeper::start()?);
         let number = std::process::id();
-        let folder = Folder(std::env::temp_dir().join(format!("topazpath-hollow-{number}")));
+        let folder = RunFolder(std::env::temp_dir().join(format!("topazpath-hollow-{number}")));
         let cut = Arc::new(Cut::default());
         let planner_place = |at: usize| (ip(REGION_BYTE + at as u8, 250), at);
         let initiators = (0..sizes.initiators)
             .map(|who| (ip(REGION_BYTE + region(who) as u8, 1 + who / REGIONS), region(who)));
         let places: Vec<_> = initiators.chain((0..REGIONS).map(planner_place)).collect();
-        let switch = Switch::start(&places, cut.clone()).map_err(told)?;
+        let switch = Switch::start(&places, cut.clone()).map_err(error_text)?;
         let attempts = Attempts::default();
         let alive = (0..=sizes.alive)
-            .map(|at| node(ip(OTHER_BYTE, 1 + at), at, TAKES, attempts.clone()))
+            .map(|at| node(ip(OTHER_BYTE, 1 + at), at, SERVICE_TIME, attempts.clone()))
             .collect::<Result<Vec<_>, _>>()
-            .map_err(told)?;
-        let registry = Registry::start(ip(OTHER_BYTE, 250), GROUPS, list(sizes, &alive)).map_err(told)?;
+            .map_err(error_text)?;
+        let discovery = DiscoveryServer::start(ip(OTHER_BYTE, 250), GROUPS, node_list(sizes, &alive))
+            .map_err(error_text)?;
         let planner_places = planner_places(&switch, sizes.initiators)?;
-        let relay =
-            Relay::start(ip(OTHER_BYTE, 251), ways(sizes, &planner_places), cut.clone()).map_err(told)?;
-        let mut listens = Vec::new();
-        let live = Planners::can_configure(&program);
-        let peers = |from: usize, to: usize| relay.addresses[(PLANNERS + from) * REGIONS + to];
-        // The files of all initiators have the same settings.
+        let relay = Relay::start(ip(OTHER_BYTE, 251), routes(sizes, &planner_places), cut.clone())
+            .map_err(error_text)?;
+        let mut listen_addresses = Vec::new();
+        let live = Planners::supports_live_configuration(&program);
+        let peers = |from: usize, to: usize| relay.addresses[(PLANNER_GROUPS + from) * REGIONS + to];
+        // All initiators have the same settings, so the first one's file stands for all.
         let initiator = files::paths(&folder.0.join("0")).config;
-        let section = Live { initiator: &initiator, peers: &peers };
-        let section = live.then_some(&section);
+        let live_setup = Live { initiator: &initiator, peers: &peers };
+        let live_setup = live.then_some(&live_setup);
         for who in 0..sizes.initiators {
-            let setup = setup(sizes, who, live, &switch, &relay, &registry)?;
+            let setup = setup(sizes, who, live, &switch, &relay, &discovery)?;
             let own = folder.0.join(who.to_string());
-            files::write(&own, &setup, sizes.seed ^ ((who as u64 + 1) << 20)).map_err(told)?;
-            listens.push(setup.listen);
+            files::write(&own, &setup, sizes.seed ^ ((who as u64 + 1) << 20)).map_err(error_text)?;
+            listen_addresses.push(setup.listen);
         }
         let mut planners =
-            Planners::prepare(&program, &folder.0.join("planners"), &planner_places, section, &keeper)?;
+            Planners::prepare(&program, &folder.0.join("planners"), &planner_places, live_setup, &keeper)?;
         (0..REGIONS).try_for_each(|at| planners.start(at))?;
         let real = (sizes.hollow()..sizes.initiators)
-            .map(|who| Real::new(who, &program, folder.0.join(who.to_string()), listens[who], &keeper))
+            .map(|who| {
+                Real::new(who, &program, folder.0.join(who.to_string()), listen_addresses[who], &keeper)
+            })
             .collect();
-        let (send, lists) = channel();
+        let (send, messages) = channel();
         let mut workers = Vec::new();
-        for (number, hollow) in shares(sizes).into_iter().enumerate() {
+        for (number, hollow) in worker_assignments(sizes).into_iter().enumerate() {
             workers.push(Worker::start(number, hollow, send.clone(), &keeper)?);
         }
         Ok(Rig {
@@ -169,47 +171,52 @@
             cut,
             switch,
             relay,
-            registry,
+            discovery,
             attempts,
             alive,
-            lists,
+            messages,
             live,
             revisions: Vec::new(),
-            told: BTreeMap::new(),
+            received: BTreeMap::new(),
             killed: Vec::new(),
             late: Late::default(),
             folder,
         })
     }
 
-    /// Starts all initiators and waits until the fleet is one and planned; then clients come.
+    /// Starts all initiators, waits until they share one view and have plans, then starts the clients. Returns how long
+    /// that took up to the clients; fails if the fleet doesn't form in time.
     pub fn form(&mut self) -> Result<Duration, String> {
         let start = Instant::now();
         let all: Vec<usize> = (0..self.sizes.initiators).collect();
         let stage = if self.sizes.at_once { all.len() } else { all.len().div_ceil(STAGES) };
-        for (number, some) in all.chunks(stage).enumerate() {
-            let begun = Instant::now();
-            self.start_again(some)?;
-            let running = number * stage + some.len();
-            let whole = self.whole_of(running, PATIENCE)?;
-            whole.ok_or_else(|| self.why_not(&format!("the fleet was never one at {running}")))?;
+        for (number, chunk) in all.chunks(stage).enumerate() {
+            let stage_start = Instant::now();
+            self.start_initiators(chunk)?;
+            let running = number * stage + chunk.len();
+            let stage_formed = self.wait_for_one_view_of(running, FORM_TIMEOUT)?;
+            stage_formed.ok_or_else(|| {
+                self.describe_states(&format!("the fleet did not form with {running} initiators"))
+            })?;
             println!(
-                "  {running} initiators together {:.1} s after the last came",
-                begun.elapsed().as_secs_f64()
+                "{running} initiators formed one fleet {:.1} s after the last ones started",
+                stage_start.elapsed().as_secs_f64()
             );
         }
         let (each, of) = self.sizes.volumes;
-        self.workers.iter_mut().try_for_each(|worker| worker.order(&Command::Ask { each, of }))?;
-        let planned = until(PATIENCE, LOOK, || Ok(self.standings()?.iter().all(|it| it.planned == REGIONS)))?;
-        planned.ok_or_else(|| self.why_not("plans never came to all"))?;
+        self.workers.iter_mut().try_for_each(|worker| worker.send(&Command::Ask { each, of }))?;
+        let planned = wait_until(FORM_TIMEOUT, POLL_INTERVAL, || {
+            Ok(self.states()?.iter().all(|it| it.planned == REGIONS))
+        })?;
+        planned.ok_or_else(|| self.describe_states("not all initiators received plans"))?;
         let formed = start.elapsed();
-        self.bring_clients();
-        // Initiators that have just started hold back for some seconds.
+        self.start_clients();
+        // Initiators limit their load for some seconds after their start.
         std::thread::sleep(Duration::from_secs(if self.sizes.short { 3 } else { 8 }));
         Ok(formed)
     }
 
-    fn bring_clients(&mut self) {
+    fn start_clients(&mut self) {
         let serving = self.sizes.serving();
         let load = Load {
             rate: self.sizes.rate,
@@ -219,110 +226,117 @@
             shards: self.sizes.alive as u64,
         };
         for real in self.real.iter().filter(|real| serving.contains(&real.who)) {
-            let way = Clientele::Direct(real.listen, real.who);
-            self.clients.push(Clients::start(way, load, Arc::new(|_| 1.0), client_seed(real.who)));
+            let route = ClientRoute::Direct(real.listen, real.who);
+            self.clients.push(Clients::start(route, load, Arc::new(|_| 1.0), client_seed(real.who)));
         }
     }
 
-    /// What all initiators that run say of themselves. An error if a process was lost.
-    pub fn standings(&mut self) -> Result<Vec<Standing>, String> {
+    /// States of all initiators that answer. Fails if a process has ended by itself.
+    pub fn states(&mut self) -> Result<Vec<Standing>, String> {
         self.check()?;
         let mut all = Vec::new();
         for worker in &mut self.workers {
             let (hollow, late) = worker.status()?;
             all.extend(hollow);
-            // A worker forgets what it has told.
-            self.late = worse(self.late, late);
+            // A worker resets its lateness with each report.
+            self.late = combine_lateness(self.late, late);
         }
-        all.extend(self.real.iter().filter_map(Real::standing));
-        self.take_lists()?;
+        all.extend(self.real.iter().filter_map(Real::state));
+        self.process_messages()?;
         Ok(all)
     }
 
-    /// How late the workers' loops were since the last time.
+    /// Lateness of the workers' loops since the last call.
     pub fn late(&mut self) -> Result<Late, String> {
         for worker in &mut self.workers {
-            self.late = worse(self.late, worker.status()?.1);
+            self.late = combine_lateness(self.late, worker.status()?.1);
         }
         Ok(std::mem::take(&mut self.late))
     }
 
-    /// An error that names a process that ended by itself.
+    /// Fails if a process has ended by itself; the error names it.
     pub fn check(&mut self) -> Result<(), String> {
         self.workers.iter_mut().try_for_each(|worker| worker.process.check())?;
         self.planners.running().try_for_each(Process::check)?;
         self.real.iter_mut().filter_map(Real::process).try_for_each(Process::check)
     }
 
-    /// Sleeps for a time, and looks meanwhile whether all processes are there.
-    pub fn rest(&mut self, time: Duration) -> Result<(), String> {
+    /// Sleeps for a time. Fails if a process ends by itself meanwhile.
+    pub fn wait(&mut self, time: Duration) -> Result<(), String> {
         let start = Instant::now();
         while start.elapsed() < time {
-            std::thread::sleep(LOOK.min(time.saturating_sub(start.elapsed())));
+            std::thread::sleep(POLL_INTERVAL.min(time.saturating_sub(start.elapsed())));
             self.check()?;
         }
         Ok(())
     }
 
-    fn take_lists(&mut self) -> Result<(), String> {
-        while let Ok(seen) = self.lists.try_recv() {
-            match seen {
-                Seen::List { who, index, at } => {
-                    self.told.entry(who).or_default().entry(index).or_insert(at);
+    fn process_messages(&mut self) -> Result<(), String> {
+        while let Ok(message) = self.messages.try_recv() {
+            match message {
+                WorkerMessage::List { who, index, at } => {
+                    self.received.entry(who).or_default().entry(index).or_insert(at);
                 }
-                Seen::Revision { who, number, hash, at } => {
+                WorkerMessage::Revision { who, number, hash, at } => {
                     self.revisions.push(InForce { who, number, hash, at });
                 }
-                Seen::Failed(who, why) => return Err(format!("hollow initiator {who}: {why}")),
-                Seen::Status { .. } => {}
+                WorkerMessage::Failed(who, error) => return Err(format!("hollow initiator {who}: {error}")),
+                WorkerMessage::Status { .. } => {}
             }
         }
         Ok(())
     }
 
-    /// Tells changed lines; the version, and when, in Unix microseconds.
-    pub fn tell(&mut self, lines: Vec<Line>) -> (u64, u64) {
+    /// Publishes changed entries of the node list. Returns the version, and the time in Unix microseconds.
+    pub fn publish(&mut self, entries: Vec<Entry>) -> (u64, u64) {
         let at = unix_micros();
-        (self.registry.tell(lines), at)
+        (self.discovery.publish(entries), at)
     }
 
-    /// When each hollow initiator had a version or a later one, in seconds after it was told; those without are left out.
-    pub fn told(&mut self, (index, at): (u64, u64)) -> Result<Vec<f64>, String> {
+    /// Seconds from the publication of a version until each hollow initiator applied it or a later one; initiators that
+    /// haven't are left out.
+    pub fn received(&mut self, (index, at): (u64, u64)) -> Result<Vec<f64>, String> {
         self.check()?;
-        self.take_lists()?;
+        self.process_messages()?;
         let after = |times: &BTreeMap<u64, u64>| times.range(index..).map(|(_, at)| *at).min();
-        let times = self.told.values().filter_map(after);
+        let times = self.received.values().filter_map(after);
         Ok(times.map(|time| time.saturating_sub(at) as f64 / 1e6).collect())
     }
 
-    /// Waits until all hollow initiators have a version; the times, also where some never had it.
-    pub fn until_told(&mut self, version: (u64, u64), patience: Duration) -> Result<Vec<f64>, String> {
+    /// Waits until all hollow initiators have applied a version, or until `timeout` is over. Returns the times of those
+    /// that have.
+    pub fn wait_until_received(
+        &mut self,
+        version: (u64, u64),
+        timeout: Duration,
+    ) -> Result<Vec<f64>, String> {
         let hollow = self.sizes.hollow();
-        until(patience, Duration::from_millis(20), || Ok(self.told(version)?.len() >= hollow))?;
-        self.told(version)
+        wait_until(timeout, Duration::from_millis(20), || Ok(self.received(version)?.len() >= hollow))?;
+        self.received(version)
     }
 
-    /// Waits until all are members of one view and have the list; how long that took, or nothing where it never came true.
-    pub fn whole(&mut self, patience: Duration) -> Result<Option<Duration>, String> {
-        self.whole_of(self.sizes.initiators, patience)
+    /// Waits until all initiators are members of one view and have the node list. Returns how long that took, `None` if
+    /// it took longer than `timeout`.
+    pub fn wait_for_one_view(&mut self, timeout: Duration) -> Result<Option<Duration>, String> {
+        self.wait_for_one_view_of(self.sizes.initiators, timeout)
     }
 
-    fn whole_of(&mut self, total: usize, patience: Duration) -> Result<Option<Duration>, String> {
-        until(patience, LOOK, || {
-            let lines = self.registry.lines();
-            let active = lines.iter().filter(|it| it.status == "active").count();
-            let all = self.standings()?;
+    fn wait_for_one_view_of(&mut self, total: usize, timeout: Duration) -> Result<Option<Duration>, String> {
+        wait_until(timeout, POLL_INTERVAL, || {
+            let entries = self.discovery.entries();
+            let active = entries.iter().filter(|it| it.status == "active").count();
+            let all = self.states()?;
             let view = all.first().map(|it| it.view);
-            let one = |it: &Standing| {
+            let is_in_view = |it: &Standing| {
                 it.phase == "member" && it.quorate && it.members == total && Some(it.view) == view
             };
-            Ok(all.len() == total && all.iter().all(|it| one(it) && it.nodes >= active))
+            Ok(all.len() == total && all.iter().all(|it| is_in_view(it) && it.nodes >= active))
         })
     }
 
-    /// What keeps the fleet from being one, in a line.
-    pub fn why_not(&mut self, what: &str) -> String {
-        let all = self.standings().unwrap_or_default();
+    /// Describes in one line the states of all initiators, for a failure called `what`.
+    pub fn describe_states(&mut self, what: &str) -> String {
+        let all = self.states().unwrap_or_default();
         let mut counts: BTreeMap<String, usize> = BTreeMap::new();
         for it in &all {
             let text = format!(
@@ -338,14 +352,14 @@
 
     fn start_hollow(&mut self, worker: usize, all: Vec<usize>) -> Result<(), String> {
         let folders = all.iter().map(|who| (*who, self.folder.0.join(who.to_string()))).collect();
-        self.workers[worker].order(&Command::Start(folders))
+        self.workers[worker].send(&Command::Start(folders))
     }
 
-    /// Ends initiators at once, without goodbye.
+    /// Kills initiators, without a graceful leave.
     pub fn kill(&mut self, all: &[usize]) -> Result<(), String> {
         for worker in &mut self.workers {
             let own: Vec<usize> = worker.hollow.iter().copied().filter(|who| all.contains(who)).collect();
-            worker.order(&Command::Drop(own))?;
+            worker.send(&Command::Drop(own))?;
         }
         for real in self.real.iter_mut().filter(|real| all.contains(&real.who)) {
             let before = Instant::now();
@@ -355,8 +369,8 @@
         Ok(())
     }
 
-    /// Starts initiators that were ended.
-    pub fn start_again(&mut self, all: &[usize]) -> Result<(), String> {
+    /// Starts initiators that are not running.
+    pub fn start_initiators(&mut self, all: &[usize]) -> Result<(), String> {
         for worker in 0..self.workers.len() {
             let own = self.workers[worker].hollow.iter().copied().filter(|who| all.contains(who)).collect();
             self.start_hollow(worker, own)?;
@@ -364,23 +378,23 @@
         self.real.iter_mut().filter(|real| all.contains(&real.who)).try_for_each(Real::start)
     }
 
-    /// The real initiator whose client sent an item.
+    /// The real initiator whose client requested an item.
     pub fn sender(&self, item: &str) -> Option<usize> {
         let id = u64::from_str_radix(item, 16).ok()?;
         self.sizes.serving().find(|who| id >> 40 == client_seed(*who))
     }
 
-    /// Memory of all processes.
+    /// Resident memory of all processes in MiB.
     pub fn memory_mb(&mut self) -> f64 {
-        memory(self.ids().into_iter())
+        memory_mb(self.process_ids().into_iter())
     }
 
-    /// Processes besides this one.
+    /// Number of child processes, without the keeper.
     pub fn processes(&mut self) -> usize {
-        self.ids().len()
+        self.process_ids().len()
     }
 
-    fn ids(&mut self) -> Vec<u32> {
+    fn process_ids(&mut self) -> Vec<u32> {
         let workers = self.workers.iter().map(|worker| worker.process.id());
         let planners = self.planners.running().map(|it| it.id());
         workers
@@ -389,10 +403,11 @@
             .collect()
     }
 
-    /// Revisions that are in force since this was asked for, hollow and real initiators; real ones are asked now.
+    /// Revisions in force: for hollow initiators those that came into force since the last call, for real ones the
+    /// present one.
     pub fn revisions(&mut self) -> Result<Vec<InForce>, String> {
         self.check()?;
-        self.take_lists()?;
+        self.process_messages()?;
         let mut all = std::mem::take(&mut self.revisions);
         for real in &self.real {
             let revision = real.revision();
@@ -402,18 +417,18 @@
         Ok(all)
     }
 
-    /// Ends the clients; what became of their requests.
+    /// Ends the clients and counts their requests by outcome.
     pub fn finish(&mut self) -> Result<Requests, String> {
         self.check()?;
         let items: Vec<Item> = self.clients.drain(..).flat_map(Clients::end).collect();
-        let count = |told: &[Told]| items.iter().filter(|item| told.contains(&item.told)).count();
+        let count = |outcomes: &[Told]| items.iter().filter(|item| outcomes.contains(&item.told)).count();
         let unanswered = items.iter().filter(|item| matches!(item.told, Told::Closed | Told::Nothing));
         let (mut lost, mut lost_with_it) = (0, 0);
         for item in unanswered {
-            let with = self.killed.iter().any(|(who, before, after)| {
+            let was_killed = self.killed.iter().any(|(who, before, after)| {
                 item.machine == Some(*who) && item.sent <= *after && item.ended >= *before
             });
-            *(if with { &mut lost_with_it } else { &mut lost }) += 1;
+            *(if was_killed { &mut lost_with_it } else { &mut lost }) += 1;
         }
         Ok(Requests {
             sent: items.len(),
@@ -426,62 +441,65 @@
     }
 }
 
-/// Marks the items of an initiator's clients.
+/// Seed of the clients of an initiator; it prefixes the ids of the items that they request.
 fn client_seed(who: usize) -> u64 {
     1000 + who as u64
 }
 
-/// Hollow initiators of each worker: the first alone, the others dealt in turn.
-fn shares(sizes: &Sizes) -> Vec<Vec<usize>> {
-    let mut shares = vec![Vec::new(); sizes.workers + 1];
-    shares[0].push(0);
+/// Hollow initiators of each worker: the first initiator alone, the others round robin.
+fn worker_assignments(sizes: &Sizes) -> Vec<Vec<usize>> {
+    let mut worker_assignments = vec![Vec::new(); sizes.workers + 1];
+    worker_assignments[0].push(0);
     for who in 1..sizes.hollow() {
-        shares[1 + who % sizes.workers].push(who);
+        worker_assignments[1 + who % sizes.workers].push(who);
     }
-    shares
+    worker_assignments
 }
 
-fn list(sizes: &Sizes, alive: &[SocketAddr]) -> Vec<Line> {
-    let nobody = |at: usize| {
-        SocketAddr::from((Ipv4Addr::new(127, OTHER_BYTE + 1, (at / 250) as u8, (1 + at % 250) as u8), NOBODY))
+fn node_list(sizes: &Sizes, alive: &[SocketAddr]) -> Vec<Entry> {
+    let unreachable = |at: usize| {
+        SocketAddr::from((
+            Ipv4Addr::new(127, OTHER_BYTE + 1, (at / 250) as u8, (1 + at % 250) as u8),
+            CLOSED_PORT,
+        ))
     };
-    let line = |at: usize| Line {
+    let entry = |at: usize| Entry {
         name: format!("n-{at:04}"),
-        // The last of those that are there is spare: it is not listed.
-        address: if at < sizes.alive { alive[at] } else { nobody(at) },
-        zone: NAMES[at % NAMES.len()].into(),
+        // The last running node is a spare and is not listed.
+        address: if at < sizes.alive { alive[at] } else { unreachable(at) },
+        zone: REGION_NAMES[at % REGION_NAMES.len()].into(),
         shard: at as u32,
         status: "active",
         since_ms: 0,
     };
-    (0..sizes.nodes).map(line).collect()
+    (0..sizes.nodes).map(entry).collect()
 }
 
-fn planner_places(switch: &Switch, initiators: usize) -> Result<Vec<Place>, String> {
+fn planner_places(switch: &Switch, initiators: usize) -> Result<Vec<PlannerAddresses>, String> {
     let places = switch.ports[initiators..].iter().map(|port| {
         let listener = TcpListener::bind((port.own.ip(), 0)).and_then(|it| it.local_addr());
-        listener.map(|listen| Place { listen, hears: port.own, relay: port.relay })
+        listener.map(|listen| PlannerAddresses { listen, receive: port.own, relay: port.relay })
     });
-    places.collect::<Result<_, _>>().map_err(told)
+    places.collect::<Result<_, _>>().map_err(error_text)
 }
 
-/// For each group of initiators a way to each planner.
-fn ways(sizes: &Sizes, planners: &[Place]) -> Vec<Way> {
+/// A route to each planner for each traffic group.
+fn routes(sizes: &Sizes, planners: &[PlannerAddresses]) -> Vec<Route> {
     let region_of = |group: usize| match group {
         HOLLOW_ASIDE => region(0),
         REAL_ASIDE => region(sizes.aside()),
-        group if group >= PLANNERS => group - PLANNERS,
+        group if group >= PLANNER_GROUPS => group - PLANNER_GROUPS,
         group => group,
     };
     let to = |group: usize| {
-        planners.iter().enumerate().map(move |(at, place)| Way {
+        planners.iter().enumerate().map(move |(at, place)| Route {
             group,
             region: region_of(group),
             planner_region: at,
             planner: place.listen,
         })
     };
-    (0..PLANNERS + REGIONS).flat_map(to).collect()
+    (0..PLANNER_GROUPS + REGIONS).flat_map(to).collect()
 }
 
 fn setup(
@@ -490,7 +508,7 @@
     live: bool,
     switch: &Switch,
     relay: &Relay,
-    registry: &Registry,
+    discovery: &DiscoveryServer,
 ) -> Result<Setup, String> {
     let group = match who {
         0 => HOLLOW_ASIDE,
@@ -499,14 +517,14 @@
     };
     let name = |who: usize| format!("i-{who:03}");
     let port = switch.ports[who];
-    let listen = TcpListener::bind((port.own.ip(), 0)).and_then(|it| it.local_addr()).map_err(told)?;
+    let listen = TcpListener::bind((port.own.ip(), 0)).and_then(|it| it.local_addr()).map_err(error_text)?;
     Ok(Setup {
         name: name(who),
         listen,
-        discovery: registry.addresses[group],
+        discovery: discovery.addresses[group],
         planners: relay.addresses[group * REGIONS..(group + 1) * REGIONS].to_vec(),
         fleet: (port.own, port.relay),
-        // One in each region; none of them is killed.
+        // One in each region; the scenes kill none of them.
         seeds: (1..=REGIONS).map(|who| (name(who), switch.ports[who].relay)).collect(),
         initiators: sizes.initiators,
         live,
--- a/lab/src/hollow/scenes/mod.rs
+++ b/lab/src/hollow/scenes/mod.rs
@@ -1,4 +1,4 @@
-//! What is played on a whole fleet, one file each. Every scene leaves the fleet whole, or fails.
+//! Scenes: experiments on a whole fleet, one file each. A scene either restores the fleet to one view or fails.
 
 mod configuration;
 mod nodes;
@@ -8,17 +8,17 @@
 mod rest;
 mod wave;
 
-use super::files::{cold_units, COLD, COLD_SHARE, FALL, MEAN_UNITS};
+use super::files::{slow_start_units, MEAN_UNITS, SLOW_START, SLOW_START_SHARE, SLOW_START_WINDOW};
 use super::rig::Rig;
 use crate::sync::lock;
 use serde::Serialize;
 use serde_json::{json, Map, Value};
 use std::time::{Duration, Instant};
 
-/// A scene: its name and how it is played.
+/// Runs a scene.
 pub type Play = fn(&mut Rig) -> Result<Scene, String>;
 
-/// All scenes, in the order that they are played.
+/// All scenes by name, in the order in which they run.
 pub const ALL: [(&str, Play); 8] = [
     ("rest", rest::play),
     ("primary", primary::play),
@@ -31,27 +31,27 @@
 ];
 
 /// Scenes that need live configuration.
-pub const LIVE: [&str; 2] = ["configuration", "configuration-faults"];
+pub const NEED_LIVE_CONFIGURATION: [&str; 2] = ["configuration", "configuration-faults"];
 
-/// What the cut of a region leaves as it is.
+/// Traffic that cutting off a region does not affect.
 pub const NOT_CUT: [&str; 3] = [
     "discovery: each region is taken to have its own, with the same list",
     "clients and nodes: the clients of a region's initiators still reach them, and these all nodes",
     "connections to planners: what is sent on them comes after the cut; the end of one that was given up is seen at once",
 ];
 
-/// What came of a scene.
+/// Result of a scene.
 #[derive(Debug, Serialize)]
 pub struct Scene {
     /// Its name.
     pub name: &'static str,
-    /// What is set against the budget, or how long it was played where there is none.
+    /// The duration that is compared with the budget; without a budget the duration of the scene.
     pub seconds: f64,
-    /// The operators' budget in seconds, where they have one.
+    /// The operators' budget in seconds, if there is one.
     pub budget: Option<f64>,
-    /// Whether it was kept, with the rules.
+    /// Whether the budget and the scene's rules were kept.
     pub holds: bool,
-    /// Everything else that was measured.
+    /// All other measurements.
     #[serde(flatten)]
     pub figures: Map<String, Value>,
 }
@@ -62,7 +62,7 @@
     }
 
     /// Adds a figure.
-    pub fn tell(&mut self, name: &str, value: Value) {
+    pub fn add_figure(&mut self, name: &str, value: Value) {
         self.figures.insert(name.into(), value);
     }
 
@@ -74,7 +74,7 @@
     }
 }
 
-/// Count, median and most of some times, in seconds.
+/// Count, median, 99th percentile and maximum of some times, in seconds.
 fn spread(times: &[f64]) -> Value {
     let mut sorted = times.to_vec();
     sorted.sort_by(f64::total_cmp);
@@ -83,57 +83,57 @@
     json!({ "count": sorted.len(), "p50": at(0.5), "p99": at(0.99), "max": sorted.last() })
 }
 
-fn most(times: &[f64]) -> f64 {
+fn max(times: &[f64]) -> f64 {
     times.iter().copied().fold(0.0, f64::max)
 }
 
-/// What came to a cold node.
+/// Load on a node during its slow start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub struct ColdLoad {
-    /// Units within any time of the rule, at the most.
+pub struct SlowStartLoad {
+    /// Maximum of the units within any window of the slow-start limit.
     pub units: f64,
-    /// The most that units within such a time were of what the node bears from those who sent them, by its age at the
-    /// beginning of that time.
+    /// Maximum over all windows of the units divided by the senders' share of the node's budget, which depends on the
+    /// node's age at the beginning of the window.
     pub part_of_budget: f64,
-    /// The same against these initiators' part of the rule's own bound, which adds to the whole fleet's budget of N mean requests
-    /// what chance may: 2 x root of N + 2.
+    /// The same against the senders' share of the bound. The bound allows for chance: to the whole fleet's budget of N
+    /// mean requests it adds 2 * sqrt(N) + 2.
     pub part_of_bound: f64,
 }
 
-impl ColdLoad {
-    /// Whether the rule on cold nodes is kept.
-    pub fn is_borne(&self) -> bool {
+impl SlowStartLoad {
+    /// Whether the slow-start limit was kept.
+    pub fn is_within_limit(&self) -> bool {
         self.part_of_bound <= 1.0
     }
 }
 
-/// What came to a node that started at a moment, until it was warm, against the part that the initiators that serve have
-/// of what it bears for the whole fleet: the stricter reading, as if all others sent as much.
-fn cold_load(rig: &Rig, node: usize, started: Instant) -> ColdLoad {
+/// Load on a node from `started` until the end of its slow start, compared with the serving initiators' share of the
+/// fleet's budget. This is the strict reading: it assumes that all other initiators send as much.
+fn slow_start_load(rig: &Rig, node: usize, started: Instant) -> SlowStartLoad {
     let attempts = lock(&rig.attempts);
-    let came: Vec<(Duration, f64)> = attempts
+    let received: Vec<(Duration, f64)> = attempts
         .iter()
         .filter(|attempt| attempt.node == node && attempt.at >= started)
         .map(|attempt| (attempt.at - started, attempt.units))
         .collect();
     let (serving, all) = (rig.sizes.serving().len(), rig.sizes.initiators);
-    worst(&came, cold_units(serving), serving as f64 / all as f64)
+    peak_load(&received, slow_start_units(serving), serving as f64 / all as f64)
 }
 
-/// The worst of what came, each with the node's age, to a node that bears so many units, when it is coldest, from a part of
-/// the fleet.
-pub fn worst(came: &[(Duration, f64)], coldest: f64, part: f64) -> ColdLoad {
-    let mut worst = ColdLoad::default();
-    for (first, (begin, _)) in came.iter().enumerate().filter(|(_, (begin, _))| *begin < COLD) {
-        let within = came[first..].iter().take_while(|(at, _)| *at <= *begin + FALL);
-        let units: f64 = within.map(|(_, units)| units).sum();
-        let warmth = COLD_SHARE + (1.0 - COLD_SHARE) * begin.div_duration_f64(COLD);
-        worst.units = worst.units.max(units);
-        let budget = coldest * warmth / COLD_SHARE;
+/// Peak load of the received units, each given with the node's age. `coldest` is the node's budget at the beginning
+/// of its slow start, `part` the senders' share of the fleet.
+pub fn peak_load(received: &[(Duration, f64)], coldest: f64, part: f64) -> SlowStartLoad {
+    let mut peak = SlowStartLoad::default();
+    for (first, (begin, _)) in received.iter().enumerate().filter(|(_, (begin, _))| *begin < SLOW_START) {
+        let in_window = received[first..].iter().take_while(|(at, _)| *at <= *begin + SLOW_START_WINDOW);
+        let units: f64 = in_window.map(|(_, units)| units).sum();
+        let capacity_share = SLOW_START_SHARE + (1.0 - SLOW_START_SHARE) * begin.div_duration_f64(SLOW_START);
+        peak.units = peak.units.max(units);
+        let budget = coldest * capacity_share / SLOW_START_SHARE;
         let requests = budget / part / MEAN_UNITS;
         let bound = (requests + 2.0 * requests.sqrt() + 2.0) * MEAN_UNITS * part;
-        worst.part_of_budget = worst.part_of_budget.max(units / budget);
-        worst.part_of_bound = worst.part_of_bound.max(units / bound);
+        peak.part_of_budget = peak.part_of_budget.max(units / budget);
+        peak.part_of_bound = peak.part_of_bound.max(units / bound);
     }
-    worst
+    peak
 }
--- a/lab/src/hollow/scenes/planners.rs
+++ b/lab/src/hollow/scenes/planners.rs
@@ -1,5 +1,5 @@
-//! One planner is killed, then a second, then both come back: how initiators' partitions stand meanwhile, and until all
-//! are planned again.
+//! One planner is killed, then a second, then both restart. Measures the modes of the initiators' partitions meanwhile,
+//! and the time until all are planned again.
 
 use super::Scene;
 use crate::hollow::rig::Rig;
@@ -7,62 +7,62 @@
 use serde_json::{json, Value};
 use std::time::{Duration, Instant};
 
-/// All planned for so long counts as planned again.
-const CALM: Duration = Duration::from_secs(3);
-const PATIENCE: Duration = Duration::from_secs(60);
-const LOOK: Duration = Duration::from_millis(100);
+/// How long all partitions must stay planned to count as planned again.
+const STABLE_FOR: Duration = Duration::from_secs(3);
+const TIMEOUT: Duration = Duration::from_secs(60);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What was seen after a change.
-struct Settled {
-    /// Seconds until the last partition of the last initiator was planned again; none if that never came.
+/// Observations after a change.
+struct Recovery {
+    /// Seconds until all partitions of all initiators were planned again; `None` if they never were.
     seconds: Option<f64>,
-    /// Partitions over all initiators that were at most stale and safe at once.
+    /// Maximum number of partitions, over all initiators, that were stale at the same time; below it the same for safe.
     stale: usize,
     safe: usize,
 }
 
-impl Settled {
+impl Recovery {
     fn json(&self) -> Value {
         json!({ "planned_again_s": self.seconds, "most_stale": self.stale, "most_safe": self.safe })
     }
 }
 
-fn settle(rig: &mut Rig) -> Result<Settled, String> {
+fn wait_for_recovery(rig: &mut Rig) -> Result<Recovery, String> {
     let (start, mut last) = (Instant::now(), Duration::ZERO);
-    let mut settled = Settled { seconds: None, stale: 0, safe: 0 };
-    while start.elapsed() < PATIENCE {
-        let all = rig.standings()?;
+    let mut recovery = Recovery { seconds: None, stale: 0, safe: 0 };
+    while start.elapsed() < TIMEOUT {
+        let all = rig.states()?;
         let now = start.elapsed();
-        settled.stale = settled.stale.max(all.iter().map(|it| it.stale).sum());
-        settled.safe = settled.safe.max(all.iter().map(|it| it.safe).sum());
+        recovery.stale = recovery.stale.max(all.iter().map(|it| it.stale).sum());
+        recovery.safe = recovery.safe.max(all.iter().map(|it| it.safe).sum());
         let planned = all.len() == rig.sizes.initiators && all.iter().all(|it| it.planned == REGIONS);
         if !planned {
             last = now;
-        } else if now - last >= CALM {
-            settled.seconds = Some(last.as_secs_f64());
+        } else if now - last >= STABLE_FOR {
+            recovery.seconds = Some(last.as_secs_f64());
             break;
         }
-        std::thread::sleep(LOOK);
+        std::thread::sleep(POLL_INTERVAL);
     }
-    Ok(settled)
+    Ok(recovery)
 }
 
-/// Kills and starts them.
+/// Kills and restarts the planners.
 pub fn play(rig: &mut Rig) -> Result<Scene, String> {
     let start = Instant::now();
     rig.planners.kill(0);
-    let one = settle(rig)?;
+    let one = wait_for_recovery(rig)?;
     rig.planners.kill(1);
-    let two = settle(rig)?;
+    let two = wait_for_recovery(rig)?;
     rig.planners.start(0)?;
     rig.planners.start(1)?;
-    let back = settle(rig)?;
+    let back = wait_for_recovery(rig)?;
     let all = [&one, &two, &back];
     let holds = all.iter().all(|it| it.seconds.is_some());
     let mut scene = Scene::new("planners", start.elapsed().as_secs_f64(), None, holds);
-    scene.tell("one_killed", one.json());
-    scene.tell("two_killed", two.json());
-    scene.tell("both_back", back.json());
-    scene.tell("partitions", json!(rig.sizes.initiators * REGIONS));
+    scene.add_figure("one_killed", one.json());
+    scene.add_figure("two_killed", two.json());
+    scene.add_figure("both_back", back.json());
+    scene.add_figure("partitions", json!(rig.sizes.initiators * REGIONS));
     Ok(scene)
 }
--- a/lab/src/hollow/switch.rs
+++ b/lab/src/hollow/switch.rs
@@ -1,5 +1,6 @@
-//! The network under the fleet's and the planners' datagrams: each port has a second socket to which the others send, and
-//! from which they hear it. It counts what passes, and lets nothing pass between regions that are cut off from each other.
+//! UDP switch for the datagrams of the fleet and of the planners' elections. Each port has a relay socket to which the
+//! others send, and from which they receive its datagrams. The switch counts bytes per port and drops datagrams between
+//! regions that are cut off from each other.
 
 use super::Cut;
 use mio::net::UdpSocket;
@@ -11,129 +12,131 @@
 use std::thread;
 use std::time::Duration;
 
-/// How often the thread looks whether it is to end.
-const LOOK: Duration = Duration::from_millis(50);
-const MOST_EVENTS: usize = 1024;
-const LONGEST: usize = 8192;
+/// Maximum interval between checks whether to stop.
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
+const MAX_EVENTS: usize = 1024;
+const MAX_DATAGRAM_BYTES: usize = 8192;
 
-/// Bytes of payload that came from and went to a port.
+/// Payload bytes sent and received, of one port or one group of initiators.
 #[derive(Debug, Default)]
-pub struct Counted {
-    /// From it.
+pub struct Traffic {
+    /// Sent by it.
     pub sent: AtomicU64,
-    /// To it.
+    /// Received by it.
     pub received: AtomicU64,
 }
 
-/// Where a port is.
+/// Addresses of a port.
 #[derive(Clone, Copy, Debug)]
 pub struct Port {
-    /// Where its owner hears.
+    /// Address of its owner's socket.
     pub own: SocketAddr,
-    /// Where the others send.
+    /// Address to which the others send.
     pub relay: SocketAddr,
     /// Its region.
     pub region: usize,
 }
 
-/// The switch; it ends when it is dropped.
+/// The switch; it stops when this is dropped.
 pub struct Switch {
-    /// All ports, in the order that they were asked for.
+    /// All ports, in the order of the places given to [`Switch::start`].
     pub ports: Vec<Port>,
-    /// What passed at each.
-    pub counted: Arc<Vec<Counted>>,
-    ended: Arc<AtomicBool>,
+    /// Traffic of each port.
+    pub traffic: Arc<Vec<Traffic>>,
+    stop: Arc<AtomicBool>,
     thread: Option<thread::JoinHandle<()>>,
 }
 
 impl Drop for Switch {
     fn drop(&mut self) {
-        self.ended.store(true, Ordering::Relaxed);
+        self.stop.store(true, Ordering::Relaxed);
         if let Some(thread) = self.thread.take() {
-            // A panic there has been told on standard error.
+            // A panic of the thread has been printed to standard error.
             let _ = thread.join();
         }
     }
 }
 
 impl Switch {
-    /// Starts one with a port at each address.
+    /// Starts the switch with a port for each IP address and region. Fails if a socket can't be opened.
     pub fn start(places: &[(Ipv4Addr, usize)], cut: Arc<Cut>) -> std::io::Result<Switch> {
         let poll = Poll::new()?;
         let (mut ports, mut sockets) = (Vec::new(), Vec::new());
         for (number, (ip, region)) in places.iter().enumerate() {
             let mut socket = UdpSocket::bind(SocketAddr::from((*ip, 0)))?;
-            // Elections pass over what may have come from further away.
+            // Elections ignore advertisements whose TTL is not 255, as VRRP requires.
             socket2::SockRef::from(&socket).set_ttl_v4(255)?;
             poll.registry().register(&mut socket, Token(number), Interest::READABLE)?;
             let relay = socket.local_addr()?;
-            // The system's choice of a port that is free on an address of this run's own.
+            // The system picks a free port; only this run uses the IP address, so it stays free.
             let own = std::net::UdpSocket::bind((*ip, 0))?.local_addr()?;
             ports.push(Port { own, relay, region: *region });
             sockets.push(socket);
         }
-        let counted = Arc::new(ports.iter().map(|_| Counted::default()).collect::<Vec<_>>());
-        let ended = Arc::new(AtomicBool::new(false));
-        let (at_work, counts, known) = (ended.clone(), counted.clone(), ports.clone());
+        let traffic = Arc::new(ports.iter().map(|_| Traffic::default()).collect::<Vec<_>>());
+        let stop = Arc::new(AtomicBool::new(false));
+        let (stop_requested, thread_traffic, thread_ports) = (stop.clone(), traffic.clone(), ports.clone());
         let thread = thread::spawn(move || {
-            let by_source = known.iter().enumerate().map(|(at, port)| (port.own, at)).collect();
-            let mut work = Work { poll, sockets, ports: known, by_source, counted: counts, cut };
-            while !at_work.load(Ordering::Relaxed) {
-                if let Err(error) = work.turn() {
-                    eprintln!("the datagrams' switch: {error}");
+            let by_source = thread_ports.iter().enumerate().map(|(at, port)| (port.own, at)).collect();
+            let mut switch_loop =
+                SwitchLoop { poll, sockets, ports: thread_ports, by_source, traffic: thread_traffic, cut };
+            while !stop_requested.load(Ordering::Relaxed) {
+                if let Err(error) = switch_loop.run_iteration() {
+                    eprintln!("datagram switch: {error}");
                     return;
                 }
             }
         });
-        Ok(Switch { ports, counted, ended, thread: Some(thread) })
+        Ok(Switch { ports, traffic, stop, thread: Some(thread) })
     }
 }
 
-struct Work {
+struct SwitchLoop {
     poll: Poll,
     sockets: Vec<UdpSocket>,
     ports: Vec<Port>,
     by_source: HashMap<SocketAddr, usize>,
-    counted: Arc<Vec<Counted>>,
+    traffic: Arc<Vec<Traffic>>,
     cut: Arc<Cut>,
 }
 
-impl Work {
-    fn turn(&mut self) -> std::io::Result<()> {
-        let mut events = Events::with_capacity(MOST_EVENTS);
-        match self.poll.poll(&mut events, Some(LOOK)) {
+impl SwitchLoop {
+    fn run_iteration(&mut self) -> std::io::Result<()> {
+        let mut events = Events::with_capacity(MAX_EVENTS);
+        match self.poll.poll(&mut events, Some(CHECK_INTERVAL)) {
             Err(error) if error.kind() == std::io::ErrorKind::Interrupted => {}
             other => other?,
         }
-        let mut bytes = [0; LONGEST];
+        let mut bytes = [0; MAX_DATAGRAM_BYTES];
         for event in &events {
             let Token(to) = event.token();
-            // An error is that a port's owner is not there.
+            // Errors report that a port's owner is not running.
             while let Some((length, source)) = receive(&self.sockets[to], &mut bytes) {
-                self.pass(&bytes[..length], source, to);
+                self.forward(&bytes[..length], source, to);
             }
         }
         Ok(())
     }
 
-    fn pass(&self, datagram: &[u8], source: SocketAddr, to: usize) {
+    fn forward(&self, datagram: &[u8], source: SocketAddr, to: usize) {
         let Some(from) = self.by_source.get(&source) else { return };
         let length = datagram.len() as u64;
-        self.counted[*from].sent.fetch_add(length, Ordering::Relaxed);
-        if self.cut.is_between(self.ports[*from].region, self.ports[to].region) {
+        self.traffic[*from].sent.fetch_add(length, Ordering::Relaxed);
+        if self.cut.separates(self.ports[*from].region, self.ports[to].region) {
             return;
         }
-        self.counted[to].received.fetch_add(length, Ordering::Relaxed);
-        // An owner that is not there hears nothing.
+        self.traffic[to].received.fetch_add(length, Ordering::Relaxed);
+        // Fails if the owner is not running.
         let _ = self.sockets[*from].send_to(datagram, self.ports[to].own);
     }
 }
 
-/// A datagram, unless none waits; what the system tells of an owner that is not there is passed over.
+/// Receives a datagram and its source; `None` if none is pending. Skips errors, which report an owner that is not
+/// running.
 fn receive(socket: &UdpSocket, bytes: &mut [u8]) -> Option<(usize, SocketAddr)> {
     loop {
         match socket.recv_from(bytes) {
-            Ok(came) => return Some(came),
+            Ok(received) => return Some(received),
             Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => return None,
             Err(_) => {}
         }
