--- a/lab/benches/ledger.rs
+++ b/lab/benches/ledger.rs
@@ -1,5 +1,5 @@
-//! The ledger of moves against a plain one that sums all accounts anew at every end, and the timers of virtual routers
-//! against the standard library's heap, which keeps stale entries.
+//! Benchmarks: the ledger of moves compared with a naive one that sums all accounts again at every expiry, and the
+//! timers of virtual routers compared with a standard heap that keeps stale entries.
 
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
 use std::cmp::Reverse;
@@ -14,64 +14,64 @@
 const RECLAIM: Duration = Duration::from_millis(1000);
 const GRANT: Duration = Duration::from_millis(400);
 
-/// Each holder's newest reclaim or grant: its part and its end. All others are taken to be over.
+/// Naive ledger: each holder's latest reclaim or grant, with its share and its expiry. Earlier ones count as expired.
 #[derive(Default)]
-struct Plain {
+struct NaiveLedger {
     reclaimed: BTreeMap<usize, (u32, Duration)>,
     granted: BTreeMap<usize, (u32, Duration)>,
 }
 
-impl Plain {
-    /// The same rule: at every end from now on, what is reclaimed covers what is granted.
+impl NaiveLedger {
+    /// The ledger's rule: at every expiry from `now` on, the sum of reclaims covers the sum of grants.
     fn is_covered(&self, now: Duration) -> bool {
         let ends = self.reclaimed.values().chain(self.granted.values()).map(|(_, until)| *until);
         ends.filter(|at| *at > now).chain([now]).all(|at| {
             let sum = |moves: &BTreeMap<usize, (u32, Duration)>| -> u64 {
-                moves.values().filter(|(_, until)| at < *until).map(|(part, _)| u64::from(*part)).sum()
+                moves.values().filter(|(_, until)| at < *until).map(|(share, _)| u64::from(*share)).sum()
             };
             sum(&self.granted) <= sum(&self.reclaimed)
         })
     }
 }
 
-/// Holders of which every second one gives back and the others are granted as much; one round renews all.
+/// Every second holder returns a share and the others are granted as much; one round renews all.
 fn ledger(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("one move");
     for holders in [3, 30, 300, 1000] {
-        let part = Part(1_000_000 / holders as u32 / 2);
+        let share = Part(1_000_000 / holders as u32 / 2);
         group.bench_with_input(BenchmarkId::new("ledger", holders), &holders, |bench, holders| {
             let (mut ledger, mut version, mut now, mut holder) = (Ledger::default(), 0, MS(0), 0);
             let mut renew = || {
                 holder = (holder + 1) % holders;
                 version += 1;
-                // A round of all takes a tenth of a second.
+                // A round over all holders takes a tenth of a second.
                 now += MS(100) / *holders as u32;
                 ledger.held(now, holder, version - 1, false);
                 if holder % 2 == 0 {
-                    black_box(ledger.reclaim(now, holder, version, part, RECLAIM));
+                    black_box(ledger.reclaim(now, holder, version, share, RECLAIM));
                 } else {
-                    black_box(ledger.grant(now, holder, version, part, (now, GRANT)));
+                    black_box(ledger.grant(now, holder, version, share, (now, GRANT)));
                 }
             };
-            // Until everybody has something.
+            // Warm-up: until every holder has a share.
             (0..3 * holders).for_each(|_| renew());
             bench.iter(renew);
         });
-        // Some milliseconds a move beyond.
+        // Beyond that a move takes milliseconds.
         if holders > 300 {
             continue;
         }
         group.bench_with_input(BenchmarkId::new("plain", holders), &holders, |bench, holders| {
-            let (mut plain, mut now, mut holder) = (Plain::default(), MS(0), 0);
+            let (mut naive, mut now, mut holder) = (NaiveLedger::default(), MS(0), 0);
             let mut renew = || {
                 holder = (holder + 1) % holders;
                 now += MS(100) / *holders as u32;
                 if holder % 2 == 0 {
-                    plain.reclaimed.insert(holder, (part.0, now + RECLAIM));
+                    naive.reclaimed.insert(holder, (share.0, now + RECLAIM));
                 } else {
-                    plain.granted.insert(holder, (part.0, now + GRANT));
-                    if !plain.is_covered(now) {
-                        plain.granted.remove(&holder);
+                    naive.granted.insert(holder, (share.0, now + GRANT));
+                    if !naive.is_covered(now) {
+                        naive.granted.remove(&holder);
                     }
                 }
             };
@@ -102,7 +102,7 @@
                 at += Duration::from_micros(400);
                 due[router] = at + MS(360);
                 heap.push(Reverse((due[router], router)));
-                // What was moved since is stale, and taken off when it comes to the top.
+                // Entries of timers moved since are stale, and removed when they reach the top.
                 while heap.peek().is_some_and(|Reverse((at, router))| due[*router] != *at) {
                     heap.pop();
                 }
--- a/lab/src/arguments.rs
+++ b/lab/src/arguments.rs
@@ -1,4 +1,4 @@
-//! What the experiments' commands have in common: their options, and the report on the last line.
+//! Options that the experiments' subcommands share, and the output of their JSON reports.
 
 use clap::Args;
 use serde_json::{json, Map, Value};
@@ -6,39 +6,39 @@
 /// Options of every experiment.
 #[derive(Args)]
 pub struct Common {
-    /// Few repeats.
+    /// Run a short variant with few repeats.
     #[arg(long)]
     pub short: bool,
-    /// One JSON object on the last line.
+    /// Print the report as one JSON object on the last line.
     #[arg(long)]
     pub json: bool,
-    /// Seeds everything that is drawn.
+    /// Seed of all random choices.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
 }
 
-/// Options of an experiment of several parts.
+/// Options of an experiment that has several parts.
 #[derive(Args)]
 pub struct Parts {
     #[command(flatten)]
     pub common: Common,
-    /// Only this part; without it, all.
+    /// Run only this part (default: all).
     #[arg(long)]
     only: Option<String>,
 }
 
 impl Parts {
-    /// Whether a part is asked for.
+    /// Whether a part is to run.
     pub fn want(&self, part: &str) -> bool {
         self.only.as_deref().is_none_or(|only| only == part)
     }
 
-    /// Whether a part is asked for by its name, and not as one of all.
+    /// Whether a part was selected by name, not merely as one of all.
     pub fn asked_for(&self, part: &str) -> bool {
         self.only.as_deref() == Some(part)
     }
 
-    /// An error if the part that is asked for is none of these.
+    /// Fails if the selected part is none of these.
     pub fn check(&self, parts: &[&str]) -> Result<(), String> {
         match &self.only {
             Some(only) if !parts.contains(&only.as_str()) => {
@@ -50,7 +50,7 @@
 }
 
 impl Common {
-    /// Prints the report where it is asked for.
+    /// Prints the report, with the seed added, if `--json` was given.
     pub fn finish(&self, mut report: Map<String, Value>) {
         report.insert("seed".into(), json!(self.seed));
         if self.json {
--- a/lab/src/capacity/child.rs
+++ b/lab/src/capacity/child.rs
@@ -1,4 +1,5 @@
-//! What is measured in a process of its own: this program starts itself again, and takes the answer from its output.
+//! Measurements in a fresh process: the program starts itself with a hidden subcommand and reads the result from its
+//! output.
 
 use super::meter;
 use crate::planners::simulation::rounds;
@@ -6,44 +7,44 @@
 use std::process::{Command, Stdio};
 use std::sync::OnceLock;
 
-/// Forwarders, nodes and volumes that a child takes at most.
-const MOST_FORWARDERS: usize = 4096;
-const MOST_NODES: usize = 16_384;
-const MOST_VOLUMES: usize = 262_144;
+/// Limits on the sizes that a child accepts.
+const MAX_FORWARDERS: usize = 4096;
+const MAX_NODES: usize = 16_384;
+const MAX_VOLUMES: usize = 262_144;
 
-/// Options of the hidden command.
+/// Arguments of the hidden subcommand.
 #[derive(clap::Args)]
 pub struct Options {
-    /// Forwarders.
+    /// Number of forwarders.
     forwarders: usize,
-    /// Nodes.
+    /// Number of nodes.
     nodes: usize,
-    /// Volumes.
+    /// Number of volumes.
     volumes: usize,
-    /// Planners.
+    /// Number of planners.
     planners: usize,
 }
 
-/// Plays rounds of plans, and prints the resident memory at their end, in bytes.
+/// Simulates rounds of plans, then prints the resident memory in bytes. Fails if a size is out of range.
 pub fn run(options: &Options) -> Result<bool, String> {
     let Options { forwarders, nodes, volumes, planners } = *options;
-    check("forwarders", forwarders, MOST_FORWARDERS)?;
-    check("nodes", nodes, MOST_NODES)?;
-    check("volumes", volumes, MOST_VOLUMES)?;
+    check("forwarders", forwarders, MAX_FORWARDERS)?;
+    check("nodes", nodes, MAX_NODES)?;
+    check("volumes", volumes, MAX_VOLUMES)?;
     check("planners", planners, 16)?;
     rounds(forwarders, nodes, volumes, planners);
-    println!("{}", meter::resident(std::process::id())?);
+    println!("{}", meter::resident_memory(std::process::id())?);
     Ok(true)
 }
 
-fn check(name: &str, value: usize, most: usize) -> Result<(), String> {
-    match (1..=most).contains(&value) {
+fn check(name: &str, value: usize, max: usize) -> Result<(), String> {
+    match (1..=max).contains(&value) {
         true => Ok(()),
-        false => Err(format!("{name}: {value} is not allowed, 1 to {most} are")),
+        false => Err(format!("{name}: {value} is not allowed, the range is 1 to {max}")),
     }
 }
 
-/// Resident memory of a fresh process that plays planners and all their forwarders.
+/// Resident memory in bytes of a fresh process that simulates planners and all their forwarders.
 pub fn planners_memory(
     forwarders: usize,
     nodes: usize,
@@ -53,27 +54,27 @@
     let sizes = [forwarders, nodes, volumes, planners].map(|size| size.to_string());
     let mut command = Command::new(own_program()?);
     let output = command.arg("capacity-child").args(&sizes).stdin(Stdio::null()).output();
-    let output = output.map_err(|error| format!("a child: {error}"))?;
+    let output = output.map_err(|error| format!("child process: {error}"))?;
     if !output.status.success() {
         return Err(format!(
-            "a child for {sizes:?} failed: {}",
+            "child process for {sizes:?} failed: {}",
             String::from_utf8_lossy(&output.stderr).trim_end()
         ));
     }
     let text = String::from_utf8_lossy(&output.stdout);
-    text.trim().parse().map_err(|_| format!("a child for {sizes:?} answered {text:?}"))
+    text.trim().parse().map_err(|_| format!("unexpected output of the child process for {sizes:?}: {text:?}"))
 }
 
-/// This program, built once where this was started by a test.
+/// Path of the laboratory's program, built once if a test asks for it.
 fn own_program() -> Result<PathBuf, String> {
     static PROGRAM: OnceLock<Result<PathBuf, String>> = OnceLock::new();
     PROGRAM.get_or_init(find_own_program).clone()
 }
 
-/// This program. Tests are another one, which lies beside it.
+/// Path of the laboratory's program. A test's binary lies in `deps` beside it; there the program is built first.
 fn find_own_program() -> Result<PathBuf, String> {
     let own = std::env::current_exe().map_err(|error| error.to_string())?;
-    let folder = own.parent().ok_or("this program lies nowhere")?;
+    let folder = own.parent().ok_or("the path of this program has no folder")?;
     if !folder.ends_with("deps") {
         return Ok(own);
     }
--- a/lab/src/capacity/decision.rs
+++ b/lab/src/capacity/decision.rs
@@ -1,5 +1,5 @@
-//! The decision module of one initiator in virtual time, with nodes that answer after a fixed time. The bench of the
-//! module and the command that measures capacity both drive it.
+//! Simulation of one initiator's decision module in virtual time, with nodes that answer after a fixed time. Used by
+//! the benchmark of the scheduler and by the `capacity` subcommand.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -9,45 +9,45 @@
 use topazpath::Scheduler;
 
 const MS: fn(u64) -> Duration = Duration::from_millis;
-/// How long a node takes over a request.
-const ANSWER: Duration = Duration::from_millis(60);
+/// Response time of a node.
+const RESPONSE_TIME: Duration = Duration::from_millis(60);
 
-/// What the module is set up with.
+/// Parameters of a simulation.
 #[derive(Clone, Copy, Debug)]
 pub struct Setup {
-    /// Nodes listed, one a shard.
+    /// Nodes in the list, one per shard.
     pub nodes: u32,
-    /// Initiators of the fleet.
+    /// Initiators in the fleet.
     pub initiators: u32,
-    /// Volumes that requests come for in turn.
+    /// Volumes that requests address, round robin.
     pub volumes: u64,
-    /// Zones that the nodes lie in.
+    /// Zones over which the nodes are spread.
     pub zones: u32,
-    /// Whether volumes have a limit, which is never reached.
+    /// Whether volumes have a limit; it is too high to be reached.
     pub limited: bool,
 }
 
 impl Setup {
-    /// So many nodes, and half as many initiators again.
+    /// A fleet with this many nodes and one and a half times as many initiators.
     pub fn of(nodes: u32) -> Setup {
         Setup { nodes, initiators: nodes * 3 / 2, volumes: 9, zones: 1, limited: false }
     }
 }
 
-/// One initiator and its nodes.
-pub struct World {
+/// One initiator's scheduler and its nodes.
+pub struct Simulation {
     scheduler: Scheduler,
     setup: Setup,
     now: Duration,
-    /// Attempts out: when they are answered, the request and its node.
-    out: BinaryHeap<Reverse<(Duration, u64, u32)>>,
+    /// Attempts in flight: when each is answered, its request and its node.
+    in_flight: BinaryHeap<Reverse<(Duration, u64, u32)>>,
     wake: Duration,
     requests: u64,
-    /// Requests sent to a node, so far.
+    /// Attempts sent to nodes so far.
     pub sent: u64,
 }
 
-/// Settings like those of a deployment, for so many initiators.
+/// Settings like those of a real deployment.
 pub fn settings(setup: Setup) -> Settings {
     let class = |aim, worth| Class {
         aim: MS(aim),
@@ -77,7 +77,7 @@
     }
 }
 
-/// A ready node, alone in its shard.
+/// A ready node that is the only one in its shard.
 pub fn entry(id: u32, zones: u32) -> NodeEntry {
     NodeEntry {
         node: NodeId(id),
@@ -89,47 +89,47 @@
     }
 }
 
-impl World {
-    /// Nodes that the scheduler has looked at so far.
+impl Simulation {
+    /// Nodes that the scheduler has visited so far.
     #[cfg(test)]
     pub fn nodes_visited(&self) -> u64 {
         self.scheduler.nodes_visited()
     }
 
-    /// With the whole list known.
+    /// Starts with the whole node list applied.
     pub fn new(setup: Setup) -> Self {
-        let mut world = World {
+        let mut simulation = Simulation {
             scheduler: Scheduler::new(settings(setup), 7),
             setup,
             now: MS(100_000),
-            out: BinaryHeap::new(),
+            in_flight: BinaryHeap::new(),
             wake: MS(u64::MAX / 2),
             requests: 0,
             sent: 0,
         };
-        world.take_list();
-        world
+        simulation.apply_list();
+        simulation
     }
 
-    /// Discovery tells the whole list.
-    pub fn take_list(&mut self) {
+    /// Applies a full node list.
+    pub fn apply_list(&mut self) {
         let entries = (0..self.setup.nodes).map(|id| entry(id, self.setup.zones)).collect();
         self.handle(&[Event::List { kind: ListKind::Full, entries }]);
     }
 
-    /// Discovery tells that one node starts to drain, or is back.
-    pub fn take_change(&mut self, node: u32, state: NodeState) {
+    /// Applies a list change of one node's state.
+    pub fn apply_change(&mut self, node: u32, state: NodeState) {
         let entries = vec![NodeEntry { state, ..entry(node, self.setup.zones) }];
         self.handle(&[Event::List { kind: ListKind::Delta, entries }]);
     }
 
-    /// Another limit for every volume comes into force.
+    /// Changes the limit of every volume.
     pub fn reconfigure(&mut self, rate: f64) -> Result<(), String> {
         let mut changed = settings(self.setup);
         for limit in changed.plans.iter_mut().filter_map(|plan| plan.limit.as_mut()) {
             limit.rate = rate;
         }
-        self.scheduler.reconfigure(self.now, changed).map_err(|why| format!("reconfigure: {why:?}"))
+        self.scheduler.reconfigure(self.now, changed).map_err(|error| format!("reconfigure: {error:?}"))
     }
 
     fn handle(&mut self, events: &[Event]) {
@@ -139,7 +139,7 @@
             match action {
                 Action::Send { id, node, .. } => {
                     self.sent += 1;
-                    self.out.push(Reverse((self.now + ANSWER, id.0, node.0)));
+                    self.in_flight.push(Reverse((self.now + RESPONSE_TIME, id.0, node.0)));
                 }
                 Action::WakeAt(at) => self.wake = at,
                 other => drop(black_box(other)),
@@ -147,10 +147,10 @@
         }
     }
 
-    /// Lets time pass until then, with all that comes due.
-    fn pass(&mut self, until: Duration) {
+    /// Advances virtual time to `until`, handling timers and answers that come due.
+    fn advance(&mut self, until: Duration) {
         loop {
-            let answer = self.out.peek().map_or(Duration::MAX, |Reverse((at, _, _))| *at);
+            let answer = self.in_flight.peek().map_or(Duration::MAX, |Reverse((at, _, _))| *at);
             let at = answer.min(self.wake);
             if at > until {
                 break;
@@ -161,14 +161,14 @@
                 self.handle(&[Event::Wake]);
                 continue;
             }
-            let Some(Reverse((_, id, node))) = self.out.pop() else { break };
+            let Some(Reverse((_, id, node))) = self.in_flight.pop() else { break };
             self.handle(&[Event::AttemptEnded(AttemptEnd {
                 id: RequestId(id),
                 attempt: 0,
                 node: NodeId(node),
                 outcome: Outcome::Served,
                 finished: true,
-                latency: ANSWER,
+                latency: RESPONSE_TIME,
                 used: None,
                 elsewhere: 0.0,
             })]);
@@ -176,9 +176,10 @@
         self.now = until;
     }
 
-    /// The next request, so long after the last; every second one is for the same shard where that is crowded.
+    /// Sends the next request, `gap` after the previous one. With `crowded`, every second request is for the same
+    /// shard.
     pub fn request(&mut self, gap: Duration, crowded: bool) {
-        self.pass(self.now + gap);
+        self.advance(self.now + gap);
         self.requests += 1;
         let shard = if crowded && self.requests.is_multiple_of(2) {
             0
--- a/lab/src/capacity/discovery.rs
+++ b/lab/src/capacity/discovery.rs
@@ -1,4 +1,4 @@
-//! A stand-in for discovery that counts what it reads and writes, and sees when a change was taken.
+//! Stand-in discovery server that counts its traffic and detects when a client has applied a change.
 
 use crate::sync::lock;
 use std::io::{BufRead, BufReader, Write};
@@ -7,12 +7,12 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// What has passed so far.
+/// Traffic so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
-    /// Bytes from clients, HTTP with its heads.
+    /// Bytes from clients, including HTTP headers.
     pub read: u64,
-    /// Bytes to clients.
+    /// Bytes to clients, including HTTP headers.
     pub written: u64,
     /// Calls answered.
     pub calls: u64,
@@ -21,7 +21,7 @@
 }
 
 impl Traffic {
-    /// What has passed since then.
+    /// Traffic since `before`.
     pub fn since(self, before: Traffic) -> Traffic {
         Traffic {
             read: self.read - before.read,
@@ -32,43 +32,43 @@
     }
 }
 
-/// Whether a call for changes is answered with the changes, or with the whole list: the protocol allows both.
+/// How a call for changes is answered; the protocol allows both.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answers {
-    /// The lines that changed; at the end of a wait without any, none.
+    /// With the changed entries; with none at the end of a wait without changes.
     Changes,
-    /// All lines.
+    /// With the whole list.
     Whole,
 }
 
-/// A line of the node list.
+/// An entry of the node list.
 #[derive(Clone, Debug)]
-pub struct Line {
-    /// Where the node is.
+pub struct Entry {
+    /// The node's address.
     pub address: SocketAddr,
     /// Its zone, by number.
     pub zone: usize,
 }
 
-struct Held {
-    lines: Vec<(Line, u64)>,
+struct State {
+    entries: Vec<(Entry, u64)>,
     index: u64,
     traffic: Traffic,
-    /// The newest version that a client has said it holds.
-    taken: u64,
+    /// The newest version that a client has acknowledged by asking for later ones.
+    acknowledged: u64,
 }
 
-/// Discovery of one run.
+/// Handle on the stand-in server.
 pub struct Discovery {
-    /// Where it is asked.
+    /// Its listening address.
     pub address: SocketAddr,
-    state: Arc<(Mutex<Held>, Condvar)>,
+    state: Arc<(Mutex<State>, Condvar)>,
 }
 
-/// Lines of nodes that nobody has to reach.
-pub fn unreachable_nodes(count: usize, zones: usize) -> Vec<Line> {
+/// Entries of nodes that do not exist, for experiments that never connect to them.
+pub fn unreachable_nodes(count: usize, zones: usize) -> Vec<Entry> {
     let address = |number: usize| SocketAddr::from((Ipv4Addr::from(0x7f64_0000 + number as u32), 9));
-    (0..count).map(|number| Line { address: address(number), zone: number % zones.max(1) }).collect()
+    (0..count).map(|number| Entry { address: address(number), zone: number % zones.max(1) }).collect()
 }
 
 /// A node's name.
@@ -77,13 +77,13 @@
 }
 
 impl Discovery {
-    /// Starts with this list.
-    pub fn start(ip: Ipv4Addr, lines: Vec<Line>, answers: Answers) -> std::io::Result<Discovery> {
+    /// Starts the server with this list. Fails if it can't listen.
+    pub fn start(ip: Ipv4Addr, entries: Vec<Entry>, answers: Answers) -> std::io::Result<Discovery> {
         let listener = TcpListener::bind((ip, 0))?;
         let address = listener.local_addr()?;
-        let lines = lines.into_iter().map(|line| (line, 1)).collect();
-        let held = Held { lines, index: 1, traffic: Traffic::default(), taken: 0 };
-        let state = Arc::new((Mutex::new(held), Condvar::new()));
+        let entries = entries.into_iter().map(|entry| (entry, 1)).collect();
+        let initial = State { entries, index: 1, traffic: Traffic::default(), acknowledged: 0 };
+        let state = Arc::new((Mutex::new(initial), Condvar::new()));
         let shared = state.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -95,40 +95,41 @@
         Ok(Discovery { address, state })
     }
 
-    /// What has passed so far.
+    /// Traffic so far.
     pub fn traffic(&self) -> Traffic {
         lock(&self.state.0).traffic
     }
 
-    /// Another node takes the place of this one: its line changes.
+    /// Changes the address in a node's entry, as when another node replaces it.
     pub fn change(&self, number: usize) {
-        let mut held = lock(&self.state.0);
-        held.index += 1;
-        let index = held.index;
-        let (line, changed) = &mut held.lines[number];
-        let port = if line.address.port() == 9 { 10 } else { 9 };
-        line.address.set_port(port);
+        let mut locked = lock(&self.state.0);
+        locked.index += 1;
+        let index = locked.index;
+        let (entry, changed) = &mut locked.entries[number];
+        let port = if entry.address.port() == 9 { 10 } else { 9 };
+        entry.address.set_port(port);
         *changed = index;
         self.state.1.notify_all();
     }
 
-    /// Waits until a client asks for what comes after the list as it is now; how long that took.
-    pub fn wait_until_taken(&self, patience: Duration) -> Result<Duration, String> {
+    /// Waits until a client has applied the present list, which shows in its next call. Returns how long that took;
+    /// fails after `max_wait`.
+    pub fn wait_until_applied(&self, max_wait: Duration) -> Result<Duration, String> {
         let start = Instant::now();
-        let held = lock(&self.state.0);
-        let index = held.index;
-        let waited = self.state.1.wait_timeout_while(held, patience, |held| held.taken < index);
-        let (held, timeout) = waited.unwrap_or_else(PoisonError::into_inner);
-        drop(held);
+        let locked = lock(&self.state.0);
+        let index = locked.index;
+        let waited = self.state.1.wait_timeout_while(locked, max_wait, |locked| locked.acknowledged < index);
+        let (locked, timeout) = waited.unwrap_or_else(PoisonError::into_inner);
+        drop(locked);
         if timeout.timed_out() {
-            return Err(format!("the initiator did not take a node list within {} s", patience.as_secs()));
+            return Err(format!("the initiator did not apply a node list within {} s", max_wait.as_secs()));
         }
         Ok(start.elapsed())
     }
 }
 
-/// Answers the calls of one connection, until that ends.
-fn serve(stream: TcpStream, state: &(Mutex<Held>, Condvar), answers: Answers) -> Option<()> {
+/// Serves the calls of one connection until it ends.
+fn serve(stream: TcpStream, state: &(Mutex<State>, Condvar), answers: Answers) -> Option<()> {
     stream.set_nodelay(true).ok()?;
     let (mut reader, mut stream) = (BufReader::new(stream.try_clone().ok()?), stream);
     loop {
@@ -145,7 +146,7 @@
     }
 }
 
-/// One call: after which version, how long it may wait, and its bytes.
+/// Reads one call: the version that the client has, how long the call may wait, and its size in bytes.
 fn request(reader: &mut impl BufRead) -> Option<(Option<u64>, Duration, usize)> {
     let mut first = String::new();
     let mut length = reader.read_line(&mut first).ok().filter(|count| *count > 0)?;
@@ -163,40 +164,40 @@
     Some((number("after="), Duration::from_millis(number("wait_ms=").unwrap_or(0)), length))
 }
 
-fn answer(state: &(Mutex<Held>, Condvar), after: Option<u64>, wait: Duration, answers: Answers) -> String {
-    let mut held = lock(&state.0);
+fn answer(state: &(Mutex<State>, Condvar), after: Option<u64>, wait: Duration, answers: Answers) -> String {
+    let mut locked = lock(&state.0);
     if let Some(after) = after {
-        held.taken = held.taken.max(after);
+        locked.acknowledged = locked.acknowledged.max(after);
         state.1.notify_all();
-        let waited = state.1.wait_timeout_while(held, wait, |held| held.index <= after);
-        held = waited.unwrap_or_else(PoisonError::into_inner).0;
+        let waited = state.1.wait_timeout_while(locked, wait, |locked| locked.index <= after);
+        locked = waited.unwrap_or_else(PoisonError::into_inner).0;
     }
     let whole = after.is_none() || answers == Answers::Whole;
     let since = if whole { 0 } else { after.unwrap_or(0) };
-    message(&held.lines, held.index, whole, since)
+    list_message(&locked.entries, locked.index, whole, since)
 }
 
-/// A message with all lines that changed after a version.
-fn message(lines: &[(Line, u64)], index: u64, whole: bool, since: u64) -> String {
-    let changed = lines.iter().enumerate().filter(|(_, (_, changed))| *changed > since);
-    let texts: Vec<String> = changed.map(|(number, (line, _))| text(number, line)).collect();
+/// A message with all entries that changed after version `since`.
+fn list_message(entries: &[(Entry, u64)], index: u64, whole: bool, since: u64) -> String {
+    let changed = entries.iter().enumerate().filter(|(_, (_, changed))| *changed > since);
+    let texts: Vec<String> = changed.map(|(number, (entry, _))| entry_json(number, entry)).collect();
     format!(r#"{{"index":{index},"snapshot":{whole},"endpoints":[{}]}}"#, texts.join(","))
 }
 
-fn text(number: usize, Line { address, zone }: &Line) -> String {
+fn entry_json(number: usize, Entry { address, zone }: &Entry) -> String {
     let name = node_name(number);
     format!(
         r#"{{"name":"{name}","address":"{address}","zone":"z{zone}","type":"m2","group":{number},"status":"active","weight":1.0,"since_ms":0}}"#
     )
 }
 
-/// A whole list as it is on the wire, and one with its last line only.
-pub fn messages(nodes: usize, zones: usize) -> (String, String) {
-    let lines: Vec<(Line, u64)> = unreachable_nodes(nodes, zones)
+/// Wire form of a whole list, and of a change of its last entry.
+pub fn wire_messages(nodes: usize, zones: usize) -> (String, String) {
+    let entries: Vec<(Entry, u64)> = unreachable_nodes(nodes, zones)
         .into_iter()
         .enumerate()
-        .map(|(number, line)| (line, number as u64 + 1))
+        .map(|(number, entry)| (entry, number as u64 + 1))
         .collect();
     let last = nodes as u64;
-    (message(&lines, last, true, 0), message(&lines, last, false, last - 1))
+    (list_message(&entries, last, true, 0), list_message(&entries, last, false, last - 1))
 }
--- a/lab/src/capacity/figure.rs
+++ b/lab/src/capacity/figure.rs
@@ -1,9 +1,9 @@
-//! What a measured cost looks like in the report.
+//! Figures of the report: a measured cost, how it grows, and its estimate at the target size.
 
 use super::fit::{self, Origin, PowerLaw};
 use serde::{Deserialize, Serialize};
 
-/// Whose cost it is.
+/// The component that bears a cost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
@@ -11,19 +11,19 @@
     Initiator,
     /// A planner.
     Planner,
-    /// Discovery, as seen from its clients.
+    /// Discovery, measured at its clients.
     Discovery,
-    /// A storage node, as seen from the initiators.
+    /// A storage node, measured at the initiators.
     Node,
     /// An operator's command.
     Operator,
 }
 
 impl Role {
-    /// All of them, in the order of the report.
+    /// All roles in the order of the report.
     pub const ALL: [Role; 5] = [Role::Initiator, Role::Planner, Role::Discovery, Role::Node, Role::Operator];
 
-    /// A heading.
+    /// Heading in the report.
     pub fn title(self) -> &'static str {
         match self {
             Role::Initiator => "Initiator",
@@ -35,22 +35,22 @@
     }
 }
 
-/// How the value at the target came about.
+/// How the value at the target was obtained.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum How {
-    /// At the size, or between two sizes on both sides of it.
+    /// Measured at the target size, or interpolated between two sizes.
     #[serde(rename = "measured")]
     Measured,
-    /// From measured figures, by a law or a multiplication.
+    /// Extrapolated or otherwise computed from measured figures.
     #[serde(rename = "worked out")]
     WorkedOut,
-    /// Neither.
+    /// Neither measured nor computed from measurements.
     #[serde(rename = "assumed")]
     Assumed,
 }
 
 impl How {
-    /// Its word in tables.
+    /// Its name in tables.
     pub fn word(self) -> &'static str {
         match self {
             How::Measured => "measured",
@@ -69,63 +69,63 @@
     }
 }
 
-/// The cost at one size.
+/// A cost at one size.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Point {
-    /// The size, by the figure's axis.
+    /// The size, on the figure's axis.
     pub size: f64,
-    /// The middle of the repeats.
+    /// Median of the repeats.
     pub median: f64,
-    /// Largest less smallest of the repeats.
+    /// Maximum minus minimum of the repeats.
     pub spread: f64,
-    /// How often it was measured.
+    /// Number of repeats.
     pub repeats: usize,
 }
 
 impl Point {
-    /// From what the repeats came to.
+    /// Summarizes the repeats at a size.
     pub fn of(size: f64, repeats: &[f64]) -> Point {
         Point { size, median: fit::median(repeats), spread: fit::spread(repeats), repeats: repeats.len() }
     }
 }
 
-/// A cost, how it grows, and what it comes to at the target.
+/// A cost, how it grows with size, and its value at the target size.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Figure {
-    /// Its name, with the part first.
+    /// Its name, prefixed with the part.
     pub name: String,
-    /// Whose it is.
+    /// The component that bears it.
     pub role: Role,
-    /// What the sizes count.
+    /// What the sizes count, such as `nodes`.
     pub axis: String,
     /// Unit of the points.
     pub unit: String,
-    /// Smallest size first.
+    /// Measurements in ascending order of size.
     pub points: Vec<Point>,
-    /// Of the fitted law; none where there are too few points above zero.
+    /// Exponent of the fitted power law; `None` with too few points above zero.
     pub exponent: Option<f64>,
-    /// Of the fitted law.
+    /// Residual of the fitted power law.
     pub residual: Option<f64>,
-    /// The size of the target on this axis.
+    /// Target size on this axis.
     pub target_size: f64,
-    /// The value there.
+    /// Value at the target size.
     pub at_target: f64,
     /// Unit of the value at the target and of the budget.
     pub target_unit: String,
-    /// How that came about.
+    /// How that value was obtained.
     pub how: How,
-    /// What it may be.
+    /// Maximum allowed value at the target.
     pub budget: Option<f64>,
-    /// Value over budget.
+    /// Value at the target divided by the budget.
     pub ratio: Option<f64>,
-    /// Whether it stays within.
+    /// Whether the value stays within the budget.
     pub holds: Option<bool>,
-    /// What has to be known to read it.
+    /// Conditions of the measurement.
     pub note: String,
 }
 
 impl Figure {
-    /// With the law through its points and the value at the target, without a budget.
+    /// Fits the power law through the points and computes the value at the target; sets no budget.
     pub fn new(
         name: &str,
         role: Role,
@@ -135,8 +135,8 @@
         target: f64,
     ) -> Figure {
         points.sort_by(|a, b| a.size.total_cmp(&b.size));
-        let plain: Vec<(f64, f64)> = points.iter().map(|point| (point.size, point.median)).collect();
-        let law = PowerLaw::through(&plain);
+        let pairs: Vec<(f64, f64)> = points.iter().map(|point| (point.size, point.median)).collect();
+        let law = PowerLaw::through(&pairs);
         let (at_target, how) = match fit::cost_at(&points, target) {
             Some((cost, origin)) => (cost, How::from(origin)),
             None => (0.0, How::Assumed),
@@ -160,30 +160,30 @@
         }
     }
 
-    /// A figure worked out from others.
+    /// A figure computed from others.
     pub fn worked_out(name: &str, role: Role, unit: &str, value: f64, note: &str) -> Figure {
         let mut figure = Figure::new(name, role, "-", unit, Vec::new(), 1.0);
         (figure.at_target, figure.how, figure.note) = (value, How::WorkedOut, note.into());
         figure
     }
 
-    /// The value at the target in another unit, so many times that of the points.
-    pub fn times(mut self, factor: f64, unit: &str) -> Figure {
+    /// Converts the value at the target to another unit by multiplying it with `factor`.
+    pub fn scaled(mut self, factor: f64, unit: &str) -> Figure {
         self.at_target *= factor;
         self.target_unit = unit.into();
         self.how = How::WorkedOut;
         self
     }
 
-    /// Against what it may be.
-    pub fn within(mut self, budget: f64) -> Figure {
+    /// Sets the budget.
+    pub fn with_budget(mut self, budget: f64) -> Figure {
         let ratio = self.at_target / budget;
         (self.budget, self.ratio, self.holds) = (Some(budget), Some(ratio), Some(ratio <= 1.0));
         self
     }
 
-    /// With what has to be known to read it.
-    pub fn note(mut self, note: &str) -> Figure {
+    /// Sets the note on the conditions of the measurement.
+    pub fn with_note(mut self, note: &str) -> Figure {
         self.note = note.into();
         self
     }
--- a/lab/src/capacity/fit.rs
+++ b/lab/src/capacity/fit.rs
@@ -1,4 +1,4 @@
-//! The power law through measured costs: least squares in the logarithms of size and cost.
+//! Fit of a power law to measured costs: least squares on the logarithms of size and cost.
 
 use super::figure::Point;
 
@@ -7,9 +7,9 @@
 pub struct PowerLaw {
     /// The cost at size 1.
     pub factor: f64,
-    /// 0: the same at all sizes; 1: in proportion; 2: with the square.
+    /// 0: constant; 1: linear; 2: quadratic.
     pub exponent: f64,
-    /// Root mean square of the logarithms' deviations: 0.1 is about a tenth of the cost.
+    /// Root mean square deviation of the logarithms; 0.1 is about a tenth of the cost.
     pub residual: f64,
 }
 
@@ -19,8 +19,8 @@
         self.factor * size.powf(self.exponent)
     }
 
-    /// The law through points of at least two sizes. Sizes and costs that are not above zero have no logarithm and count
-    /// for nothing.
+    /// Fits the law; `None` unless there are points of at least two sizes. Points whose size or cost is not above
+    /// zero are ignored, since they have no logarithm.
     pub fn through(points: &[(f64, f64)]) -> Option<PowerLaw> {
         let logarithms: Vec<(f64, f64)> = points
             .iter()
@@ -34,8 +34,9 @@
         if logarithms.len() < 2 || spread <= 0.0 {
             return None;
         }
-        let both: f64 = logarithms.iter().map(|(size, cost)| (size - mean_size) * (cost - mean_cost)).sum();
-        let exponent = both / spread;
+        let covariance: f64 =
+            logarithms.iter().map(|(size, cost)| (size - mean_size) * (cost - mean_cost)).sum();
+        let exponent = covariance / spread;
         let offset = mean_cost - exponent * mean_size;
         let squares: f64 =
             logarithms.iter().map(|(size, cost)| (cost - offset - exponent * size).powi(2)).sum();
@@ -43,7 +44,7 @@
     }
 }
 
-/// The middle of the repeats, or the mean of the two in the middle. Zero without any.
+/// Median; the mean of the middle two for an even count, 0 without values.
 pub fn median(repeats: &[f64]) -> f64 {
     let mut sorted = repeats.to_vec();
     sorted.sort_by(f64::total_cmp);
@@ -54,53 +55,54 @@
     }
 }
 
-/// Largest less smallest of the repeats.
+/// Maximum minus minimum; 0 without values.
 pub fn spread(repeats: &[f64]) -> f64 {
-    let most = repeats.iter().copied().fold(f64::NEG_INFINITY, f64::max);
-    let least = repeats.iter().copied().fold(f64::INFINITY, f64::min);
+    let max = repeats.iter().copied().fold(f64::NEG_INFINITY, f64::max);
+    let min = repeats.iter().copied().fold(f64::INFINITY, f64::min);
     if repeats.is_empty() {
         0.0
     } else {
-        most - least
+        max - min
     }
 }
 
-/// How a cost at a size came about.
+/// How a cost at a size was obtained.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Origin {
-    /// A point lies at it, or points on both sides of it.
+    /// Measured at that size or interpolated between two points.
     Measured,
-    /// It lies beyond the points.
+    /// Extrapolated beyond the points.
     WorkedOut,
 }
 
-/// A point lies at a size that differs from its own by no more than this part.
-const SAME_SIZE: f64 = 0.02;
-/// What lies beyond the points is worked out from so many of those nearest to it: small sizes show costs that do not grow.
-const NEAREST: usize = 3;
+/// Relative difference up to which a point counts as measured at a size.
+const SAME_SIZE_TOLERANCE: f64 = 0.02;
+/// Number of nearest points used for extrapolation. Farther ones are left out because at small sizes fixed costs
+/// dominate.
+const NEAREST_POINTS: usize = 3;
 
-/// The cost at a size: the point there, else on the line between the two points beside it, else by the law through the
-/// sizes nearest to it. None without points, which are in the order of their sizes.
+/// The cost at a size: that of the point there, else linear interpolation between the neighbours, else the power law
+/// through the nearest points. `points` are in ascending order of size; `None` if there are none.
 pub fn cost_at(points: &[Point], size: f64) -> Option<(f64, Origin)> {
-    let there = points.iter().find(|point| (point.size - size).abs() <= SAME_SIZE * size);
-    if let Some(there) = there {
-        return Some((there.median, Origin::Measured));
+    let same_size = points.iter().find(|point| (point.size - size).abs() <= SAME_SIZE_TOLERANCE * size);
+    if let Some(same_size) = same_size {
+        return Some((same_size.median, Origin::Measured));
     }
     let below = points.iter().filter(|point| point.size <= size).max_by(|a, b| a.size.total_cmp(&b.size));
     let above = points.iter().filter(|point| point.size >= size).min_by(|a, b| a.size.total_cmp(&b.size));
     if let (Some(below), Some(above)) = (below, above) {
         let width = above.size - below.size;
-        let part = if width > 0.0 { (size - below.size) / width } else { 0.0 };
-        return Some((below.median + part * (above.median - below.median), Origin::Measured));
+        let fraction = if width > 0.0 { (size - below.size) / width } else { 0.0 };
+        return Some((below.median + fraction * (above.median - below.median), Origin::Measured));
     }
     let below_all = points.first().is_some_and(|first| size < first.size);
     let nearest = if below_all {
-        &points[..points.len().min(NEAREST)]
+        &points[..points.len().min(NEAREST_POINTS)]
     } else {
-        &points[points.len().saturating_sub(NEAREST)..]
+        &points[points.len().saturating_sub(NEAREST_POINTS)..]
     };
-    let plain: Vec<(f64, f64)> = nearest.iter().map(|point| (point.size, point.median)).collect();
-    match PowerLaw::through(&plain) {
+    let pairs: Vec<(f64, f64)> = nearest.iter().map(|point| (point.size, point.median)).collect();
+    match PowerLaw::through(&pairs) {
         Some(law) => Some((law.at(size), Origin::WorkedOut)),
         None => points.last().map(|point| (point.median, Origin::WorkedOut)),
     }
--- a/lab/src/capacity/initiator.rs
+++ b/lab/src/capacity/initiator.rs
@@ -1,4 +1,4 @@
-//! The real initiator as a process of its own, with what is asked of it.
+//! A real initiator as a child process, and a simple client for it.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
@@ -9,57 +9,57 @@
 use std::time::{Duration, Instant};
 
 /// How long a process may take to start, or to answer.
-const PATIENCE: Duration = Duration::from_secs(30);
-/// Descriptors that it is told it may hold; those of the machine may be fewer.
+const TIMEOUT: Duration = Duration::from_secs(30);
+/// Limit on sockets in the initiator's configuration; the system's limit may be lower.
 pub const SOCKETS: usize = 20_000;
 
-/// What an initiator is told.
+/// Values in an initiator's configuration files.
 #[derive(Clone, Debug)]
 pub struct Setup {
-    /// Where discovery is.
+    /// Address of discovery.
     pub discovery: SocketAddr,
-    /// How many initiators the fleet has.
+    /// Number of initiators in the fleet.
     pub initiators: usize,
-    /// How many zones.
+    /// Number of zones.
     pub zones: usize,
-    /// Planners; none: it has its even parts.
+    /// Addresses of planners; without any it uses its even share of each limit.
     pub planners: Vec<SocketAddr>,
-    /// Its file for membership; none: it is no member.
+    /// Content of its membership file; `None` if it is not a member of a fleet.
     pub fleet: Option<String>,
 }
 
 impl Setup {
-    /// One of the target's fleet, alone with discovery.
+    /// An initiator of a fleet of the target size, with discovery only.
     pub fn of(discovery: SocketAddr, zones: usize) -> Setup {
         let initiators = super::target::INITIATORS as usize;
         Setup { discovery, initiators, zones, planners: Vec::new(), fleet: None }
     }
 }
 
-/// A running initiator; its process ends with this.
+/// A running initiator; its process is killed when this is dropped.
 pub struct Initiator {
     child: Child,
     folder: PathBuf,
-    /// Where clients connect.
+    /// Listening address for clients.
     pub listen: SocketAddr,
 }
 
 impl Drop for Initiator {
     fn drop(&mut self) {
-        // It may have ended already.
+        // The process may have ended already.
         let _ = self.child.kill();
         let _ = self.child.wait();
-        // What is left of a folder is the system's to clean.
+        // A remainder is left to the system's cleaning of temporary files.
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
-/// An address of this run's own; `place` keeps parts apart.
+/// A loopback address that only this run uses; `place` separates its uses.
 pub fn own_address(place: u8) -> Ipv4Addr {
     Ipv4Addr::new(127, 140, std::process::id() as u8, place)
 }
 
-/// A folder of this run's own.
+/// Creates a temporary folder that only this run uses. Fails if it can't be created.
 pub fn own_folder() -> Result<PathBuf, String> {
     static NUMBER: AtomicUsize = AtomicUsize::new(0);
     let number = NUMBER.fetch_add(1, Ordering::Relaxed);
@@ -68,28 +68,28 @@
     Ok(folder)
 }
 
-/// The program, built once where this was started by cargo.
+/// Path of the initiator's program, built once if Cargo started this process.
 pub fn program() -> Result<PathBuf, String> {
     static PROGRAM: OnceLock<Result<PathBuf, String>> = OnceLock::new();
     PROGRAM.get_or_init(crate::vrrp::experiments::program).clone()
 }
 
 impl Initiator {
-    /// Starts one, and waits until it lets clients in.
+    /// Starts an initiator and waits until it accepts clients. Fails if that takes too long.
     pub fn start(setup: &Setup) -> Result<Initiator, String> {
         let program = program()?;
-        let told = |error: std::io::Error| error.to_string();
+        let error_text = |error: std::io::Error| error.to_string();
         let listen =
-            TcpListener::bind((own_address(1), 0)).and_then(|free| free.local_addr()).map_err(told)?;
+            TcpListener::bind((own_address(1), 0)).and_then(|free| free.local_addr()).map_err(error_text)?;
         let folder = own_folder()?;
-        std::fs::write(folder.join("config.json"), configuration(listen, setup)).map_err(told)?;
+        std::fs::write(folder.join("config.json"), configuration(listen, setup)).map_err(error_text)?;
         if !setup.planners.is_empty() {
             let planners: Vec<String> = setup.planners.iter().map(SocketAddr::to_string).collect();
             let text = format!("enabled = true\nplanners = {planners:?}\n");
-            std::fs::write(folder.join("planners.toml"), text).map_err(told)?;
+            std::fs::write(folder.join("planners.toml"), text).map_err(error_text)?;
         }
         if let Some(fleet) = &setup.fleet {
-            std::fs::write(folder.join("fleet.toml"), fleet).map_err(told)?;
+            std::fs::write(folder.join("fleet.toml"), fleet).map_err(error_text)?;
         }
         let mut command = Command::new(program);
         command.env("NODE_CONFIG", folder.join("config.json")).env("TMPDIR", &folder);
@@ -99,29 +99,29 @@
             command.env(file, folder.join("none"));
         }
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::null());
-        let child = command.spawn().map_err(told)?;
+        let child = command.spawn().map_err(error_text)?;
         let initiator = Initiator { child, folder, listen };
         let start = Instant::now();
         while TcpStream::connect(listen).is_err() {
-            if start.elapsed() > PATIENCE {
-                return Err("an initiator does not start".into());
+            if start.elapsed() > TIMEOUT {
+                return Err("the initiator does not accept clients".into());
             }
             std::thread::sleep(Duration::from_millis(5));
         }
         Ok(initiator)
     }
 
-    /// Its process.
+    /// Its process id.
     pub fn process(&self) -> u32 {
         self.child.id()
     }
 
     /// Its processor time so far, in seconds.
     pub fn processor(&self) -> f64 {
-        crate::load::processor(self.process()).as_secs_f64()
+        crate::load::processor_time(self.process()).as_secs_f64()
     }
 
-    /// Processor time that it takes within a time, as a part of one core.
+    /// Processor time that it uses within `time`, as a share of one core.
     pub fn processor_within(&self, time: Duration) -> f64 {
         let (start, before) = (Instant::now(), self.processor());
         std::thread::sleep(time);
@@ -130,17 +130,17 @@
 
     /// Its resident memory, in bytes.
     pub fn memory(&self) -> Result<f64, String> {
-        super::meter::resident(self.process())
+        super::meter::resident_memory(self.process())
     }
 
-    /// What it answers to a command on a connection of its own.
-    pub fn ask(&self, words: &[&[u8]]) -> Result<String, String> {
-        Client::connect(self.listen)?.ask(&topazpath::resp::command(words))
+    /// Its answer to a command, on a new connection.
+    pub fn request(&self, words: &[&[u8]]) -> Result<String, String> {
+        Client::connect(self.listen)?.request(&topazpath::resp::command(words))
     }
 
-    /// A count of its `INFO`, by name.
-    pub fn count(&self, name: &str) -> Result<f64, String> {
-        let text = self.ask(&[b"INFO"])?;
+    /// A number from its `INFO`, by name. Fails if there is none.
+    pub fn info_number(&self, name: &str) -> Result<f64, String> {
+        let text = self.request(&[b"INFO"])?;
         let value = text.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix([':', ' ', '=']));
         value
             .and_then(|value| value.trim().parse().ok())
@@ -148,28 +148,28 @@
     }
 }
 
-/// A client's connection that asks one thing after another.
+/// A client's connection with one request in flight at a time.
 pub struct Client {
     reader: BufReader<TcpStream>,
     stream: TcpStream,
 }
 
 impl Client {
-    /// Connects.
+    /// Connects. Fails if the address doesn't accept.
     pub fn connect(address: SocketAddr) -> Result<Client, String> {
         let connect = || -> std::io::Result<Client> {
             let stream = TcpStream::connect(address)?;
             stream.set_nodelay(true)?;
-            stream.set_read_timeout(Some(PATIENCE))?;
+            stream.set_read_timeout(Some(TIMEOUT))?;
             Ok(Client { reader: BufReader::with_capacity(512, stream.try_clone()?), stream })
         };
-        connect().map_err(|error| format!("a client at {address}: {error}"))
+        connect().map_err(|error| format!("client of {address}: {error}"))
     }
 
-    /// Asks, and waits for the answer: its text, without the form of the wire.
-    pub fn ask(&mut self, command: &[u8]) -> Result<String, String> {
-        self.stream.write_all(command).map_err(|error| format!("a client's command: {error}"))?;
-        self.answer().map_err(|error| format!("a client's answer: {error}"))
+    /// Sends a command and waits for the answer. Returns its text without the framing.
+    pub fn request(&mut self, command: &[u8]) -> Result<String, String> {
+        self.stream.write_all(command).map_err(|error| format!("sending a client's command: {error}"))?;
+        self.answer().map_err(|error| format!("reading a client's answer: {error}"))
     }
 
     fn answer(&mut self) -> std::io::Result<String> {
@@ -188,7 +188,7 @@
     }
 }
 
-/// A read of a volume's object on a shard.
+/// A command that reads an object of a volume on a shard.
 pub fn read_command(number: u64, volume: u64, shard: u64) -> Vec<u8> {
     let (object, id) = (format!("{number:016x}"), format!("{number:016x}"));
     let attributes = format!("c=read,t=base,d=2000,volume={volume:016x},units=2,shard={shard},hosts=3");
--- a/lab/src/capacity/load.rs
+++ b/lab/src/capacity/load.rs
@@ -1,21 +1,21 @@
-//! Reads at a steady rate through a real initiator, one after another.
+//! Read requests through a real initiator at a steady rate, one in flight at a time.
 
 use super::initiator::{read_command, Client, Initiator};
 use std::time::{Duration, Instant};
 
-/// Between two requests.
-const GAP: Duration = Duration::from_millis(2);
+/// Interval between two requests.
+const INTERVAL: Duration = Duration::from_millis(2);
 
-/// What a stretch of load came to.
+/// Outcome of a period of load.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Loaded {
+pub struct Outcome {
     /// Requests answered.
     pub answered: u64,
-    /// Of these, with a value.
+    /// Requests answered with a value.
     pub served: u64,
 }
 
-/// A client that asks for volumes and shards in turn.
+/// A client that requests volumes and shards round robin.
 pub struct Load {
     client: Client,
     volumes: u64,
@@ -24,36 +24,36 @@
 }
 
 impl Load {
-    /// Connects.
+    /// Connects to the initiator.
     pub fn start(initiator: &Initiator, volumes: u64, shards: u64) -> Result<Load, String> {
         Ok(Load { client: Client::connect(initiator.listen)?, volumes, shards, number: 0 })
     }
 
-    /// So many requests as soon as the one before is answered.
-    pub fn ask(&mut self, count: u64) -> Result<Loaded, String> {
-        let mut loaded = Loaded::default();
+    /// Sends `count` requests, each as soon as the previous one is answered.
+    pub fn send(&mut self, count: u64) -> Result<Outcome, String> {
+        let mut outcome = Outcome::default();
         for _ in 0..count {
             self.number += 1;
             let command = read_command(self.number, self.number % self.volumes, self.number % self.shards);
-            let answer = self.client.ask(&command)?;
-            loaded.answered += 1;
-            // Refusals and errors begin with a sign; the value is that of the stand-in nodes.
-            loaded.served += u64::from(!answer.starts_with('-'));
+            let answer = self.client.request(&command)?;
+            outcome.answered += 1;
+            // Refusals and errors begin with `-`; the stand-in nodes' value does not.
+            outcome.served += u64::from(!answer.starts_with('-'));
         }
-        Ok(loaded)
+        Ok(outcome)
     }
 
-    /// Requests at a steady rate for a time.
-    pub fn ask_for(&mut self, time: Duration) -> Result<Loaded, String> {
+    /// Sends requests at a steady rate for `time`.
+    pub fn send_for(&mut self, time: Duration) -> Result<Outcome, String> {
         let start = Instant::now();
-        let mut loaded = Loaded::default();
+        let mut outcome = Outcome::default();
         while start.elapsed() < time {
-            let next = start + GAP * loaded.answered as u32;
+            let next = start + INTERVAL * outcome.answered as u32;
             std::thread::sleep(next.saturating_duration_since(Instant::now()));
-            let one = self.ask(1)?;
-            loaded.answered += one.answered;
-            loaded.served += one.served;
+            let single = self.send(1)?;
+            outcome.answered += single.answered;
+            outcome.served += single.served;
         }
-        Ok(loaded)
+        Ok(outcome)
     }
 }
--- a/lab/src/capacity/members_adapter.rs
+++ b/lab/src/capacity/members_adapter.rs
@@ -1,20 +1,20 @@
-//! All that this command uses of the membership in virtual time, in one place.
+//! Adapter for the simulation of membership: all uses of it by this subcommand.
 
 use crate::membership::world::{Terms, World};
 use std::time::Duration;
 
 const SECOND: Duration = Duration::from_secs(1);
-/// How long members may take to come together.
-const PATIENCE_S: usize = 600;
+/// Virtual seconds that members may take to agree on one view.
+const TIMEOUT_S: usize = 600;
 
-/// A fleet of members that have come together.
+/// A simulated fleet whose members share one view.
 pub struct Members {
     world: World,
 }
 
-/// What a stretch of virtual time came to, over all members.
+/// Traffic within a period of virtual time, summed over all members.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Stretch {
+pub struct SentTraffic {
     /// Datagrams sent.
     pub datagrams: f64,
     /// Bytes in them.
@@ -22,28 +22,28 @@
 }
 
 impl Members {
-    /// Starts so many, and waits until all are in one view with all.
-    pub fn together(size: usize, seed: u64) -> Result<Members, String> {
+    /// Starts `size` members and runs until all share one view that contains all. Fails after a timeout.
+    pub fn start(size: usize, seed: u64) -> Result<Members, String> {
         let mut world = World::new(Terms::default(), size, seed);
-        for _ in 0..PATIENCE_S {
+        for _ in 0..TIMEOUT_S {
             world.run(world.now + SECOND);
             if world.is_settled() {
                 return Ok(Members { world });
             }
         }
-        Err(format!("{size} members did not come together within {PATIENCE_S} virtual seconds"))
+        Err(format!("{size} members did not agree on one view within {TIMEOUT_S} virtual seconds"))
     }
 
-    /// Plays on; nothing is counted.
-    pub fn play(&mut self, time: Duration) {
+    /// Advances virtual time without counting traffic.
+    pub fn advance(&mut self, time: Duration) {
         self.world.run(self.world.now + time);
     }
 
-    /// Plays on, and counts what is sent.
-    pub fn count(&mut self, time: Duration) -> Stretch {
+    /// Advances virtual time and counts the datagrams sent.
+    pub fn count_traffic(&mut self, time: Duration) -> SentTraffic {
         (self.world.datagrams, self.world.bytes, self.world.counts_bytes) = (0, 0, true);
-        self.play(time);
+        self.advance(time);
         self.world.counts_bytes = false;
-        Stretch { datagrams: self.world.datagrams as f64, bytes: self.world.bytes as f64 }
+        SentTraffic { datagrams: self.world.datagrams as f64, bytes: self.world.bytes as f64 }
     }
 }
--- a/lab/src/capacity/mod.rs
+++ b/lab/src/capacity/mod.rs
@@ -1,6 +1,6 @@
-//! `topazpath-lab capacity`: how each cost grows with the size of the fleet, and what it comes to at the size that
-//! operators expect. The real parts are driven: the decision module, discovery's client, members, both ends of planners,
-//! and whole processes of the program.
+//! `topazpath-lab capacity`: measures how each cost grows with the size of the fleet and estimates it at the size that
+//! operators expect. It drives real code: the decision module, the discovery client, membership, both ends of the
+//! planner link, and whole processes of the program. The result is a [`Report`], printed as a table, Markdown or JSON.
 
 pub mod child;
 mod decision;
@@ -30,7 +30,7 @@
 /// Measures one part.
 type Measure = fn(&Scale) -> Result<Vec<Figure>, String>;
 
-/// The parts, by the names that `--only` takes.
+/// The parts by name, as taken by `--only`.
 const PARTS: [(&str, Measure); 9] = [
     ("module", parts::module::measure),
     ("nodes", parts::nodes::measure),
@@ -43,40 +43,40 @@
     ("fleet", parts::fleet::measure),
 ];
 
-/// The name of the run of hollow initiators among the parts.
+/// Name of the part that runs the hollow fleet.
 const HOLLOW: &str = "hollow";
 
-/// Memory that the largest sizes take, with some to spare, in short and in full.
-const MEMORY_BYTES: (f64, f64) = (512.0 * 1_048_576.0, 2048.0 * 1_048_576.0);
+/// Memory needed for the largest sizes with a margin, in the short and in the full variant.
+const MAX_MEMORY_BYTES: (f64, f64) = (512.0 * 1_048_576.0, 2048.0 * 1_048_576.0);
 
-/// Options of the command.
+/// Command line options.
 #[derive(clap::Args)]
 pub struct Options {
-    /// One JSON object on the last line.
+    /// Print the report as one JSON object on the last line.
     #[arg(long)]
     json: bool,
-    /// Small sizes, one repeat.
+    /// Use small sizes and a single repeat.
     #[arg(long)]
     short: bool,
-    /// Only this part; without it, all.
+    /// Run only this part (default: all).
     #[arg(long)]
     only: Option<String>,
-    /// Seeds everything that is drawn.
+    /// Seed of all random choices.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// How often each figure is measured (3; with --short once).
+    /// Measurements of each figure (default 3; with --short 1).
     #[arg(long, value_parser = clap::value_parser!(u8).range(1..=50))]
     repeats: Option<u8>,
-    /// Tables for the pages, instead of the table for people.
+    /// Print Markdown tables for the documentation instead of the plain table.
     #[arg(long)]
     markdown: bool,
-    /// Measures nothing, and reads what `--json` printed: one report, or several of different parts as one.
+    /// Measure nothing; read reports printed by `--json`. Several reports of different parts are merged into one.
     #[arg(long, value_delimiter = ',')]
     from: Vec<PathBuf>,
 }
 
-/// True if every part was measured and every scene of the hollow fleet holds. What misses its budget is a result, not a
-/// failure; a scene that does not hold is one.
+/// Runs the subcommand. Returns true if every part was measured and every scene of the hollow fleet holds. A figure
+/// that misses its budget is a result, not a failure; a scene that does not hold is a failure.
 pub fn run(options: &Options) -> Result<bool, String> {
     let report = if options.from.is_empty() { measure(options)? } else { read_all(&options.from)? };
     if options.markdown {
@@ -87,56 +87,56 @@
     if options.json {
         println!("{}", serde_json::to_string(&report).map_err(|error| error.to_string())?);
     }
-    Ok(report.not_run.is_empty() && scenes_hold(&report.hollow))
+    Ok(report.not_run.is_empty() && all_scenes_hold(&report.hollow))
 }
 
-/// Whether all scenes of a run of hollow initiators hold, if there was one.
-fn scenes_hold(hollow: &Value) -> bool {
+/// Whether all scenes of the hollow fleet hold; true if there was no such run.
+fn all_scenes_hold(hollow: &Value) -> bool {
     let scenes = hollow["scenes"].as_array().map(Vec::as_slice).unwrap_or_default();
     scenes.iter().all(|scene| scene["holds"] == true)
 }
 
-/// A saved report: the last line of the file.
+/// Reads a saved report from the last line of a file.
 fn read(file: &PathBuf) -> Result<Report, String> {
     let text = std::fs::read_to_string(file).map_err(|error| format!("{}: {error}", file.display()))?;
     let last = text.lines().last().unwrap_or_default();
     serde_json::from_str(last)
-        .map_err(|error| format!("{}: its last line is no report: {error}", file.display()))
+        .map_err(|error| format!("{}: its last line is not a report: {error}", file.display()))
 }
 
-/// Several saved reports as one: all figures, and what follows from all of them together.
+/// Merges saved reports into one and computes the sums and the ranking of all figures.
 ///
 /// # Errors
 ///
-/// A file is no report, or two of them hold one figure, or were made with other sizes or seeds.
+/// A file is not a report, a figure is in two of them, or they were made with different sizes, seeds or targets.
 fn read_all(files: &[PathBuf]) -> Result<Report, String> {
     let mut all = Report::default();
     for (number, file) in files.iter().enumerate() {
-        let one = read(file)?;
-        let named = |why: String| format!("{}: {why}", file.display());
+        let report = read(file)?;
+        let with_file = |error: String| format!("{}: {error}", file.display());
         if number == 0 {
-            (all.short, all.seed, all.target) = (one.short, one.seed, one.target.clone());
+            (all.short, all.seed, all.target) = (report.short, report.seed, report.target.clone());
         }
-        if (one.short, one.seed, &one.target) != (all.short, all.seed, &all.target) {
-            return Err(named("other sizes, another seed or another target than the file before".into()));
+        if (report.short, report.seed, &report.target) != (all.short, all.seed, &all.target) {
+            return Err(with_file("sizes, seed or target differ from the first file".into()));
         }
-        // Reckoned anew from all parts.
-        let measured = one.figures.into_iter().filter(|figure| !figure.name.starts_with(TOGETHER));
+        // Sums are computed again from all parts.
+        let measured = report.figures.into_iter().filter(|figure| !figure.name.starts_with(SUMS_PREFIX));
         for figure in measured {
             if all.figures.iter().any(|it| it.name == figure.name) {
-                return Err(named(format!("{:?} is in a file before as well", figure.name)));
+                return Err(with_file(format!("{:?} is also in an earlier file", figure.name)));
             }
             all.figures.push(figure);
         }
-        if !one.hollow.is_null() {
+        if !report.hollow.is_null() {
             if !all.hollow.is_null() {
-                return Err(named("a run of hollow initiators is in a file before as well".into()));
+                return Err(with_file("a run of hollow initiators is also in an earlier file".into()));
             }
-            all.hollow = one.hollow;
+            all.hollow = report.hollow;
         }
-        all.not_run.extend(one.not_run);
+        all.not_run.extend(report.not_run);
     }
-    Ok(all.concluded())
+    Ok(all.with_sums_and_ranking())
 }
 
 fn measure(options: &Options) -> Result<Report, String> {
@@ -154,30 +154,30 @@
         eprintln!("capacity: {name}");
         match measure(&scale) {
             Ok(figures) => report.figures.extend(figures),
-            Err(why) => report.not_run.push(format!("{name}: {why}")),
+            Err(error) => report.not_run.push(format!("{name}: {error}")),
         }
     }
     if wanted(HOLLOW) {
         eprintln!("capacity: {HOLLOW}");
-        match play_hollow(&scale) {
-            Ok(played) => report.hollow = played,
-            Err(why) => report.not_run.push(format!("{HOLLOW}: {why}")),
+        match run_hollow(&scale) {
+            Ok(hollow_report) => report.hollow = hollow_report,
+            Err(error) => report.not_run.push(format!("{HOLLOW}: {error}")),
         }
     }
-    Ok(report.concluded())
+    Ok(report.with_sums_and_ranking())
 }
 
-/// Plays a whole fleet of hollow and real initiators; what missed its budget in it is told in its scenes.
-fn play_hollow(scale: &Scale) -> Result<Value, String> {
+/// Runs a whole fleet of hollow and real initiators. Its scenes say which budgets were missed.
+fn run_hollow(scale: &Scale) -> Result<Value, String> {
     let common = Common { short: scale.short, json: true, seed: scale.seed };
-    let played = hollow::run(&hollow::Options::default().sizes(&common)?)?;
-    serde_json::to_value(&played).map_err(|error| error.to_string())
+    let hollow_report = hollow::run(&hollow::Options::default().sizes(&common)?)?;
+    serde_json::to_value(&hollow_report).map_err(|error| error.to_string())
 }
 
-/// An error, before anything is started, if the machine allows less than the run needs.
+/// Fails, before anything is started, if the machine has less memory or fewer descriptors than the run needs.
 fn check(scale: &Scale, connections: bool) -> Result<(), String> {
-    meter::need_memory(scale.pick(MEMORY_BYTES.0, MEMORY_BYTES.1))?;
-    // A stand-in node listens, and each holds a connection.
+    meter::need_memory(scale.pick(MAX_MEMORY_BYTES.0, MAX_MEMORY_BYTES.1))?;
+    // One for the listener of each stand-in node, and one for its connection.
     meter::need_descriptors(2 * scale.nodes().iter().max().copied().unwrap_or(0))?;
     match connections {
         true => parts::connections::check(scale),
@@ -186,19 +186,19 @@
 }
 
 impl Report {
-    /// With what follows from all of its figures.
-    fn concluded(mut self) -> Report {
-        self.figures.extend(together(&self.figures));
+    /// Adds the sums and the ranking that follow from all figures.
+    fn with_sums_and_ranking(mut self) -> Report {
+        self.figures.extend(sums(&self.figures));
         self.ranking = report::rank(&self.figures, &target::LINES);
         self
     }
 }
 
-/// What the figures of several parts together are named by first.
-const TOGETHER: &str = "together: ";
+/// Prefix of the names of figures that sum several parts.
+const SUMS_PREFIX: &str = "together: ";
 
-/// What several parts come to together, where all of them were measured.
-fn together(figures: &[Figure]) -> Vec<Figure> {
+/// Sums over several parts; a sum is left out if one of its parts was not measured.
+fn sums(figures: &[Figure]) -> Vec<Figure> {
     let sum = |names: &[&str]| -> Option<f64> {
         names.iter().map(|name| figures.iter().find(|it| it.name == *name).map(|it| it.at_target)).sum()
     };
@@ -211,7 +211,7 @@
     let requests = sum(&["process: processor of a request", "connections: processor of handshakes"]);
     let memory = sum(&["process: memory under load", "connections: memory of those held"]);
     let of = |name: &str, unit: &str, value: Option<f64>, budget: f64, note: &str| {
-        value.map(|value| Figure::worked_out(name, Role::Initiator, unit, value, note).within(budget))
+        value.map(|value| Figure::worked_out(name, Role::Initiator, unit, value, note).with_budget(budget))
     };
     let all = [
         of(
--- a/lab/src/capacity/parts/configuration.rs
+++ b/lab/src/capacity/parts/configuration.rs
@@ -1,6 +1,7 @@
-//! Live configuration: what a document and a change weigh, and what it takes to check, to apply and to take over.
+//! Live configuration: size of a document and of a change, and the time to check one, to apply it and to reconfigure
+//! the decision module.
 
-use super::super::decision::{self, Setup, World};
+use super::super::decision::{self, Setup, Simulation};
 use super::super::figure::{Figure, Point, Role};
 use super::super::meter::timed;
 use super::super::scale::Scale;
@@ -12,15 +13,15 @@
 use topazpath::revisions::document::{Document, Names, PlanFigures};
 use topazpath::revisions::{RevisionId, RevisionNumber, Update, UpdateContent};
 
-/// Runs of what takes a few microseconds.
+/// Runs per measurement of operations that take a few microseconds.
 const RUNS: u32 = 10;
-/// Nodes listed while limits are taken over, and the time between two requests.
+/// Nodes listed while limits are changed, and the interval between two requests.
 const NODES: u32 = 60;
-const GAP: Duration = Duration::from_millis(1);
-/// Units a second that the new limits let through, more than is asked for.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(1);
+/// Units per second of the new limits, more than are requested.
 const LIMIT_RATE: f64 = 100_001.0;
 
-/// What one size came to, a value for each repeat.
+/// Costs at one size, with a value for each repeat.
 #[derive(Default)]
 struct Costs {
     whole_bytes: Vec<f64>,
@@ -41,16 +42,16 @@
         let points = all.iter().map(|(size, costs)| Point::of(*size, values(costs))).collect();
         Figure::new(name, role, "keys", unit, points, target::CONFIGURATION_KEYS)
     };
-    let taken_over = take_over(scale)?;
+    let reconfigure_points = reconfigure_costs(scale)?;
     let initiator = Role::Initiator;
-    let a_second = target::CHANGES_PER_DAY / target::DAY_S;
+    let changes_per_second = target::CHANGES_PER_DAY / target::DAY_S;
     Ok(vec![
         figure("configuration: a whole document", initiator, "bytes", |costs| &costs.whole_bytes)
-            .note("100 keys are assumed"),
+            .with_note("100 keys are assumed"),
         figure("configuration: a change of one key", initiator, "bytes", |costs| &costs.change_bytes)
-            .times(a_second, "bytes/s")
-            .within(target::CONTROL_BYTES_PER_SECOND)
-            .note("550 changes a day; the message without the link's head and the answer"),
+            .scaled(changes_per_second, "bytes/s")
+            .with_budget(target::CONTROL_BYTES_PER_SECOND)
+            .with_note("550 changes a day; the message without the link's head and the answer"),
         figure("configuration: check", Role::Operator, "us", |costs| &costs.check_us),
         figure("configuration: apply", initiator, "us", |costs| &costs.apply_us),
         Figure::new(
@@ -58,7 +59,7 @@
             initiator,
             "volumes",
             "us",
-            taken_over,
+            reconfigure_points,
             target::VOLUMES_PER_INITIATOR,
         ),
         figure("configuration: difference of two documents", Role::Planner, "us", |costs| {
@@ -67,18 +68,19 @@
     ])
 }
 
-/// The module's takeover of a limit that holds for every volume, by volumes that were asked for.
-fn take_over(scale: &Scale) -> Result<Vec<Point>, String> {
+/// Microseconds that the module takes to apply a new limit of every volume, by volumes in use.
+fn reconfigure_costs(scale: &Scale) -> Result<Vec<Point>, String> {
     let sizes: &[u64] = scale.pick(&[10, 30, 65, 200], &[10, 65, 1000, 10_000, 30_000]);
     let mut points = Vec::new();
     for volumes in sizes {
-        let mut world = World::new(Setup { volumes: *volumes, limited: true, ..Setup::of(NODES) });
-        (0..*volumes).for_each(|_| world.request(GAP, false));
+        let mut simulation = Simulation::new(Setup { volumes: *volumes, limited: true, ..Setup::of(NODES) });
+        (0..*volumes).for_each(|_| simulation.request(REQUEST_INTERVAL, false));
         let mut repeats = Vec::new();
         for _ in 0..scale.repeats() {
             let rate = |run: u32| LIMIT_RATE + f64::from(run % 2);
-            let (done, seconds) = timed(|| (0..RUNS).try_for_each(|run| world.reconfigure(rate(run))))?;
-            done?;
+            let (result, seconds) =
+                timed(|| (0..RUNS).try_for_each(|run| simulation.reconfigure(rate(run))))?;
+            result?;
             repeats.push(seconds * 1e6 / f64::from(RUNS));
         }
         points.push(Point::of(*volumes as f64, &repeats));
@@ -90,7 +92,7 @@
     format!("plan-{number:04}")
 }
 
-/// A document of so many keys, one in each plan.
+/// A document with this many keys, one per plan.
 pub fn document(keys: usize) -> Document {
     let figures =
         |number: usize| PlanFigures { guaranteed: Some(100.0 + number as f64), ..PlanFigures::default() };
@@ -100,7 +102,7 @@
     }
 }
 
-/// Settings that have the document's plans.
+/// Settings that contain the document's plans.
 fn settings(keys: usize) -> (Settings, Names) {
     let plan = Plan { reserve: 0.0, limit: None, weight: 1.0, price: 1.0 };
     let base = decision::settings(Setup::of(8));
@@ -110,7 +112,7 @@
     (settings, Names { classes, plans: (0..keys).map(name).collect() })
 }
 
-/// Bytes of an update on the wire, without the link's head.
+/// Bytes of an update on the wire, without the link's header.
 pub fn bytes(number: u64, document: &Document, content: UpdateContent) -> Result<f64, String> {
     let id = RevisionId { number: RevisionNumber(number), hash: document.hash() };
     let update = Update { id, content };
@@ -123,21 +125,21 @@
     newer.plans.insert(name(keys / 2), PlanFigures { guaranteed: Some(7.0), ..PlanFigures::default() });
     let (base, names) = settings(keys);
     let mut costs = Costs::default();
-    let each = |seconds: f64| seconds * 1e6 / f64::from(RUNS);
+    let per_run_us = |seconds: f64| seconds * 1e6 / f64::from(RUNS);
     for _ in 0..scale.repeats() {
         costs.whole_bytes.push(bytes(1, &older, UpdateContent::Whole(older.clone()))?);
-        let reckon = || drop(black_box(Delta::between(&older, &newer)));
-        let ((), seconds) = timed(|| (0..RUNS).for_each(|_| reckon()))?;
-        costs.difference_us.push(each(seconds));
+        let compute_delta = || drop(black_box(Delta::between(&older, &newer)));
+        let ((), seconds) = timed(|| (0..RUNS).for_each(|_| compute_delta()))?;
+        costs.difference_us.push(per_run_us(seconds));
         let delta = Delta::between(&older, &newer);
         let old_id = RevisionId { number: RevisionNumber(1), hash: older.hash() };
         costs.change_bytes.push(bytes(2, &newer, UpdateContent::Changes { base: old_id, delta })?);
         let (checked, seconds) = timed(|| (0..RUNS).try_for_each(|_| newer.check()))?;
-        checked.map_err(|why| why.to_string())?;
-        costs.check_us.push(each(seconds));
+        checked.map_err(|error| error.to_string())?;
+        costs.check_us.push(per_run_us(seconds));
         let (applied, seconds) = timed(|| (0..RUNS).try_for_each(|_| newer.apply(&base, &names).map(drop)))?;
-        applied.map_err(|why| why.to_string())?;
-        costs.apply_us.push(each(seconds));
+        applied.map_err(|error| error.to_string())?;
+        costs.apply_us.push(per_run_us(seconds));
     }
     Ok(costs)
 }
--- a/lab/src/capacity/parts/fleet.rs
+++ b/lab/src/capacity/parts/fleet.rs
@@ -1,5 +1,5 @@
-//! One initiator in fleets of many nodes: what it needs in the mean over the same day at the usual size and at 4 and 16
-//! times the nodes, with the same traffic, against what the operators allow it there.
+//! One initiator with many nodes: what it needs over the same simulated day with the usual number of nodes and with 4
+//! and 16 times as many, under the same traffic, compared with the operators' limits.
 
 use super::super::figure::{Figure, Role};
 use super::super::scale::Scale;
@@ -11,25 +11,25 @@
     Duration::from_millis(millis)
 }
 
-/// Nodes of the usual size, and 4 and 16 times as many.
+/// The usual number of nodes, and 4 and 16 times as many.
 const SIZES: [usize; 3] = [200, 800, 3_200];
 const DAY: Duration = ms(8_000);
 const DAY_SHORT: Duration = ms(4_000);
 const MEGABYTE: f64 = 1_048_576.0;
 
-/// What happens on one day.
+/// Faults injected on one day.
 struct Scene {
     name: &'static str,
     faults: Vec<(Duration, Fault)>,
 }
 
-/// A row of the operators' table: what is counted, and what it may come to given its value at the usual size and the
-/// thousands of nodes.
+/// A row of the operators' table: a measured value, and its limit as a function of its value at the usual size and of
+/// the number of nodes in thousands.
 struct Row {
     name: &'static str,
     unit: &'static str,
     value: fn(&Figures) -> f64,
-    allowed: fn(f64, f64) -> f64,
+    limit: fn(f64, f64) -> f64,
 }
 
 const ROWS: [Row; 6] = [
@@ -37,38 +37,38 @@
         name: "processor",
         unit: "s",
         value: |figures| figures.processor.as_secs_f64(),
-        allowed: |usual, thousands| 1.4 * usual + 0.02 + 0.03 * thousands,
+        limit: |usual, thousands| 1.4 * usual + 0.02 + 0.03 * thousands,
     },
     Row {
         name: "memory",
         unit: "MB",
         value: |figures| figures.memory as f64 / MEGABYTE,
-        allowed: |usual, thousands| 1.5 * usual + 8.0 + 4.0 * thousands,
+        limit: |usual, thousands| 1.5 * usual + 8.0 + 4.0 * thousands,
     },
     Row {
         name: "descriptors",
         unit: "descriptors",
         value: |figures| figures.descriptors as f64,
-        allowed: |usual, _| 2.0 * usual + 40.0,
+        limit: |usual, _| 2.0 * usual + 40.0,
     },
     Row {
         name: "connections made to nodes",
         unit: "connections",
         value: |figures| figures.node_connections as f64,
-        allowed: |usual, _| 2.5 * usual + 40.0,
+        limit: |usual, _| 2.5 * usual + 40.0,
     },
     Row {
         name: "bytes of lists",
         unit: "KB",
         value: |figures| figures.list_bytes as f64 / 1024.0,
-        allowed: |usual, thousands| 2.0 * usual + 64.0 + 500.0 * thousands,
+        limit: |usual, thousands| 2.0 * usual + 64.0 + 500.0 * thousands,
     },
-    // Turned round, so that less is better as in the others.
+    // The share not served instead of the share served, so that less is better as in the other rows.
     Row {
         name: "share not served",
         unit: "part",
         value: |figures| 1.0 - figures.served as f64 / figures.requests.max(1) as f64,
-        allowed: |usual, _| 1.0 - 0.85 * (1.0 - usual),
+        limit: |usual, _| 1.0 - 0.85 * (1.0 - usual),
     },
 ];
 
@@ -91,39 +91,40 @@
     ]
 }
 
-/// All figures of the part. The start of the initiator is a row of each scene.
+/// All figures of the part. Each scene also has a row for the initiator's start.
 pub fn measure(scale: &Scale) -> Result<Vec<Figure>, String> {
     let mut figures = Vec::new();
     for scene in scenes() {
         let day = scale.pick(DAY_SHORT, DAY);
         let play = |nodes: &usize| {
             let plan = Plan::of_size(scale.seed, *nodes, scene.faults.clone(), day);
-            rig::play(&plan).map(|played| played.figures)
+            rig::play(&plan).map(|outcome| outcome.figures)
         };
-        let played: Vec<Figures> = SIZES.iter().map(play).collect::<Result<_, _>>()?;
-        for (nodes, seen) in SIZES.iter().zip(&played).skip(1) {
-            figures.extend(ROWS.iter().map(|row| against(&scene, row, *nodes, &played[0], seen)));
-            figures.push(start(&scene, *nodes, seen));
+        let figures_by_size: Vec<Figures> = SIZES.iter().map(play).collect::<Result<_, _>>()?;
+        for (nodes, measured) in SIZES.iter().zip(&figures_by_size).skip(1) {
+            figures.extend(ROWS.iter().map(|row| figure(&scene, row, *nodes, &figures_by_size[0], measured)));
+            figures.push(start_figure(&scene, *nodes, measured));
         }
     }
     Ok(figures)
 }
 
-fn against(scene: &Scene, row: &Row, nodes: usize, usual: &Figures, seen: &Figures) -> Figure {
-    let (usual, value) = ((row.value)(usual), (row.value)(seen));
-    let allowed = (row.allowed)(usual, nodes as f64 / 1_000.0);
+fn figure(scene: &Scene, row: &Row, nodes: usize, usual: &Figures, measured: &Figures) -> Figure {
+    let (usual, value) = ((row.value)(usual), (row.value)(measured));
+    let limit = (row.limit)(usual, nodes as f64 / 1_000.0);
     let name = format!("fleet, {}: {} at {nodes} nodes", scene.name, row.name);
     let note = format!("{usual:.3} at {} nodes", SIZES[0]);
-    let mut figure = Figure::worked_out(&name, Role::Initiator, row.unit, value, &note).within(allowed);
+    let mut figure = Figure::worked_out(&name, Role::Initiator, row.unit, value, &note).with_budget(limit);
     figure.how = super::super::figure::How::Measured;
     figure
 }
 
-/// Operators ask that an initiator is ready within ten seconds.
-fn start(scene: &Scene, nodes: usize, seen: &Figures) -> Figure {
+/// The operators require that an initiator is ready within ten seconds.
+fn start_figure(scene: &Scene, nodes: usize, measured: &Figures) -> Figure {
     let name = format!("fleet, {}: from its start to clients let in at {nodes} nodes", scene.name);
-    let value = seen.started_within.as_secs_f64();
-    let mut figure = Figure::worked_out(&name, Role::Initiator, "s", value, "with a known list").within(10.0);
+    let value = measured.started_within.as_secs_f64();
+    let mut figure =
+        Figure::worked_out(&name, Role::Initiator, "s", value, "with a known list").with_budget(10.0);
     figure.how = super::super::figure::How::Measured;
     figure
 }
--- a/lab/src/capacity/parts/members.rs
+++ b/lab/src/capacity/parts/members.rs
@@ -1,4 +1,4 @@
-//! Membership: what a member sends and computes, by members.
+//! Membership: traffic and processor time of a member, by size of the fleet.
 
 use super::super::figure::{Figure, Point, Role};
 use super::super::members_adapter::Members;
@@ -8,7 +8,7 @@
 use super::real_members;
 use std::time::Duration;
 
-/// What one size came to, a value for each repeat; a member and virtual second.
+/// Costs at one size per member and virtual second, with a value for each repeat.
 #[derive(Default)]
 struct Costs {
     processor_us: Vec<f64>,
@@ -29,12 +29,12 @@
     };
     let mut figures = vec![
         figure("members: processor at rest", "us/s", |costs| &costs.processor_us)
-            .times(1e-6, "of a core")
-            .within(target::CONTROL_CORES)
-            .note("virtual time: with the world around the member, without the sockets"),
+            .scaled(1e-6, "of a core")
+            .with_budget(target::CONTROL_CORES)
+            .with_note("virtual time: with the world around the member, without the sockets"),
         figure("members: bytes both ways at rest", "bytes/s", |costs| &costs.bytes)
-            .within(target::CONTROL_BYTES_PER_SECOND)
-            .note("sent and received are the same on the mean; payload of the datagrams"),
+            .with_budget(target::CONTROL_BYTES_PER_SECOND)
+            .with_note("sent and received are the same on the mean; payload of the datagrams"),
         figure("members: datagrams both ways at rest", "datagrams/s", |costs| &costs.datagrams),
     ];
     figures.extend(real_members::measure(scale)?);
@@ -42,19 +42,19 @@
 }
 
 fn costs(size: usize, scale: &Scale) -> Result<Costs, String> {
-    let mut members = Members::together(size, scale.seed)?;
-    // What the start has to tell is over by then.
-    members.play(scale.pick(Duration::from_secs(5), Duration::from_secs(10)));
+    let mut members = Members::start(size, scale.seed)?;
+    // By then the updates caused by the start have been disseminated.
+    members.advance(scale.pick(Duration::from_secs(5), Duration::from_secs(10)));
     let time = if size > 500 { Duration::from_secs(4) } else { Duration::from_secs(10) };
-    let each = size as f64 * time.as_secs_f64();
+    let member_seconds = size as f64 * time.as_secs_f64();
     let mut costs = Costs::default();
     for _ in 0..scale.repeats() {
-        let (_, seconds) = timed(|| members.play(time))?;
-        costs.processor_us.push(seconds * 1e6 / each);
-        let sent = members.count(time);
-        // What is sent by one is received by another.
-        costs.datagrams.push(2.0 * sent.datagrams / each);
-        costs.bytes.push(2.0 * sent.bytes / each);
+        let (_, seconds) = timed(|| members.advance(time))?;
+        costs.processor_us.push(seconds * 1e6 / member_seconds);
+        let sent = members.count_traffic(time);
+        // Each datagram is sent by one member and received by another.
+        costs.datagrams.push(2.0 * sent.datagrams / member_seconds);
+        costs.bytes.push(2.0 * sent.bytes / member_seconds);
     }
     Ok(costs)
 }
--- a/lab/src/capacity/parts/mod.rs
+++ b/lab/src/capacity/parts/mod.rs
@@ -1,4 +1,4 @@
-//! What is measured, by axis.
+//! The parts of the measurement, one file each.
 
 pub mod configuration;
 pub mod connections;
--- a/lab/src/capacity/relay.rs
+++ b/lab/src/capacity/relay.rs
@@ -1,4 +1,4 @@
-//! A relay of TCP connections that counts the bytes that pass.
+//! A TCP relay that counts bytes.
 
 use std::io::{Read, Write};
 use std::net::{Ipv4Addr, Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::thread;
 
-/// Bytes that passed, by direction, and the connections made.
+/// Bytes forwarded in each direction, and connections accepted.
 #[derive(Default)]
 struct Counts {
     to_target: AtomicU64,
@@ -14,40 +14,40 @@
     connections: AtomicU64,
 }
 
-/// One relay.
+/// A relay in front of one target.
 pub struct Relay {
-    /// Where it is connected to.
+    /// Its listening address.
     pub address: SocketAddr,
     counts: Arc<Counts>,
 }
 
 impl Relay {
-    /// Passes on what comes to a target, and back.
+    /// Starts a relay to `target`. Fails if it can't listen.
     pub fn start(ip: Ipv4Addr, target: SocketAddr) -> std::io::Result<Relay> {
         let listener = TcpListener::bind((ip, 0))?;
         let relay = Relay { address: listener.local_addr()?, counts: Arc::default() };
         let counts = relay.counts.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                // Who is not let through sees a close, as from a target that is gone.
-                let _ = pass(stream, target, &counts);
+                // If the target is not reachable, the client sees its connection closed.
+                let _ = forward(stream, target, &counts);
             }
         });
         Ok(relay)
     }
 
-    /// Bytes to the target and from it, so far.
+    /// Bytes to and from the target so far.
     pub fn bytes(&self) -> (u64, u64) {
         (self.counts.to_target.load(Ordering::Relaxed), self.counts.from_target.load(Ordering::Relaxed))
     }
 
-    /// Connections made so far.
+    /// Connections established so far.
     pub fn connections(&self) -> u64 {
         self.counts.connections.load(Ordering::Relaxed)
     }
 }
 
-fn pass(client: TcpStream, target: SocketAddr, counts: &Arc<Counts>) -> std::io::Result<()> {
+fn forward(client: TcpStream, target: SocketAddr, counts: &Arc<Counts>) -> std::io::Result<()> {
     let server = TcpStream::connect(target)?;
     counts.connections.fetch_add(1, Ordering::Relaxed);
     client.set_nodelay(true)?;
@@ -59,7 +59,7 @@
     Ok(())
 }
 
-/// Until either side ends; then both do.
+/// Copies one direction until either side closes, then closes both.
 fn copy(mut from: TcpStream, mut to: TcpStream, count: &AtomicU64) {
     let mut bytes = [0; 16 * 1024];
     while let Ok(length) = from.read(&mut bytes) {
@@ -68,7 +68,7 @@
         }
         count.fetch_add(length as u64, Ordering::Relaxed);
     }
-    // They may have ended already.
+    // They may be closed already.
     let _ = from.shutdown(Shutdown::Both);
     let _ = to.shutdown(Shutdown::Both);
 }
--- a/lab/src/capacity/report.rs
+++ b/lab/src/capacity/report.rs
@@ -1,4 +1,4 @@
-//! The report: one JSON object, a table for people, and tables in Markdown for the pages.
+//! The report of a run: as JSON, as a plain table, and as Markdown tables for the documentation.
 
 use super::figure::{Figure, Role};
 use super::target;
@@ -8,59 +8,58 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-/// Something that misses, worst first.
+/// An unmet requirement: a figure beyond its budget, or a line of the target without a mechanism.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Miss {
-    /// The figure's name, or the line of the size that nothing carries.
+    /// The figure's name, or the target's line.
     pub name: String,
-    /// Value over budget; none: no mechanism exists.
+    /// Value divided by budget; `None` if there is no mechanism.
     pub ratio: Option<f64>,
-    /// What carries it: `none`, or `exists`.
+    /// `none` if there is no mechanism, else `exists`.
     pub mechanism: String,
 }
 
-/// All of a run.
+/// Results of a run.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub struct Report {
-    /// What was measured.
+    /// All figures.
     pub figures: Vec<Figure>,
-    /// The run of hollow initiators; null where it was not asked for.
+    /// Report of the hollow fleet; null if it was not run.
     pub hollow: Value,
-    /// What misses.
+    /// Unmet requirements, worst first.
     pub ranking: Vec<Miss>,
-    /// The size that the figures are set against.
+    /// The target size by name.
     pub target: BTreeMap<String, f64>,
-    /// What was not measured, and why.
+    /// Parts that failed, each with the reason.
     pub not_run: Vec<String>,
-    /// Few repeats and small sizes.
+    /// Whether this is the short variant.
     pub short: bool,
-    /// Seeds everything that is drawn.
+    /// Seed of all random choices.
     pub seed: u64,
 }
 
-/// What has no mechanism first, then what exceeds its budget, the worst first.
+/// Ranks unmet requirements: lines without a mechanism first, then figures beyond their budget by descending ratio.
 pub fn rank(figures: &[Figure], lines: &[target::Line]) -> Vec<Miss> {
-    let absent = lines.iter().filter(|line| line.mechanism.is_none()).map(|line| Miss {
-        name: line.asked.into(),
-        ratio: None,
-        mechanism: "none".into(),
-    });
-    let mut missed: Vec<Miss> = figures
+    let without_mechanism = lines
+        .iter()
+        .filter(|requirement| requirement.mechanism.is_none())
+        .map(|requirement| Miss { name: requirement.asked.into(), ratio: None, mechanism: "none".into() });
+    let mut over_budget: Vec<Miss> = figures
         .iter()
         .filter(|figure| figure.holds == Some(false))
         .map(|figure| Miss { name: figure.name.clone(), ratio: figure.ratio, mechanism: "exists".into() })
         .collect();
-    missed.sort_by(|a, b| b.ratio.partial_cmp(&a.ratio).unwrap_or(Ordering::Equal));
-    absent.chain(missed).collect()
+    over_budget.sort_by(|a, b| b.ratio.partial_cmp(&a.ratio).unwrap_or(Ordering::Equal));
+    without_mechanism.chain(over_budget).collect()
 }
 
 impl Report {
-    /// For people.
+    /// The plain table.
     pub fn table(&self) -> String {
         let mut text = String::new();
         // Writing to a string does not fail.
         for figure in &self.figures {
-            let _ = writeln!(text, "{}", line(figure));
+            let _ = writeln!(text, "{}", plain_row(figure));
         }
         for part in &self.not_run {
             let _ = writeln!(text, "not run: {part}");
@@ -68,13 +67,13 @@
         for (place, miss) in self.ranking.iter().enumerate() {
             let how = miss
                 .ratio
-                .map_or("no mechanism".into(), |ratio| format!("{} times its budget", short(ratio)));
+                .map_or("no mechanism".into(), |ratio| format!("{} times its budget", rounded(ratio)));
             let _ = writeln!(text, "{:>3}. {}: {how}", place + 1, miss.name);
         }
         text
     }
 
-    /// Tables by role, and the ranking, as the page has them.
+    /// Markdown: a table per role, the target and the ranking.
     pub fn markdown(&self) -> String {
         let mut text = String::new();
         for role in Role::ALL {
@@ -82,7 +81,7 @@
             text.push_str("| figure | slope | sizes | at the target | budget | ratio | how | command |\n");
             text.push_str("| --- | --- | --- | --- | --- | --- | --- | --- |\n");
             for figure in self.figures.iter().filter(|figure| figure.role == role) {
-                let _ = writeln!(text, "{}", row(figure));
+                let _ = writeln!(text, "{}", markdown_row(figure));
             }
             text.push('\n');
         }
@@ -92,7 +91,7 @@
         }
         text.push_str("\n### Ranking\n\n| place | what | ratio |\n| --- | --- | --- |\n");
         for (place, miss) in self.ranking.iter().enumerate() {
-            let ratio = miss.ratio.map_or("none exists".into(), short);
+            let ratio = miss.ratio.map_or("none exists".into(), rounded);
             let _ = writeln!(text, "| {} | {} | {ratio} |", place + 1, miss.name);
         }
         for part in &self.not_run {
@@ -102,12 +101,12 @@
     }
 }
 
-fn line(figure: &Figure) -> String {
+fn plain_row(figure: &Figure) -> String {
     let points: Vec<String> = figure
         .points
         .iter()
         .map(|point| {
-            format!("{}: {} +-{}", short(point.size), short(point.median), short(point.spread / 2.0))
+            format!("{}: {} +-{}", rounded(point.size), rounded(point.median), rounded(point.spread / 2.0))
         })
         .collect();
     format!(
@@ -118,8 +117,8 @@
         points.join(", "),
         slope(figure),
         optional(figure.residual),
-        short(figure.target_size),
-        short(figure.at_target),
+        rounded(figure.target_size),
+        rounded(figure.at_target),
         figure.target_unit,
         figure.how.word(),
         verdict(figure),
@@ -130,17 +129,17 @@
     match (figure.budget, figure.ratio) {
         (Some(budget), Some(ratio)) => {
             let holds = if figure.holds == Some(true) { "holds" } else { "misses" };
-            format!("of {}, ratio {}: {holds}", short(budget), short(ratio))
+            format!("of {}, ratio {}: {holds}", rounded(budget), rounded(ratio))
         }
         _ => "no budget".into(),
     }
 }
 
-fn row(figure: &Figure) -> String {
+fn markdown_row(figure: &Figure) -> String {
     let sizes = match figure.points.as_slice() {
         [] => "-".into(),
-        [one] => short(one.size),
-        [first, .., last] => format!("{} to {} {}", short(first.size), short(last.size), figure.axis),
+        [one] => rounded(one.size),
+        [first, .., last] => format!("{} to {} {}", rounded(first.size), rounded(last.size), figure.axis),
     };
     let part = figure.name.split(':').next().unwrap_or_default();
     let note = if figure.note.is_empty() { String::new() } else { format!(" ({})", figure.note) };
@@ -148,7 +147,7 @@
         "| {}{note} | {} | {sizes} | {} {} | {} | {} | {} | `capacity --only {part}` |",
         figure.name,
         slope(figure),
-        short(figure.at_target),
+        rounded(figure.at_target),
         figure.target_unit,
         optional(figure.budget),
         optional(figure.ratio),
@@ -156,9 +155,9 @@
     )
 }
 
-/// The law's exponent, to two places.
+/// The power law's exponent with two decimals.
 fn slope(figure: &Figure) -> String {
-    // Without the sign of a zero.
+    // Avoids a negative zero.
     figure
         .exponent
         .map_or("-".into(), |exponent| format!("n^{:.2}", exponent + 0.0))
@@ -166,11 +165,11 @@
 }
 
 fn optional(value: Option<f64>) -> String {
-    value.map_or("-".into(), short)
+    value.map_or("-".into(), rounded)
 }
 
-/// Three digits that count.
-pub fn short(value: f64) -> String {
+/// Formats a number with three significant digits.
+pub fn rounded(value: f64) -> String {
     let size = value.abs();
     if size >= 100.0 || value == value.trunc() {
         return format!("{value:.0}");
--- a/lab/src/capacity/scale.rs
+++ b/lab/src/capacity/scale.rs
@@ -1,25 +1,25 @@
-//! How large a run is: sizes and repeats, in full and in short.
+//! Sizes and repeats of a run, in the full and the short variant.
 
 use std::time::Duration;
 
-/// What a run measures with.
+/// Scale of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct Scale {
-    /// Few repeats and small sizes.
+    /// Whether to use few repeats and small sizes.
     pub short: bool,
-    /// Seeds everything that is drawn.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// How often each figure is measured, where that is said.
+    /// Repeats of each figure, if given on the command line.
     pub repeats: Option<usize>,
 }
 
 impl Scale {
-    /// How often each figure is measured.
+    /// Repeats of each figure.
     pub fn repeats(&self) -> usize {
         self.repeats.unwrap_or(self.pick(1, 3))
     }
 
-    /// One of two, by the length of the run.
+    /// Picks the value for the short or the full variant.
     pub fn pick<T>(&self, short: T, full: T) -> T {
         if self.short {
             short
@@ -28,13 +28,13 @@
         }
     }
 
-    /// Nodes listed.
+    /// Sizes of the node list.
     pub fn nodes(&self) -> &'static [usize] {
         self.pick(&[8, 30, 60, 120], &[8, 60, 200, 460, 730, 1000])
     }
 
-    /// How long something is watched at rest.
-    pub fn watch(&self) -> Duration {
+    /// Duration of a measurement at rest.
+    pub fn rest_duration(&self) -> Duration {
         self.pick(Duration::from_millis(1600), Duration::from_secs(6))
     }
 }
--- a/lab/src/capacity/target.rs
+++ b/lab/src/capacity/target.rs
@@ -1,4 +1,5 @@
-//! The size that operators expect within two years, and what control may cost at it, in their words.
+//! The size that operators expect within two years, and the budgets of the control plane at that size. Quotes are the
+//! operators' words.
 
 /// "460 initiators".
 pub const INITIATORS: f64 = 460.0;
@@ -10,7 +11,7 @@
 pub const REQUESTS_PER_SECOND: f64 = 640_000.0;
 /// "3 regions with 10 zones".
 pub const REGIONS: f64 = 3.0;
-/// Likewise.
+/// Number of zones, from the same sentence.
 pub const ZONES: f64 = 10.0;
 /// "550 changes of configuration a day".
 pub const CHANGES_PER_DAY: f64 = 550.0;
@@ -20,38 +21,40 @@
 pub const PRIMARY_CHANGE_S: f64 = 12.0;
 /// "an initiator spends at most 3.2% of a core" for control.
 pub const CONTROL_CORES: f64 = 0.032;
-/// "256 MB".
+/// "256 MB": memory of an initiator.
 pub const CONTROL_MEMORY_BYTES: f64 = 256.0 * 1024.0 * 1024.0;
-/// "and 2 KB a second".
+/// "and 2 KB a second": control traffic of an initiator, both directions.
 pub const CONTROL_BYTES_PER_SECOND: f64 = 2.0 * 1024.0;
 /// "3 machines are set aside for it": planners.
 pub const PLANNERS: usize = 3;
 /// "300 are restarted or replaced" on an ordinary day.
 pub const RESTARTS_PER_DAY: f64 = 300.0;
 
-/// Volumes of the whole fleet. The operators name none; docs/planners.md counts on as many.
+/// Volumes of the whole fleet. The operators give no number; docs/planners.md assumes this one.
 pub const VOLUMES: f64 = 10_000.0;
-/// Initiators that the requests of one volume come through, likewise assumed.
+/// Initiators that receive requests for one volume; also assumed.
 pub const INITIATORS_PER_VOLUME: f64 = 3.0;
-/// Keys of a configuration document: assumed, since the operators count changes only.
+/// Keys of a configuration document; assumed, since the operators give only the number of changes.
 pub const CONFIGURATION_KEYS: f64 = 100.0;
 
-/// "several times that to the busiest": the busiest initiator's requests over the mean; assumed, since no figure is said.
+/// "several times that to the busiest": the busiest initiator's request rate divided by the mean; the number is
+/// assumed.
 pub const BUSIEST_OVER_MEAN: f64 = 4.0;
-/// What requests may take of a core at the mean rate: an initiator decides in one thread, and the busiest must not fill it.
+/// Share of a core that requests may use at the mean rate: an initiator decides in one thread, which the busiest one
+/// must not saturate.
 pub const REQUEST_CORES: f64 = 1.0 / BUSIEST_OVER_MEAN;
 
-/// In seconds.
+/// Seconds in a day.
 pub const DAY_S: f64 = 86_400.0;
 
-/// Requests a second to an initiator, on the mean.
+/// Mean requests per second to an initiator.
 pub const REQUESTS_PER_INITIATOR: f64 = REQUESTS_PER_SECOND / INITIATORS;
-/// Client connections of an initiator, on the mean.
+/// Mean client connections of an initiator.
 pub const CONNECTIONS_PER_INITIATOR: f64 = CONNECTIONS / INITIATORS;
-/// Volumes whose requests an initiator takes.
+/// Mean number of volumes for which an initiator receives requests.
 pub const VOLUMES_PER_INITIATOR: f64 = VOLUMES * INITIATORS_PER_VOLUME / INITIATORS;
 
-/// All of the size by name, for the report.
+/// The target size by name, for the report.
 pub const SIZE: [(&str, f64); 17] = [
     ("initiators", INITIATORS),
     ("nodes", NODES),
@@ -72,17 +75,17 @@
     ("busiest_over_mean_assumed", BUSIEST_OVER_MEAN),
 ];
 
-/// A line of the size, and what carries it.
+/// A requirement of the operators and the mechanism that meets it.
 pub struct Line {
-    /// What the operators ask for.
+    /// The requirement in the operators' words.
     pub asked: &'static str,
-    /// What the program has for it; none: nothing does it today.
+    /// The program's mechanism for it; `None` if there is none today.
     pub mechanism: Option<&'static str>,
-    /// The part of this command that measures it.
+    /// The parts of this subcommand that measure it.
     pub part: &'static str,
 }
 
-/// All lines.
+/// All requirements.
 pub const LINES: [Line; 8] = [
     Line {
         asked: "460 initiators before 730 nodes",
--- a/lab/src/capacity/tests.rs
+++ b/lab/src/capacity/tests.rs
@@ -1,10 +1,11 @@
-//! The fit on known laws, the report's form, and each part's short form: judged by counts and ratios, not by wall time.
+//! Tests of the fit on known laws, of the report's format, and of each part's short variant, by counts and ratios
+//! instead of wall time.
 
 use super::figure::{Figure, How, Point, Role};
 use super::fit::{cost_at, median, spread, Origin, PowerLaw};
-use super::report::{rank, short, Report};
+use super::report::{rank, rounded, Report};
 use super::scale::Scale;
-use super::{decision, meter, parts, target, together, Options};
+use super::{decision, meter, parts, sums, target, Options};
 use crate::sync::processor;
 use std::time::Duration;
 
@@ -23,12 +24,12 @@
     figures.iter().map(|figure| figure.name.as_str()).collect()
 }
 
-/// The last point's median over the first's.
+/// The last point's median divided by the first's.
 fn growth(figure: &Figure) -> f64 {
     figure.points[figure.points.len() - 1].median / figure.points[0].median
 }
 
-/// What holds for every measured figure.
+/// Asserts what must hold for every measured figure.
 fn check_form(figures: &[Figure]) {
     for figure in figures.iter().filter(|figure| figure.axis != "-") {
         assert!(figure.points.len() >= 4, "{}: {:?}", figure.name, figure.points);
@@ -52,10 +53,10 @@
         assert!(law.residual < 1e-9, "{law:?}");
         assert!((law.at(460.0) / (7.0 * 460_f64.powf(exponent)) - 1.0).abs() < 1e-9);
     }
-    // Ten per cent up and down in turn: the logarithms deviate by about as much.
-    let shaken: Vec<(f64, f64)> =
+    // Alternating deviations of ten percent: the logarithms deviate by about as much.
+    let noisy: Vec<(f64, f64)> =
         (0..8).map(|at| (2_f64.powi(at), 5.0 * 2_f64.powi(at) * [1.1, 1.0 / 1.1][at as usize % 2])).collect();
-    let law = PowerLaw::through(&shaken).unwrap();
+    let law = PowerLaw::through(&noisy).unwrap();
     assert!((0.05..0.11).contains(&law.residual), "{law:?}");
 }
 
@@ -85,32 +86,32 @@
     assert!((beyond - 1460.0).abs() < 1e-6 && origin == Origin::WorkedOut, "{beyond}");
     assert_eq!(cost_at(&[], 730.0), None);
     assert_eq!(cost_at(&linear, 505.0), Some((1000.0, Origin::Measured)), "as good as the point at 500");
-    // What does not grow shows at small sizes only: the largest three decide.
+    // Fixed costs dominate only at small sizes: the largest three points decide.
     let fixed = points(|size| if size < 60.0 { 120.0 } else { 2.0 * size });
     assert!((cost_at(&fixed, 730.0).unwrap().0 - 1460.0).abs() < 1e-6);
-    // And what lies below them goes by the smallest three: here a cost that grows only beyond 200.
+    // Below all points the smallest three decide: here a cost that grows only beyond 200.
     let flat = points(|size| if size > 200.0 { 10.0 * size } else { 120.0 });
     let (below, origin) = cost_at(&flat, 2.0).unwrap();
     assert!((below - 120.0).abs() < 1e-6 && origin == Origin::WorkedOut, "{below}");
 }
 
 #[test]
-fn a_figure_tells_how_its_value_came_about_and_whether_it_holds() {
-    let measured = Figure::new("a", Role::Node, "nodes", "us", points(|size| size), 460.0).within(100.0);
+fn a_figure_says_how_its_value_was_obtained_and_whether_it_is_within_budget() {
+    let measured = Figure::new("a", Role::Node, "nodes", "us", points(|size| size), 460.0).with_budget(100.0);
     assert_eq!((measured.how, measured.holds), (How::Measured, Some(false)));
     assert!((measured.ratio.unwrap() - 4.6).abs() < 1e-9);
-    let times =
-        Figure::new("a", Role::Node, "nodes", "us", points(|size| size), 460.0).times(0.5, "of a core");
-    assert_eq!((times.at_target, times.how), (230.0, How::WorkedOut));
-    assert_eq!((times.budget, times.holds), (None, None));
+    let scaled =
+        Figure::new("a", Role::Node, "nodes", "us", points(|size| size), 460.0).scaled(0.5, "of a core");
+    assert_eq!((scaled.at_target, scaled.how), (230.0, How::WorkedOut));
+    assert_eq!((scaled.budget, scaled.holds), (None, None));
     assert_eq!(Figure::new("a", Role::Node, "nodes", "us", Vec::new(), 460.0).how, How::Assumed);
-    let edge = Figure::worked_out("b", Role::Node, "us", 100.0, "").within(100.0);
+    let edge = Figure::worked_out("b", Role::Node, "us", 100.0, "").with_budget(100.0);
     assert_eq!(edge.holds, Some(true));
 }
 
 #[test]
-fn what_does_not_exist_ranks_first_and_then_what_misses_most() {
-    let miss = |name: &str, value| Figure::worked_out(name, Role::Planner, "ms", value, "").within(10.0);
+fn missing_mechanisms_rank_first_then_figures_by_their_excess() {
+    let miss = |name: &str, value| Figure::worked_out(name, Role::Planner, "ms", value, "").with_budget(10.0);
     let figures = [miss("a little", 12.0), miss("holds", 9.0), miss("a lot", 200.0)];
     let ranking = rank(&figures, &target::LINES);
     let absent = target::LINES.iter().filter(|line| line.mechanism.is_none()).count();
@@ -120,9 +121,9 @@
 }
 
 #[test]
-fn the_report_has_its_form_and_is_read_back() {
-    let figure =
-        Figure::new("nodes: x", Role::Initiator, "nodes", "us", points(|size| size), 730.0).within(100.0);
+fn the_report_keeps_its_json_format_and_can_be_read_back() {
+    let figure = Figure::new("nodes: x", Role::Initiator, "nodes", "us", points(|size| size), 730.0)
+        .with_budget(100.0);
     let report = Report {
         ranking: rank(std::slice::from_ref(&figure), &[]),
         figures: vec![figure],
@@ -143,28 +144,28 @@
 }
 
 #[test]
-fn numbers_are_printed_with_three_digits_that_count() {
+fn numbers_are_printed_with_three_significant_digits() {
     let cases =
         [(0.0, "0"), (1234.6, "1235"), (12.34, "12.3"), (1.234, "1.23"), (0.01234, "0.0123"), (460.0, "460")];
     for (value, text) in cases {
-        assert_eq!(short(value), text);
+        assert_eq!(rounded(value), text);
     }
 }
 
 #[test]
-fn too_few_descriptors_or_too_little_memory_is_one_line() {
+fn too_few_descriptors_or_too_little_memory_is_a_one_line_error() {
     let few = meter::check_descriptors(6000, 1024).unwrap_err();
     assert!(few.contains("1024") && !few.contains('\n'), "{few}");
     assert_eq!(meter::check_descriptors(6000, 20_000), Ok(()));
-    let told = "MemTotal:       24 kB\nMemAvailable:   102400 kB\n";
-    let little = meter::check_memory(200.0 * 1_048_576.0, told).unwrap_err();
-    assert!(little.contains("100 are available") && !little.contains('\n'), "{little}");
-    assert_eq!(meter::check_memory(50.0 * 1_048_576.0, told), Ok(()));
+    let meminfo = "MemTotal:       24 kB\nMemAvailable:   102400 kB\n";
+    let too_little = meter::check_memory(200.0 * 1_048_576.0, meminfo).unwrap_err();
+    assert!(too_little.contains("100 are available") && !too_little.contains('\n'), "{too_little}");
+    assert_eq!(meter::check_memory(50.0 * 1_048_576.0, meminfo), Ok(()));
     assert!(meter::check_memory(1.0, "").is_err());
 }
 
 #[test]
-fn a_part_that_does_not_exist_and_a_file_that_is_no_report_are_refused() {
+fn an_unknown_part_and_a_file_without_a_report_are_rejected() {
     let options = |only: Option<&str>, from: Option<&str>| Options {
         json: false,
         short: true,
@@ -174,21 +175,24 @@
         markdown: false,
         from: from.map(Into::into).into_iter().collect(),
     };
-    let why = super::run(&options(Some("nothing"), None)).unwrap_err();
-    assert!(why.contains("--only nothing") && why.contains("module") && !why.contains('\n'), "{why}");
-    let why = super::run(&options(None, Some("/dev/null"))).unwrap_err();
-    assert!(why.contains("no report"), "{why}");
+    let error = super::run(&options(Some("nothing"), None)).unwrap_err();
+    assert!(error.contains("--only nothing") && error.contains("module") && !error.contains('\n'), "{error}");
+    let error = super::run(&options(None, Some("/dev/null"))).unwrap_err();
+    assert!(error.contains("not a report"), "{error}");
 }
 
 #[test]
-fn reports_of_different_parts_are_read_as_one_and_those_that_do_not_fit_are_refused() {
+fn reports_of_different_parts_are_merged_and_incompatible_ones_are_rejected() {
     let folder = std::env::temp_dir().join(format!("topazpath-capacity-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let file = |name: &str, seed: u64, figures: &[&str], hollow: serde_json::Value| {
         let one = |name: &&str| Figure::worked_out(name, Role::Initiator, "bytes/s", 1000.0, "");
         let report = Report { seed, figures: figures.iter().map(one).collect(), hollow, ..Report::default() };
         let path = folder.join(name);
-        let text = format!("a table before it\n{}\n", serde_json::to_string(&report.concluded()).unwrap());
+        let text = format!(
+            "a table before it\n{}\n",
+            serde_json::to_string(&report.with_sums_and_ranking()).unwrap()
+        );
         std::fs::write(&path, text).unwrap();
         path
     };
@@ -200,30 +204,30 @@
         file("planners", 1, &["planners: bytes both ways on the link, by volumes in use"], none.clone());
     let other_seed = file("seed", 2, &["module: a request, calm"], none);
     let all = super::read_all(&[nodes.clone(), members.clone(), planners]).unwrap();
-    assert_eq!((all.figures.len(), all.hollow), (4, played), "with what they come to together");
+    assert_eq!((all.figures.len(), all.hollow), (4, played), "with the sum of all three");
     let of_all = all.figures.last().unwrap();
     assert_eq!((of_all.name.as_str(), of_all.at_target), ("together: control bytes both ways", 3000.0));
     assert!(all.ranking.iter().any(|miss| miss.name == of_all.name));
-    let why = super::read_all(&[nodes.clone(), nodes.clone()]).unwrap_err();
-    assert!(why.contains("is in a file before as well") && !why.contains('\n'), "{why}");
-    let why = super::read_all(&[members.clone(), members]).unwrap_err();
-    assert!(why.contains("as well"), "{why}");
-    let why = super::read_all(&[nodes, other_seed]).unwrap_err();
-    assert!(why.contains("another seed"), "{why}");
+    let error = super::read_all(&[nodes.clone(), nodes.clone()]).unwrap_err();
+    assert!(error.contains("is also in an earlier file") && !error.contains('\n'), "{error}");
+    let error = super::read_all(&[members.clone(), members]).unwrap_err();
+    assert!(error.contains("also in an earlier file"), "{error}");
+    let error = super::read_all(&[nodes, other_seed]).unwrap_err();
+    assert!(error.contains("seed or target differ"), "{error}");
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
 #[test]
-fn requests_that_find_their_connection_closed_follow_from_the_time_it_is_kept() {
+fn the_share_of_requests_on_new_connections_follows_from_the_idle_timeout() {
     let rate = target::REQUESTS_PER_SECOND / target::CONNECTIONS;
-    assert_eq!(parts::connections::new_share(0.0, rate), 1.0);
-    let share = parts::connections::new_share(2.1, rate);
+    assert_eq!(parts::connections::new_connection_share(0.0, rate), 1.0);
+    let share = parts::connections::new_connection_share(2.1, rate);
     assert!((0.59..0.61).contains(&share), "{share}");
-    assert!(parts::connections::new_share(30.0, rate) < 0.001);
+    assert!(parts::connections::new_connection_share(30.0, rate) < 0.001);
 }
 
 #[test]
-fn the_sums_need_all_of_their_parts() {
+fn a_sum_is_computed_only_if_all_its_parts_were_measured() {
     let one = |name: &str| Figure::worked_out(name, Role::Initiator, "bytes/s", 1000.0, "");
     let names = [
         "nodes: bytes both ways at rest",
@@ -231,8 +235,8 @@
         "planners: bytes both ways on the link, by volumes in use",
     ];
     let all: Vec<Figure> = names.iter().map(|name| one(name)).collect();
-    assert!(together(&all[..2]).is_empty());
-    let sum = together(&all);
+    assert!(sums(&all[..2]).is_empty());
+    let sum = sums(&all);
     assert_eq!((sum.len(), sum[0].at_target, sum[0].holds), (1, 3000.0, Some(false)));
 }
 
@@ -241,17 +245,17 @@
     let _processor = processor::shared();
     let figures = parts::module::measure(&SHORT).unwrap();
     check_form(&figures);
-    // A request costs what its shard costs: time, which other tests disturb, and nodes looked at, which they do not.
+    // A request's cost depends on its shard alone. Other tests disturb the time, but not the number of nodes visited.
     assert!(growth(figure(&figures, "module: a request, calm")) < 2.0, "{figures:?}");
     let visited = |nodes| {
-        let mut world = decision::World::new(decision::Setup::of(nodes));
-        (0..300).for_each(|_| world.request(Duration::from_millis(20), false));
-        let before = world.nodes_visited();
-        (0..300).for_each(|_| world.request(Duration::from_millis(20), false));
-        world.nodes_visited() - before
+        let mut simulation = decision::Simulation::new(decision::Setup::of(nodes));
+        (0..300).for_each(|_| simulation.request(Duration::from_millis(20), false));
+        let before = simulation.nodes_visited();
+        (0..300).for_each(|_| simulation.request(Duration::from_millis(20), false));
+        simulation.nodes_visited() - before
     };
     let (few, many) = (visited(8), visited(120));
-    assert!(many as f64 <= 1.5 * few as f64, "{few} nodes looked at, {many} at fifteen times the nodes");
+    assert!(many as f64 <= 1.5 * few as f64, "{few} nodes visited, {many} with fifteen times the nodes");
     assert!(growth(figure(&figures, "module: a request, by volumes")) < 5.0, "{figures:?}");
 }
 
@@ -262,10 +266,10 @@
     check_form(&figures);
     let whole = figure(&figures, "nodes: a whole list");
     assert!((whole.exponent.unwrap() - 1.0).abs() < 0.1, "{whole:?}");
-    // A change names one line, however many there are; the query grows by a digit at most.
+    // A change contains one entry at any size; the query grows by a digit at most.
     let change = figure(&figures, "nodes: bytes both ways of a change");
     assert!(growth(change) < 1.5, "{change:?}");
-    // A watch waits for one second and a half: less than one call a second, and a few bytes.
+    // A long poll lasts one and a half seconds: less than one call per second, and few bytes.
     let rest = figure(&figures, "nodes: bytes both ways at rest");
     assert!(rest.points.iter().all(|point| point.median > 0.0 && point.median < 1000.0), "{rest:?}");
     let lists = figure(&figures, "nodes: bytes both ways at rest, whole lists");
@@ -279,10 +283,10 @@
     check_form(&figures);
     let bytes = figure(&figures, "members: bytes both ways at rest");
     assert!(growth(bytes) < 2.0, "{bytes:?}");
-    // A period that goes through all members grows as they do, 13 times from 3 to 40.
+    // Work proportional to the members would grow 13 times from 3 to 40.
     let processor = growth(figure(&figures, "members: processor at rest"));
     assert!((0.25..6.0).contains(&processor), "{figures:?}");
-    // What the members count at their sockets is what the simulation counts; they say less while they are few.
+    // Real members count the same bytes as the simulation, but send less while they are few.
     let real = figure(&figures, "members: bytes both ways of a real process at rest");
     let ratio = real.points[3].median / bytes.points[1].median;
     assert!((0.3..3.0).contains(&ratio), "{real:?} {bytes:?}");
@@ -293,7 +297,7 @@
     let _processor = processor::alone();
     let figures = parts::planners::measure(&SHORT).unwrap();
     check_form(&figures);
-    // Each forwarder has as many volumes at every size.
+    // Each forwarder has the same number of volumes at every size.
     let bytes = figure(&figures, "planners: bytes both ways");
     assert!(growth(bytes) < 2.0, "{bytes:?}");
     let link = figure(&figures, "planners: bytes both ways on the link, by volumes in use");
@@ -347,8 +351,10 @@
 }
 
 #[test]
-fn a_scene_that_does_not_hold_ends_the_command_with_another_code() {
-    assert!(super::scenes_hold(&serde_json::Value::Null), "no such run");
-    assert!(super::scenes_hold(&serde_json::json!({ "scenes": [{ "name": "rest", "holds": true }] })));
-    assert!(!super::scenes_hold(&serde_json::json!({ "scenes": [{ "holds": true }, { "holds": false }] })));
+fn a_scene_that_does_not_hold_fails_the_command() {
+    assert!(super::all_scenes_hold(&serde_json::Value::Null), "without a run");
+    assert!(super::all_scenes_hold(&serde_json::json!({ "scenes": [{ "name": "rest", "holds": true }] })));
+    assert!(!super::all_scenes_hold(
+        &serde_json::json!({ "scenes": [{ "holds": true }, { "holds": false }] })
+    ));
 }
--- a/lab/src/check.rs
+++ b/lab/src/check.rs
@@ -1,5 +1,5 @@
-//! Checkers of the rules. They read what clients, nodes and the experiment wrote down, and know nothing of how the
-//! program works.
+//! Checks of the rules on the records of clients, nodes and the experiment, independent of the program's
+//! implementation.
 
 use crate::stand_ins::clients::{Item, Told};
 use crate::stand_ins::service::Attempt;
@@ -7,58 +7,58 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
 
-/// What is allowed beyond a drain's grace, on a real machine.
-const LATE: Duration = Duration::from_millis(50);
+/// Tolerance on a drain's grace, for delays of a real machine.
+const DRAIN_TOLERANCE: Duration = Duration::from_millis(50);
 /// The grace of a drain.
 const DRAIN_GRACE: Duration = Duration::from_secs(2);
-/// The slack of a limit grows by what it allows in this time.
-const LIMIT_GROWTH: f64 = 0.15;
+/// Tolerance on a limit: the units that it allows in this time, in seconds.
+const LIMIT_TOLERANCE_S: f64 = 0.15;
 
-/// A time in which a machine could not answer: dead, or stopped.
+/// A time in which an initiator could not answer because it was dead or stopped.
 #[derive(Clone, Copy, Debug)]
-pub struct Trouble {
-    /// The machine.
-    pub machine: usize,
-    /// Since when.
+pub struct Outage {
+    /// Number of the initiator.
+    pub initiator: usize,
+    /// Beginning.
     pub from: Instant,
-    /// Until when; none: to the end.
+    /// End; `None` for the end of the run.
     pub to: Option<Instant>,
 }
 
-/// A node that drains, until it is listed anew.
+/// A node's drain, until it is listed again.
 #[derive(Clone, Copy, Debug)]
 pub struct Drain {
     /// The node.
     pub node: usize,
-    /// When discovery told.
+    /// When discovery announced it.
     pub since: Instant,
-    /// When it came again under another name.
+    /// When the node was listed again under another name.
     pub until: Option<Instant>,
 }
 
-/// What a run is checked against.
+/// The limits, drains and outages that a run is checked against.
 #[derive(Clone, Debug, Default)]
-pub struct Terms {
-    /// Units a second, and at once with the slack, that a volume of `base` may take.
+pub struct Conditions {
+    /// Limit on a volume of plan `base`: units per second, and burst including the slack.
     pub limit: (f64, f64),
-    /// Nodes that drain.
+    /// Drains of nodes.
     pub drains: Vec<Drain>,
-    /// When machines were in trouble.
-    pub troubles: Vec<Trouble>,
+    /// Outages of initiators.
+    pub outages: Vec<Outage>,
 }
 
-/// Broken rules, counted.
+/// Counts of broken rules.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Breaches {
     /// Items with more than one final answer.
     pub duplicates: usize,
-    /// Items that a live machine had taken and that got none.
+    /// Items that a live initiator had accepted and that got no answer.
     pub orphans: usize,
-    /// Attempts beyond a volume's limit over some window.
+    /// Attempts that exceed a volume's limit in some window.
     pub limit_breaches: usize,
-    /// Attempts at a draining node after its grace.
+    /// Attempts at a draining node after the grace.
     pub drain_breaches: usize,
-    /// Attempts of an item beyond what its class allows.
+    /// Attempts of an item beyond the number that its class allows.
     pub attempts_twice: usize,
 }
 
@@ -68,8 +68,8 @@
         *self == Breaches::default()
     }
 
-    /// Both together.
-    pub fn and(self, other: Breaches) -> Breaches {
+    /// Sum of both.
+    pub fn combined_with(self, other: Breaches) -> Breaches {
         Breaches {
             duplicates: self.duplicates + other.duplicates,
             orphans: self.orphans + other.orphans,
@@ -80,44 +80,44 @@
     }
 }
 
-/// Checks a run.
-pub fn check(items: &[Item], attempts: &[Attempt], terms: &Terms) -> Breaches {
+/// Counts the rules that a run broke.
+pub fn check(items: &[Item], attempts: &[Attempt], conditions: &Conditions) -> Breaches {
     Breaches {
         duplicates: items.iter().filter(|item| item.answers > 1).count(),
-        orphans: items.iter().filter(|item| is_orphan(item, &terms.troubles)).count(),
-        limit_breaches: beyond_limit(attempts, terms.limit),
-        drain_breaches: attempts.iter().filter(|attempt| is_late(attempt, &terms.drains)).count(),
-        attempts_twice: sent_again(attempts),
+        orphans: items.iter().filter(|item| is_orphan(item, &conditions.outages)).count(),
+        limit_breaches: count_limit_breaches(attempts, conditions.limit),
+        drain_breaches: attempts.iter().filter(|attempt| is_late(attempt, &conditions.drains)).count(),
+        attempts_twice: count_excess_attempts(attempts),
     }
 }
 
-/// An item that a machine accepted, that got no answer, while the machine could have given one.
-pub fn is_orphan(item: &Item, troubles: &[Trouble]) -> bool {
-    let Some(machine) = item.machine else { return false };
-    let in_trouble = |trouble: &Trouble| {
-        trouble.machine == machine
-            && trouble.from <= item.ended
-            && trouble.to.is_none_or(|to| item.sent <= to)
+/// Whether an item was accepted by an initiator and got no answer although the initiator had no outage meanwhile.
+pub fn is_orphan(item: &Item, outages: &[Outage]) -> bool {
+    let Some(initiator) = item.machine else { return false };
+    let in_outage = |outage: &Outage| {
+        outage.initiator == initiator
+            && outage.from <= item.ended
+            && outage.to.is_none_or(|to| item.sent <= to)
     };
-    matches!(item.told, Told::Closed | Told::Nothing) && !troubles.iter().any(in_trouble)
+    matches!(item.told, Told::Closed | Told::Nothing) && !outages.iter().any(in_outage)
 }
 
 fn is_late(attempt: &Attempt, drains: &[Drain]) -> bool {
-    let late = |drain: &Drain| {
+    let is_after_grace = |drain: &Drain| {
         drain.node == attempt.node
-            && attempt.at > drain.since + DRAIN_GRACE + LATE
+            && attempt.at > drain.since + DRAIN_GRACE + DRAIN_TOLERANCE
             && drain.until.is_none_or(|until| attempt.at < until)
     };
-    drains.iter().any(late)
+    drains.iter().any(is_after_grace)
 }
 
-/// Every window of every volume at once: a bucket that leaks at the rate overflows if and only if some window that
-/// ends now held more than the rate gives it and the burst besides.
-fn beyond_limit(attempts: &[Attempt], (rate, at_once): (f64, f64)) -> usize {
+/// Counts attempts beyond a volume's limit, over all windows at once: a leaky bucket drained at the rate overflows if
+/// and only if some window that ends now contained more units than rate times length plus burst.
+fn count_limit_breaches(attempts: &[Attempt], (rate, burst): (f64, f64)) -> usize {
     let mut first: HashMap<&str, Instant> = HashMap::new();
     let mut volumes: BTreeMap<&str, Vec<(Instant, f64)>> = BTreeMap::new();
     for attempt in attempts.iter().filter(|attempt| attempt.plan == "base") {
-        // Only an item's first attempt takes units.
+        // Only an item's first attempt consumes units.
         if first.insert(&attempt.item, attempt.at).is_none() {
             volumes.entry(&attempt.volume).or_default().push((attempt.at, attempt.units));
         }
@@ -130,15 +130,16 @@
             let since = last.map_or(0.0, |last| (*at - last).as_secs_f64());
             level = (level - rate * since).max(0.0) + *units;
             last = Some(*at);
-            breaches += usize::from(level > at_once + LIMIT_GROWTH * rate);
+            breaches += usize::from(level > burst + LIMIT_TOLERANCE_S * rate);
         }
     }
     breaches
 }
 
-/// Nodes here never turn away or fail, so that no read or keyed write has a reason to be sent again while its first
-/// attempt runs on; what may not be repeated is to be sent once whatever happens.
-fn sent_again(attempts: &[Attempt]) -> usize {
+/// Counts attempts beyond those that an item's class allows: one for `append`, which must not be repeated in any
+/// case, else 4. The stand-in nodes never refuse or fail, so that a read or a keyed write has no reason to be sent
+/// again while its first attempt is in flight.
+fn count_excess_attempts(attempts: &[Attempt]) -> usize {
     let mut sent: HashMap<&str, usize> = HashMap::new();
     attempts
         .iter()
--- a/lab/src/check/tests.rs
+++ b/lab/src/check/tests.rs
@@ -10,48 +10,48 @@
     Item { sent, ended, told, answers, machine }
 }
 
-fn terms() -> Terms {
-    Terms { limit: (10.0, 20.0), ..Terms::default() }
+fn conditions() -> Conditions {
+    Conditions { limit: (10.0, 20.0), ..Conditions::default() }
 }
 
 #[test]
-fn a_planted_duplicate_and_an_orphan_are_found() {
+fn a_duplicate_answer_and_an_orphaned_item_are_counted() {
     let now = Instant::now();
     let twice = Item { answers: 2, ..item(now, Told::Served, Some(0)) };
     let lost = item(now, Told::Closed, Some(0));
     let items = [twice, lost.clone(), item(now, Told::Served, Some(0)), item(now, Told::Closed, None)];
-    let breaches = check(&items, &[], &terms());
+    let breaches = check(&items, &[], &conditions());
     assert_eq!((breaches.duplicates, breaches.orphans, breaches.none()), (1, 1, false));
-    let dead = |machine| Trouble { machine, from: now + Duration::from_millis(100), to: None };
+    let dead = |initiator| Outage { initiator, from: now + Duration::from_millis(100), to: None };
     assert!(!is_orphan(&lost, &[dead(0)]));
-    assert!(is_orphan(&lost, &[dead(1)]), "another machine's trouble");
-    let over =
-        Trouble { machine: 0, from: now - Duration::from_secs(9), to: Some(now - Duration::from_secs(1)) };
-    assert!(is_orphan(&lost, &[over]));
+    assert!(is_orphan(&lost, &[dead(1)]), "the outage was another initiator's");
+    let ended =
+        Outage { initiator: 0, from: now - Duration::from_secs(9), to: Some(now - Duration::from_secs(1)) };
+    assert!(is_orphan(&lost, &[ended]));
 }
 
 #[test]
-fn a_planted_excess_is_found_in_whatever_window() {
+fn units_beyond_the_limit_are_counted_in_any_window() {
     let now = Instant::now();
     let sent = |count: u64, apart: u64| -> Vec<Attempt> {
         let at = |number| now + Duration::from_millis(apart * number);
         (0..count).map(|number| attempt(at(number), &number.to_string(), "read", 1.0)).collect()
     };
-    assert_eq!(beyond_limit(&sent(500, 100), (10.0, 20.0)), 0, "at the rate");
-    assert_eq!(beyond_limit(&sent(21, 0), (10.0, 20.0)), 0, "at once");
-    assert_eq!(beyond_limit(&sent(24, 0), (10.0, 20.0)), 3);
-    assert!(beyond_limit(&sent(500, 90), (10.0, 20.0)) > 0, "a tenth too fast shows after a while");
+    assert_eq!(count_limit_breaches(&sent(500, 100), (10.0, 20.0)), 0, "at the rate");
+    assert_eq!(count_limit_breaches(&sent(21, 0), (10.0, 20.0)), 0, "a burst");
+    assert_eq!(count_limit_breaches(&sent(24, 0), (10.0, 20.0)), 3);
+    assert!(count_limit_breaches(&sent(500, 90), (10.0, 20.0)) > 0, "a tenth too fast shows after a while");
 }
 
 #[test]
-fn a_planted_late_send_and_a_second_run_are_found() {
+fn a_late_attempt_at_a_draining_node_and_a_repeated_append_are_counted() {
     let now = Instant::now();
     let drains = vec![Drain { node: 1, since: now, until: None }];
-    let terms = Terms { drains, ..terms() };
-    let late = now + DRAIN_GRACE + LATE * 2;
+    let conditions = Conditions { drains, ..conditions() };
+    let late = now + DRAIN_GRACE + DRAIN_TOLERANCE * 2;
     let attempts = [attempt(now, "a", "append", 1.0), attempt(late, "a", "append", 1.0)];
-    let breaches = check(&[], &attempts, &terms);
+    let breaches = check(&[], &attempts, &conditions);
     assert_eq!((breaches.drain_breaches, breaches.attempts_twice), (1, 1));
     let reads: Vec<Attempt> = (0..4).map(|_| attempt(now, "b", "read", 1.0)).collect();
-    assert_eq!(sent_again(&reads), 0);
+    assert_eq!(count_excess_attempts(&reads), 0);
 }
--- a/lab/src/hollow/scenes/rest.rs
+++ b/lab/src/hollow/scenes/rest.rs
@@ -5,7 +5,7 @@
 use crate::hollow::processes::Real;
 use crate::hollow::rig::{Rig, HOLLOW_ASIDE, REAL_ASIDE};
 use crate::hollow::switch::Traffic;
-use crate::load::processor;
+use crate::load::processor_time;
 use serde_json::{json, Value};
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
@@ -37,7 +37,7 @@
 }
 
 fn sums(rig: &mut Rig) -> Sums {
-    let used = |process: u32| processor(process).as_secs_f64();
+    let used = |process: u32| processor_time(process).as_secs_f64();
     Sums {
         workers: rig.workers.iter().map(|worker| used(worker.process.id())).collect(),
         real: rig.real.iter_mut().filter_map(Real::process).map(|it| used(it.id())).collect(),
--- a/lab/src/load.rs
+++ b/lab/src/load.rs
@@ -1,6 +1,6 @@
-//! `topazpath-lab load`: what a request costs the real program in processor time, and what it does when it has too
-//! little of it. Open loop: requests have intended times, drawn ahead, and latencies count from those. With `--against`
-//! another build of the program is measured in the same run, play by play in turn.
+//! `topazpath-lab load`: measures the real program's processor time per request, and its behaviour when it has too
+//! little of it. The load is an open loop: requests have random intended times, and latencies are measured from
+//! these. With `--against` another build of the program is measured in the same run, alternating with this one.
 
 use crate::arguments::Common;
 use crate::stand_ins::nodes::{Nodes, VALUE};
@@ -21,86 +21,86 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// What clients of reads and uploads wait for at most, in milliseconds; answers within the first count as in time.
+/// Latency up to which an answer counts as in time, and the deadline of all requests in milliseconds.
 const AIM: Duration = Duration::from_millis(400);
 const DEADLINE_MS: u64 = 2500;
-/// Connections that clients may have together.
-const MOST_CONNECTIONS: usize = 300;
-/// How often the allowance is looked after.
-const PERIOD: Duration = Duration::from_millis(20);
+/// Maximum number of client connections.
+const MAX_CONNECTIONS: usize = 300;
+/// Period over which the program's processor time is limited.
+const LIMIT_PERIOD: Duration = Duration::from_millis(20);
 
 /// Options of the experiment.
 #[derive(clap::Args)]
 pub struct Options {
     #[command(flatten)]
     pub common: Common,
-    /// Another build of the program, measured beside this one.
+    /// Another build of the program to compare with.
     #[arg(long)]
     against: Option<PathBuf>,
-    /// Only this play.
+    /// Run only this workload.
     #[arg(long)]
     only: Option<String>,
-    /// How often each play is played with each build.
+    /// Runs of each workload with each build.
     #[arg(long, default_value_t = 3)]
     repeats: usize,
 }
 
-/// One play.
+/// A workload.
 #[derive(Clone, Copy)]
-struct Play {
+struct Workload {
     name: &'static str,
     nodes: usize,
-    /// How long nodes take.
-    takes: Duration,
-    /// Requests a second.
+    /// Service time of the nodes.
+    service_time: Duration,
+    /// Requests per second.
     rate: f64,
-    /// Every request comes on a connection of its own.
-    new: bool,
-    /// Clients close their connection when no answer has come by then.
-    leaves: Option<Duration>,
-    /// Part of a core that the program may use.
+    /// Whether every request uses a new connection.
+    new_connections: bool,
+    /// Time after which clients close a connection without an answer.
+    abandon_after: Option<Duration>,
+    /// Share of a core that the program may use; `None` for no limit.
     cores: Option<f64>,
 }
 
-const AT_ONCE: Play = Play {
+const FAST: Workload = Workload {
     name: "served_8",
     nodes: 8,
-    takes: Duration::ZERO,
+    service_time: Duration::ZERO,
     rate: 2000.0,
-    new: false,
-    leaves: None,
+    new_connections: false,
+    abandon_after: None,
     cores: None,
 };
-const SLOW: Duration = Duration::from_millis(200);
+const SLOW_SERVICE_TIME: Duration = Duration::from_millis(200);
 
-const PLAYS: [Play; 7] = [
-    AT_ONCE,
-    Play { name: "served_60", nodes: 60, ..AT_ONCE },
-    Play { name: "served_200", nodes: 200, ..AT_ONCE },
-    Play { name: "served_new", new: true, rate: 1000.0, ..AT_ONCE },
-    Play { name: "refused_8", takes: SLOW, rate: 4000.0, ..AT_ONCE },
-    Play {
+const WORKLOADS: [Workload; 7] = [
+    FAST,
+    Workload { name: "served_60", nodes: 60, ..FAST },
+    Workload { name: "served_200", nodes: 200, ..FAST },
+    Workload { name: "served_new", new_connections: true, rate: 1000.0, ..FAST },
+    Workload { name: "refused_8", service_time: SLOW_SERVICE_TIME, rate: 4000.0, ..FAST },
+    Workload {
         name: "abandoned_8",
-        takes: SLOW,
+        service_time: SLOW_SERVICE_TIME,
         rate: 1000.0,
-        leaves: Some(Duration::from_millis(50)),
-        ..AT_ONCE
+        abandon_after: Some(Duration::from_millis(50)),
+        ..FAST
     },
-    Play { name: "allowance_8", rate: 8000.0, cores: Some(0.3), ..AT_ONCE },
+    Workload { name: "allowance_8", rate: 8000.0, cores: Some(0.3), ..FAST },
 ];
 
-/// What a play came to.
+/// Result of a workload.
 #[derive(Clone, Debug, Default)]
-struct Played {
+struct Outcome {
     sent: u64,
     in_time: u64,
     served: u64,
     refused: u64,
     failed: u64,
-    /// Connections closed by the program under a request, and clients that left.
+    /// Connections that the program closed during a request; below it those that clients closed.
     closed: u64,
     left: u64,
-    /// Requests that found no connection.
+    /// Requests dropped because no connection was free.
     none_free: u64,
     /// Processor time of the program.
     cpu: Duration,
@@ -109,169 +109,170 @@
     p99: u64,
 }
 
-impl Played {
+impl Outcome {
     fn cost(&self) -> f64 {
         self.cpu.as_secs_f64() * 1e6 / (self.sent.max(1)) as f64
     }
 }
 
-/// True if every play of this build was played to its end.
+/// Runs the subcommand. Returns true once every workload has been run; fails if one can't be.
 pub fn run(options: &Options) -> Result<bool, String> {
-    let own = crate::vrrp::experiments::program()?;
+    let this_program = crate::vrrp::experiments::program()?;
     let time = Duration::from_secs(if options.common.short { 2 } else { 5 });
-    let plays: Vec<Play> = PLAYS
+    let workloads: Vec<Workload> = WORKLOADS
         .into_iter()
-        .filter(|play| options.only.as_deref().is_none_or(|only| only == play.name))
+        .filter(|workload| options.only.as_deref().is_none_or(|only| only == workload.name))
         .collect();
-    if plays.is_empty() {
-        let names: Vec<&str> = PLAYS.iter().map(|play| play.name).collect();
+    if workloads.is_empty() {
+        let names: Vec<&str> = WORKLOADS.iter().map(|workload| workload.name).collect();
         return Err(format!("--only: one of {} is allowed", names.join(", ")));
     }
-    let mut builds = vec![("this", own.as_path())];
+    let mut builds = vec![("this", this_program.as_path())];
     builds.extend(options.against.as_deref().map(|path| ("against", path)));
     let mut report = Map::new();
-    for play in plays {
+    for workload in workloads {
         let mut costs: Vec<Vec<f64>> = vec![Vec::new(); builds.len()];
         for repeat in 0..options.repeats {
             for (at, (build, program)) in builds.iter().enumerate() {
-                let played = one(program, &play, time, options.common.seed + repeat as u64)?;
-                let in_time = played.in_time as f64 / played.sent.max(1) as f64;
+                let outcome = run_workload(program, &workload, time, options.common.seed + repeat as u64)?;
+                let in_time = outcome.in_time as f64 / outcome.sent.max(1) as f64;
                 println!(
-                    "{:12} {build:8} cpu/request {:7.1} us  in time {in_time:.3}  p50 {} us  p99 {} us  {played:?}",
-                    play.name,
-                    played.cost(),
-                    played.p50,
-                    played.p99
+                    "{:12} {build:8} cpu/request {:7.1} us  in time {in_time:.3}  p50 {} us  p99 {} us  {outcome:?}",
+                    workload.name,
+                    outcome.cost(),
+                    outcome.p50,
+                    outcome.p99
                 );
-                costs[at].push(played.cost());
+                costs[at].push(outcome.cost());
                 report.insert(
-                    format!("{}_{build}_{repeat}", play.name),
+                    format!("{}_{build}_{repeat}", workload.name),
                     json!({
-                        "cpu_us_a_request": played.cost(), "in_time": in_time, "p50_us": played.p50,
-                        "p99_us": played.p99, "sent": played.sent, "served": played.served,
-                        "refused": played.refused, "failed": played.failed, "closed": played.closed,
-                        "left": played.left, "none_free": played.none_free,
+                        "cpu_us_a_request": outcome.cost(), "in_time": in_time, "p50_us": outcome.p50,
+                        "p99_us": outcome.p99, "sent": outcome.sent, "served": outcome.served,
+                        "refused": outcome.refused, "failed": outcome.failed, "closed": outcome.closed,
+                        "left": outcome.left, "none_free": outcome.none_free,
                     }),
                 );
             }
         }
         if let [this, before] = costs.as_slice() {
             let ratio = median(this) / median(before);
-            println!("{:12} this / against {ratio:.2} (medians)", play.name);
-            report.insert(format!("{}_ratio", play.name), json!(ratio));
+            println!("{:12} this / against {ratio:.2} (medians)", workload.name);
+            report.insert(format!("{}_ratio", workload.name), json!(ratio));
         }
     }
     options.common.finish(report);
     Ok(true)
 }
 
-fn median(figures: &[f64]) -> f64 {
-    let mut sorted = figures.to_vec();
+fn median(values: &[f64]) -> f64 {
+    let mut sorted = values.to_vec();
     sorted.sort_by(f64::total_cmp);
     sorted[sorted.len() / 2]
 }
 
-/// The program, ended with this.
+/// The program's process, killed when this is dropped.
 struct Program {
     child: Child,
     folder: PathBuf,
-    ended: Arc<AtomicBool>,
-    governor: Option<thread::JoinHandle<()>>,
+    stop: Arc<AtomicBool>,
+    limiter: Option<thread::JoinHandle<()>>,
 }
 
 impl Drop for Program {
     fn drop(&mut self) {
-        self.ended.store(true, Ordering::Relaxed);
-        if let Some(governor) = self.governor.take() {
-            // A panic there has been told on standard error.
-            let _ = governor.join();
+        self.stop.store(true, Ordering::Relaxed);
+        if let Some(limiter) = self.limiter.take() {
+            // A panic of the thread has been printed to standard error.
+            let _ = limiter.join();
         }
         let _ = self.child.kill();
         let _ = self.child.wait();
-        // What is left of a folder is the system's to clean.
+        // A remainder is left to the system's cleaning of temporary files.
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
-/// Processor time that a process's one thread has used.
-pub fn processor(process: u32) -> Duration {
+/// Processor time used so far by a process's main thread; 0 if it can't be read.
+pub fn processor_time(process: u32) -> Duration {
     let text = std::fs::read_to_string(format!("/proc/{process}/schedstat")).unwrap_or_default();
     Duration::from_nanos(text.split(' ').next().and_then(|it| it.parse().ok()).unwrap_or(0))
 }
 
-/// Stops a process for the rest of each period once it has used its part of it; what it used too much is taken off
-/// the next.
-fn govern(process: u32, cores: f64, ended: &AtomicBool) {
+/// Limits a process to a share of a core: stops it for the rest of each period once it has used its share. Excess is
+/// deducted from the next period.
+fn limit_processor_time(process: u32, cores: f64, stop: &AtomicBool) {
     let signal = |name: &str| {
         let number = if name == "STOP" { nix::sys::signal::SIGSTOP } else { nix::sys::signal::SIGCONT };
-        // One that has ended hears nothing.
+        // Fails if the process has ended.
         let _ = nix::sys::signal::kill(nix::unistd::Pid::from_raw(process as i32), number);
     };
-    let (start, before) = (Instant::now(), processor(process));
+    let (start, before) = (Instant::now(), processor_time(process));
     let mut stopped = false;
-    while !ended.load(Ordering::Relaxed) {
-        let allowed = (start.elapsed() + PERIOD).mul_f64(cores);
-        let over = processor(process) - before > allowed;
-        if over != stopped {
-            signal(if over { "STOP" } else { "CONT" });
-            stopped = over;
+    while !stop.load(Ordering::Relaxed) {
+        let allowed = (start.elapsed() + LIMIT_PERIOD).mul_f64(cores);
+        let is_over = processor_time(process) - before > allowed;
+        if is_over != stopped {
+            signal(if is_over { "STOP" } else { "CONT" });
+            stopped = is_over;
         }
-        thread::sleep(PERIOD / 20);
+        thread::sleep(LIMIT_PERIOD / 20);
     }
     if stopped {
         signal("CONT");
     }
 }
 
-fn one(program: &Path, play: &Play, time: Duration, seed: u64) -> Result<Played, String> {
-    let told = |error: std::io::Error| error.to_string();
+fn run_workload(program: &Path, workload: &Workload, time: Duration, seed: u64) -> Result<Outcome, String> {
+    let error_text = |error: std::io::Error| error.to_string();
     let ip = Ipv4Addr::new(127, 130, std::process::id() as u8, 1);
-    let nodes = Nodes::start(ip, play.nodes, play.takes).map_err(told)?;
-    let list = nodes.addresses.iter().enumerate().map(|(number, address)| Listed {
+    let nodes = Nodes::start(ip, workload.nodes, workload.service_time).map_err(error_text)?;
+    let entries = nodes.addresses.iter().enumerate().map(|(number, address)| Listed {
         name: format!("s-{number}"),
         address: *address,
         shard: number as u32,
         status: "active",
         cold: false,
     });
-    let registry = Registry::start(ip, list.collect()).map_err(told)?;
-    let listen = TcpListener::bind((ip, 0)).and_then(|free| free.local_addr()).map_err(told)?;
+    let discovery = Registry::start(ip, entries.collect()).map_err(error_text)?;
+    let listen = TcpListener::bind((ip, 0)).and_then(|free| free.local_addr()).map_err(error_text)?;
     let folder = std::env::temp_dir().join(format!("topazpath-load-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).map_err(told)?;
-    std::fs::write(folder.join("config.json"), configuration(listen, registry.address)).map_err(told)?;
+    std::fs::create_dir_all(&folder).map_err(error_text)?;
+    std::fs::write(folder.join("config.json"), configuration(listen, discovery.address))
+        .map_err(error_text)?;
     let mut command = Command::new(program);
     command.env("NODE_CONFIG", folder.join("config.json")).env("TMPDIR", &folder);
     for file in ["TOPAZPATH_ISCSI", "TOPAZPATH_PLANNERS", "TOPAZPATH_VRRP", "TOPAZPATH_FLEET"] {
         command.env(file, folder.join("none"));
     }
     command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::null());
-    let child = command.spawn().map_err(told)?;
-    let (process, ended) = (child.id(), Arc::new(AtomicBool::new(false)));
-    let mut program = Program { child, folder, ended: ended.clone(), governor: None };
+    let child = command.spawn().map_err(error_text)?;
+    let (process, stop) = (child.id(), Arc::new(AtomicBool::new(false)));
+    let mut program = Program { child, folder, stop: stop.clone(), limiter: None };
     let start = Instant::now();
     while std::net::TcpStream::connect(listen).is_err() {
         if start.elapsed() > Duration::from_secs(5) {
-            return Err("the program does not start".into());
+            return Err("the program does not accept clients".into());
         }
         thread::sleep(Duration::from_millis(5));
     }
-    // Its first list comes after a drawn pause.
+    // The program fetches its first list after a random delay.
     thread::sleep(Duration::from_millis(300));
-    let mut clients = Clients::new(listen, *play, seed).map_err(told)?;
-    // Connections are made and figures learned before it counts.
-    clients.run(Duration::from_millis(500)).map_err(told)?;
-    clients.played = Played::default();
+    let mut clients = Clients::new(listen, *workload, seed).map_err(error_text)?;
+    // Warm-up: connections are made and estimates learned before the measurement.
+    clients.run(Duration::from_millis(500)).map_err(error_text)?;
+    clients.outcome = Outcome::default();
     clients.latencies.reset();
-    if let Some(cores) = play.cores {
-        program.governor = Some(thread::spawn(move || govern(process, cores, &ended)));
+    if let Some(cores) = workload.cores {
+        program.limiter = Some(thread::spawn(move || limit_processor_time(process, cores, &stop)));
     }
-    let before = processor(process);
-    clients.run(time).map_err(told)?;
-    let mut played = clients.played.clone();
-    played.cpu = processor(process) - before;
-    (played.p50, played.p99) =
+    let before = processor_time(process);
+    clients.run(time).map_err(error_text)?;
+    let mut outcome = clients.outcome.clone();
+    outcome.cpu = processor_time(process) - before;
+    (outcome.p50, outcome.p99) =
         (clients.latencies.value_at_quantile(0.5), clients.latencies.value_at_quantile(0.99));
-    Ok(played)
+    Ok(outcome)
 }
 
 pub fn configuration(listen: SocketAddr, discovery: SocketAddr) -> String {
@@ -294,10 +295,10 @@
 
 struct Connection {
     stream: TcpStream,
-    /// The intended time of what it waits for.
-    asked: Option<Instant>,
+    /// Intended time of the request in flight.
+    intended: Option<Instant>,
     sent: Instant,
-    up: bool,
+    connected: bool,
     output: Vec<u8>,
     input: Vec<u8>,
 }
@@ -305,36 +306,36 @@
 struct Clients {
     poll: Poll,
     address: SocketAddr,
-    play: Play,
+    workload: Workload,
     random: ChaCha8Rng,
     connections: Vec<Option<Connection>>,
     idle: Vec<usize>,
-    /// Intended times of requests that found no connection yet.
-    waiting: VecDeque<Instant>,
+    /// Intended times of requests that wait for a connection.
+    queue: VecDeque<Instant>,
     next: Instant,
     number: u64,
-    played: Played,
+    outcome: Outcome,
     latencies: Histogram<u64>,
 }
 
 impl Clients {
-    fn new(address: SocketAddr, play: Play, seed: u64) -> std::io::Result<Clients> {
+    fn new(address: SocketAddr, workload: Workload, seed: u64) -> std::io::Result<Clients> {
         Ok(Clients {
             poll: Poll::new()?,
             address,
-            play,
+            workload,
             random: ChaCha8Rng::seed_from_u64(seed),
-            connections: (0..MOST_CONNECTIONS).map(|_| None).collect(),
+            connections: (0..MAX_CONNECTIONS).map(|_| None).collect(),
             idle: Vec::new(),
-            waiting: VecDeque::new(),
+            queue: VecDeque::new(),
             next: Instant::now(),
             number: 0,
-            played: Played::default(),
+            outcome: Outcome::default(),
             latencies: Histogram::new_with_bounds(1, 60_000_000, 3).map_err(std::io::Error::other)?,
         })
     }
 
-    /// Sends and reads for a time.
+    /// Runs the clients for `time`.
     fn run(&mut self, time: Duration) -> std::io::Result<()> {
         let end = Instant::now() + time;
         let mut events = Events::with_capacity(1024);
@@ -342,17 +343,17 @@
         while Instant::now() < end {
             let now = Instant::now();
             while self.next <= now {
-                self.waiting.push_back(self.next);
-                let drawn = -(1.0 - self.random.random::<f64>()).ln() / self.play.rate;
-                self.next += Duration::from_secs_f64(drawn);
+                self.queue.push_back(self.next);
+                let gap = -(1.0 - self.random.random::<f64>()).ln() / self.workload.rate;
+                self.next += Duration::from_secs_f64(gap);
             }
             self.send(now)?;
-            if let Some(patience) = self.play.leaves {
+            if let Some(timeout) = self.workload.abandon_after {
                 for id in 0..self.connections.len() {
-                    let late = |it: &Connection| it.asked.is_some() && now - it.sent > patience;
-                    if self.connections[id].as_ref().is_some_and(late) {
+                    let is_abandoned = |it: &Connection| it.intended.is_some() && now - it.sent > timeout;
+                    if self.connections[id].as_ref().is_some_and(is_abandoned) {
                         self.connections[id] = None;
-                        self.played.left += 1;
+                        self.outcome.left += 1;
                     }
                 }
             }
@@ -365,11 +366,11 @@
     }
 
     fn send(&mut self, now: Instant) -> std::io::Result<()> {
-        while let Some(intended) = self.waiting.front().copied() {
+        while let Some(intended) = self.queue.front().copied() {
             if now - intended > Duration::from_millis(DEADLINE_MS) {
-                self.waiting.pop_front();
-                self.played.sent += 1;
-                self.played.none_free += 1;
+                self.queue.pop_front();
+                self.outcome.sent += 1;
+                self.outcome.none_free += 1;
                 continue;
             }
             let id = match self.idle.pop() {
@@ -380,18 +381,19 @@
                     let interest = Interest::READABLE | Interest::WRITABLE;
                     self.poll.registry().register(&mut stream, Token(id), interest)?;
                     let (input, output) = (Vec::new(), Vec::new());
-                    let connection = Connection { stream, asked: None, sent: now, up: false, output, input };
+                    let connection =
+                        Connection { stream, intended: None, sent: now, connected: false, output, input };
                     self.connections[id] = Some(connection);
                     id
                 }
             };
-            self.waiting.pop_front();
+            self.queue.pop_front();
             let command = self.command();
-            self.played.sent += 1;
+            self.outcome.sent += 1;
             if let Some(connection) = &mut self.connections[id] {
-                (connection.asked, connection.sent) = (Some(intended), now);
+                (connection.intended, connection.sent) = (Some(intended), now);
                 connection.output.extend(command);
-                if connection.up {
+                if connection.connected {
                     flush(connection);
                 }
             }
@@ -406,13 +408,13 @@
             (random.random_range(0..64_u64), ["basic", "priority"][random.random_range(0..2)]);
         let (object, id, units) = (random.random::<u64>(), self.number, random.random_range(1..=3_u32));
         let upload = random.random::<f64>() < 0.35;
-        let shard = if upload { -1 } else { random.random_range(0..self.play.nodes as i64) };
+        let shard = if upload { -1 } else { random.random_range(0..self.workload.nodes as i64) };
         let class = if upload { "upload" } else { "read" };
-        let list = format!(
+        let attributes = format!(
             "c={class},t={plan},d={DEADLINE_MS},volume={volume:016x},units={units},shard={shard},hosts=1"
         );
         let (object, id) = (format!("{object:016x}"), format!("{id:016x}"));
-        let mut words = vec![if upload { "OBJ.PUT" } else { "OBJ.GET" }, &object, &id, &list];
+        let mut words = vec![if upload { "OBJ.PUT" } else { "OBJ.GET" }, &object, &id, &attributes];
         if upload {
             words.push("hello");
         }
@@ -422,12 +424,12 @@
 
     fn ready(&mut self, id: usize) {
         let Some(connection) = &mut self.connections[id] else { return };
-        if !connection.up {
+        if !connection.connected {
             if connection.stream.peer_addr().is_err() {
                 return;
             }
-            connection.up = true;
-            // Without it requests still go out, only later.
+            connection.connected = true;
+            // If this fails, requests are only delayed.
             let _ = connection.stream.set_nodelay(true);
         }
         flush(connection);
@@ -440,25 +442,25 @@
                 Err(_) => break true,
             }
         };
-        let whole = connection.input.ends_with(b"\r\n")
+        let is_complete = connection.input.ends_with(b"\r\n")
             && (connection.input[0] != b'$' || connection.input.ends_with(&[VALUE, b"\r\n"].concat()));
-        let answered = whole.then(|| connection.asked.take()).flatten();
+        let answered = is_complete.then(|| connection.intended.take()).flatten();
         if let Some(intended) = answered {
             match connection.input[0] {
                 b'$' => {
                     let took = intended.elapsed();
-                    self.played.served += 1;
-                    self.played.in_time += u64::from(took <= AIM);
-                    // Bounded by the time of a play, within what the histogram takes.
+                    self.outcome.served += 1;
+                    self.outcome.in_time += u64::from(took <= AIM);
+                    // Bounded by the duration of a workload, which is within the histogram's range.
                     self.latencies.saturating_record(took.as_micros() as u64);
                 }
-                _ if connection.input.starts_with(b"-BUSY") => self.played.refused += 1,
-                _ => self.played.failed += 1,
+                _ if connection.input.starts_with(b"-BUSY") => self.outcome.refused += 1,
+                _ => self.outcome.failed += 1,
             }
             connection.input.clear();
         }
-        if ended || (answered.is_some() && self.play.new) {
-            self.played.closed += u64::from(connection.asked.is_some());
+        if ended || (answered.is_some() && self.workload.new_connections) {
+            self.outcome.closed += u64::from(connection.intended.is_some());
             self.connections[id] = None;
             self.idle.retain(|other| *other != id);
         } else if answered.is_some() {
@@ -467,7 +469,7 @@
     }
 }
 
-/// Writes what goes. A broken connection shows when it is read.
+/// Writes as much as possible. An error is noticed when the connection is read.
 fn flush(connection: &mut Connection) {
     while !connection.output.is_empty() {
         match connection.stream.write(&connection.output) {
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -1,4 +1,5 @@
-//! The laboratory's commands: stand-ins around the real program, experiments, and checkers of the rules.
+//! Command line of the laboratory: experiments on the real program among stand-ins, simulations, and checks of the
+//! rules.
 
 mod arguments;
 mod capacity;
@@ -28,52 +29,52 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// What a request costs in processor time, served, refused and abandoned, and what is done with too little of it.
+    /// Measure the processor time per served, refused and abandoned request, and the behaviour with too little of it.
     Load(load::Options),
-    /// From a drain's announcement to the last attempt, and calls of discovery, where that is asked.
+    /// Measure the time from a drain's announcement to the last attempt, and the calls to discovery.
     Drains(arguments::Common),
-    /// Seeded faults against the real process: signals in series, drains, hangs, resets, slow discovery, crowds.
+    /// Inject seeded faults into the real process: series of signals, drains, hangs, resets, slow discovery, crowds.
     Soak(soak::Options),
-    /// Crowds of idle connections, in waves: what nodes are told, late answers, and clients in service.
+    /// Open waves of idle connections: attempts at nodes, late answers, and clients in service.
     Crowds(soak::crowds::Options),
-    /// Settings drawn at random, each played in virtual time: every rule is checked on what was seen.
+    /// Simulate random settings in virtual time and check every rule.
     Settings(settings::command::Options),
-    /// Membership among real processes that are stopped, cut, killed and lied to.
+    /// Test membership of real processes that are stopped, cut off, killed and sent false messages.
     Fleet(arguments::Parts),
-    /// A script of faults among real processes, with a timeline of what came of it.
+    /// Run a script of faults on real processes and print a timeline of the effects.
     FleetScript(membership::script::Options),
-    /// Membership in virtual time: fault schedules by the thousand, detection, loss, cost.
+    /// Simulate membership in virtual time: thousands of fault schedules, detection, loss, cost.
     FleetSim(arguments::Parts),
-    /// Takeovers of a virtual address: gaps, broken rules, false takeovers, cost.
+    /// Test takeovers of a virtual address: gaps, broken rules, false takeovers, cost.
     Vrrp(arguments::Parts),
-    /// Forwarders and planners as real processes: planners are killed in a surge and come back in a wave.
+    /// Test forwarders and planners as real processes: planners are killed under a surge of load and restart together.
     Planners(arguments::Common),
-    /// Shares of forwarders and planners in virtual time: faults, skewed use, outages, scale.
+    /// Simulate the shares of forwarders and planners in virtual time: faults, skewed use, outages, scale.
     PlannersSim(arguments::Parts),
-    /// Agreement of planners on revisions in virtual time: fault schedules by the thousand, and planted faults.
+    /// Simulate the planners' agreement on revisions in virtual time: thousands of fault schedules, and planted faults.
     RevisionsSim(arguments::Parts),
-    /// A whole fleet of hollow and real initiators on this machine, and what is played on it.
+    /// Run a whole fleet of hollow and real initiators on this machine through scenes of faults and changes.
     Hollow {
         #[command(flatten)]
         options: hollow::Options,
         #[command(flatten)]
         common: arguments::Common,
     },
-    /// A process with many hollow initiators, started by `hollow`.
+    /// Run many hollow initiators in this process; started by `hollow`.
     #[command(hide = true)]
     HollowWorker,
-    /// How each cost grows with the fleet, against the size that operators expect.
+    /// Measure how each cost grows with the fleet, compared with budgets at the size that operators expect.
     Capacity(capacity::Options),
-    /// What `capacity` measures in a process of its own.
+    /// Measure memory in a fresh process; started by `capacity`.
     #[command(hide = true)]
     CapacityChild(capacity::child::Options),
-    /// Ends the processes of a run that is gone, started by `hollow`.
+    /// Kill the child processes of a run that died; started by `hollow`.
     #[command(hide = true)]
     HollowKeeper,
 }
 
 fn main() -> ExitCode {
-    let done = match Arguments::parse().command {
+    let result = match Arguments::parse().command {
         Command::Load(options) => load::run(&options),
         Command::Drains(arguments) => drains::run(&arguments),
         Command::Soak(options) => soak::run(&options),
@@ -92,11 +93,11 @@
         Command::CapacityChild(options) => capacity::child::run(&options),
         Command::HollowKeeper => hollow::keeper::run(),
     };
-    match done {
+    match result {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
-        Err(why) => {
-            eprintln!("topazpath-lab: {why}");
+        Err(error) => {
+            eprintln!("topazpath-lab: {error}");
             ExitCode::FAILURE
         }
     }
--- a/lab/src/membership/processes.rs
+++ b/lab/src/membership/processes.rs
@@ -582,7 +582,7 @@
     }
     std::thread::sleep(Duration::from_secs(1));
     let processes: Vec<u32> = rig.machines.iter().filter_map(Machine::process).collect();
-    let used = || processes.iter().map(|process| crate::load::processor(*process)).sum::<Duration>();
+    let used = || processes.iter().map(|process| crate::load::processor_time(*process)).sum::<Duration>();
     let (before, start) = (used(), Instant::now());
     let clients: Vec<_> = rig.listens[..SIZE].iter().map(|listen| (*listen, time)).collect();
     let taken = std::thread::scope(|scope| {
--- a/lab/src/planners/processes.rs
+++ b/lab/src/planners/processes.rs
@@ -2,11 +2,11 @@
 //! killed in the middle of a surge, a node drains while none is there, and they come back in one wave.
 
 use crate::arguments::Common;
-use crate::check::{check, Breaches, Drain, Terms};
+use crate::check::{check, Breaches, Conditions, Drain};
 use crate::stand_ins::clients::{Clients, Item, Load, Part, Told, Way};
 use crate::stand_ins::machines::{Machine, Setup, BURST, SLACK};
 use crate::stand_ins::service::{node, Attempt, Attempts, Listed, Registry};
-use crate::worth::Prices;
+use crate::worth::Entitlement;
 use serde_json::{json, Map, Value};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, UdpSocket};
@@ -19,7 +19,7 @@
 const PLANNERS: usize = 3;
 /// Units a second that a volume of `base` may take; the reserve and the size of one, as the machines are set up.
 const LIMIT: f64 = 80.0;
-const PRICES: Prices = Prices { reserve: 20.0, share: 40.0 };
+const PRICES: Entitlement = Entitlement { reserve: 20.0, share: 40.0 };
 /// Requests a second of a forwarder that leads, which wants three times its even part; the others send a sixteenth, so
 /// that all together want about the limit.
 const LEADS: f64 = 24.0;
@@ -146,7 +146,7 @@
     let end = Instant::now();
     let items: Vec<Item> = clients.into_iter().flat_map(Clients::end).collect();
     let attempts = attempts.lock().map_err(|_| std::io::Error::other("a node's thread panicked"))?;
-    let terms = Terms { limit: (LIMIT, BURST + SLACK), drains, troubles: Vec::new() };
+    let terms = Conditions { limit: (LIMIT, BURST + SLACK), drains, outages: Vec::new() };
     // The moves that were in force run out in the first second, and new ones take as long.
     let pause = Duration::from_secs(2);
     let between = |from, to| worth(&attempts, from, to);
--- a/lab/src/soak/process.rs
+++ b/lab/src/soak/process.rs
@@ -89,7 +89,7 @@
     }
 
     pub fn has_ended(&mut self) -> bool {
-        self.used = self.used.max(crate::load::processor(self.child.id()));
+        self.used = self.used.max(crate::load::processor_time(self.child.id()));
         let memory = topazpath::process::resident_memory(self.child.id()).unwrap_or(0);
         self.peak_memory = self.peak_memory.max(memory);
         matches!(self.child.try_wait(), Ok(Some(_)))
--- a/lab/src/sync.rs
+++ b/lab/src/sync.rs
@@ -1,14 +1,14 @@
-//! Locks of the stand-ins' threads.
+//! Locking helpers for the laboratory's threads and tests.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// A thread that panicked has left nothing half done in what is locked here.
+/// Locks a mutex and ignores poisoning: what is locked here is never left inconsistent by a panic.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// The machine's processor time, shared among tests: those that measure real processes in real time have it alone, those
-/// that reckon in virtual time share it. Guards their verdict, which must not hang on what runs beside them.
+/// Lock on the machine's processors among tests: tests of real processes in real time take it exclusively, tests in
+/// virtual time share it, so that the result of a test doesn't depend on what runs beside it.
 #[cfg(test)]
 pub mod processor {
     use std::sync::atomic::{AtomicBool, Ordering};
@@ -25,36 +25,36 @@
     pub fn shared() -> RwLockReadGuard<'static, ()> {
         PROCESSOR.read().unwrap_or_else(PoisonError::into_inner)
     }
-    /// How late a thread that only sleeps may wake before a run says more of the machine than of the program.
-    const STANDSTILL: Duration = Duration::from_millis(100);
-    const TRIES: usize = 5;
+    /// Lateness of a sleeping thread from which on a run reflects the machine instead of the program.
+    const MAX_LATENESS: Duration = Duration::from_millis(100);
+    const MAX_RUNS: usize = 5;
 
-    /// Runs what measures in real time until it was played through without the machine standing still; the last verdict
-    /// counts where it always does.
+    /// Repeats a measurement in real time until the machine didn't stall during a run. Returns the result of that
+    /// run, or of the last one if the machine stalled in all of [`MAX_RUNS`] runs.
     pub fn steady<T>(mut run: impl FnMut() -> T) -> T {
-        let mut tries = 0;
+        let mut runs = 0;
         loop {
             let (ended, latest) = (AtomicBool::new(false), Mutex::new(Duration::ZERO));
             let result = thread::scope(|scope| {
                 scope.spawn(|| {
-                    let pause = Duration::from_millis(5);
+                    let interval = Duration::from_millis(5);
                     while !ended.load(Ordering::Relaxed) {
                         let start = Instant::now();
-                        thread::sleep(pause);
+                        thread::sleep(interval);
                         let mut latest = super::lock(&latest);
-                        *latest = (*latest).max(start.elapsed() - pause);
+                        *latest = (*latest).max(start.elapsed() - interval);
                     }
                 });
                 let result = run();
                 ended.store(true, Ordering::Relaxed);
                 result
             });
-            tries += 1;
+            runs += 1;
             let latest = *super::lock(&latest);
-            if latest < STANDSTILL || tries == TRIES {
+            if latest < MAX_LATENESS || runs == MAX_RUNS {
                 return result;
             }
-            println!("the machine stood still for {latest:?}: played again");
+            println!("the machine stalled for {latest:?}: running again");
         }
     }
 }
--- a/lab/src/vrrp/experiments.rs
+++ b/lab/src/vrrp/experiments.rs
@@ -106,7 +106,7 @@
     let mut all = Breaches::default();
     println!("interval {} ms: gap in ms", DEFAULT.as_millis());
     for outcome in &outcomes {
-        all = all.and(outcome.breaches);
+        all = all.combined_with(outcome.breaches);
         for kind in [Kind::Kill, Kind::Freeze, Kind::Term, Kind::Return, Kind::Cut, Kind::Lossy] {
             let gaps: Vec<Duration> =
                 outcome.gaps.iter().filter(|(it, _)| *it == kind).map(|(_, gap)| *gap).collect();
@@ -159,7 +159,7 @@
     let (mut part, mut all) = (Vec::new(), Breaches::default());
     println!("kill, by interval: gap over Active_Down_Interval");
     for (interval, outcome) in intervals.iter().zip(&outcomes) {
-        all = all.and(outcome.breaches);
+        all = all.combined_with(outcome.breaches);
         let of = |kind: Kind| -> Vec<Duration> {
             outcome.gaps.iter().filter(|(it, _)| *it == kind).map(|(_, gap)| *gap).collect()
         };
--- a/lab/src/vrrp/takeover.rs
+++ b/lab/src/vrrp/takeover.rs
@@ -1,6 +1,6 @@
 //! Takeovers between two real machines: how long the virtual address gives no answer, and whether a rule broke.
 
-use crate::check::{check, Breaches, Drain, Terms, Trouble};
+use crate::check::{check, Breaches, Conditions, Drain, Outage};
 use crate::stand_ins::clients::{Clients, Load, Way};
 use crate::stand_ins::machines::{Machine, Routes, Setup, BURST, SLACK};
 use crate::stand_ins::segment::{Link, Segment};
@@ -89,7 +89,7 @@
     nodes: Vec<std::net::SocketAddr>,
     attempts: Attempts,
     clients: Clients,
-    terms: Terms,
+    terms: Conditions,
     /// How often the last node was listed anew.
     renamed: usize,
 }
@@ -156,7 +156,7 @@
         }
         let load = Load { rate: 200.0, hosts: 1, limited: plan.limited, volumes: 2, shards: 2 };
         let clients = Clients::start(Way::Segment(segment.clone()), load, Arc::new(|_| 1.0), plan.seed);
-        let terms = Terms { limit: (LIMIT, BURST + SLACK), ..Terms::default() };
+        let terms = Conditions { limit: (LIMIT, BURST + SLACK), ..Conditions::default() };
         Ok(Scene { plan, segment, machines, registry, nodes, attempts, clients, terms, renamed: 0 })
     }
 
@@ -172,7 +172,7 @@
     fn kill(&mut self) -> Result<Vec<(Kind, Duration)>, String> {
         let killed = Instant::now();
         self.drain();
-        self.terms.troubles.push(Trouble { machine: 0, from: killed, to: None });
+        self.terms.outages.push(Outage { initiator: 0, from: killed, to: None });
         self.machines[0].kill();
         let gap = self.gap_until_served(1, killed)?;
         let back = Instant::now();
@@ -186,7 +186,7 @@
     fn freeze(&mut self) -> Result<Vec<(Kind, Duration)>, String> {
         let stopped = Instant::now();
         self.drain();
-        self.terms.troubles.push(Trouble { machine: 0, from: stopped, to: None });
+        self.terms.outages.push(Outage { initiator: 0, from: stopped, to: None });
         self.machines[0].signal("STOP");
         let gap = self.gap_until_served(1, stopped)?;
         // Past the takeover by some intervals: it wakes as one that believes it serves.
@@ -293,7 +293,7 @@
 
     /// The trouble of the last machine is over.
     fn over(&mut self, now: Instant) {
-        if let Some(trouble) = self.terms.troubles.last_mut() {
+        if let Some(trouble) = self.terms.outages.last_mut() {
             trouble.to = Some(now);
         }
     }
