--- a/lab/src/settings/check.rs
+++ b/lab/src/settings/check.rs
@@ -1,5 +1,6 @@
-//! What was seen from outside in a play, and every rule checked on it alone: who asked what, what was sent where and how
-//! it ended, what was answered, what each host was told. Nothing here knows the program.
+//! The externally visible history of a simulation, and the checks of every rule on it: accepted requests, attempts and
+//! their ends, answers, and the node list updates that each initiator received. It uses none of the program's own
+//! state.
 
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap};
@@ -7,14 +8,14 @@
 use topazpath::core::Origin;
 use topazpath::interface::*;
 
-/// A request as a host took it. `life` counts the starts of all hosts.
+/// A request that an initiator accepted. A `generation` is one start of one initiator, numbered over all initiators.
 #[derive(Clone, Debug)]
-pub struct Asked {
-    /// The start of a host that it came to.
-    pub life: usize,
-    /// When.
+pub struct AcceptedRequest {
+    /// The generation that accepted it.
+    pub generation: usize,
+    /// When it arrived.
     pub at: Duration,
-    /// What for.
+    /// The request.
     pub new: NewRequest,
     /// Where its answer goes.
     pub origin: Origin,
@@ -22,38 +23,38 @@
 
 /// A final answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Ending {
-    /// With the value.
+pub enum FinalAnswer {
+    /// The value.
     Served,
-    /// Trying again is harmless.
+    /// An error that promises that a repetition is harmless.
     Refused,
-    /// Nothing is promised.
+    /// An error without a promise.
     Failed,
 }
 
-/// An attempt, and when and how it was told to have ended.
+/// An attempt, with the end that was reported to the initiator.
 #[derive(Clone, Debug)]
-pub struct Sent {
-    /// The start of the host that made it.
-    pub life: usize,
-    /// Its request.
+pub struct SentAttempt {
+    /// The generation that made it.
+    pub generation: usize,
+    /// The request.
     pub request: RequestId,
-    /// Its number.
+    /// Its number within the request, from 0.
     pub number: u32,
-    /// Where to.
+    /// The node that it was sent to.
     pub node: NodeId,
-    /// When.
+    /// When it was sent.
     pub at: Duration,
-    /// Its end.
-    pub over: Option<(Duration, Outcome)>,
+    /// When and how it ended.
+    pub end: Option<(Duration, Outcome)>,
 }
 
-/// A line of a list that reached a host.
+/// The state of one node in a list that an initiator received.
 #[derive(Clone, Debug)]
-pub struct Told {
-    /// The start of that host.
-    pub life: usize,
-    /// When.
+pub struct ListUpdate {
+    /// The generation that received it.
+    pub generation: usize,
+    /// When it was received.
     pub at: Duration,
     /// The node.
     pub node: NodeId,
@@ -61,66 +62,67 @@
     pub state: NodeState,
 }
 
-/// A node that came up cold.
+/// A node that joined during the simulation, in slow start.
 #[derive(Clone, Debug)]
-pub struct Started {
+pub struct JoinedNode {
     /// The node.
     pub node: NodeId,
-    /// When.
+    /// When it started.
     pub at: Duration,
-    /// Units a second once warm.
-    pub power: f64,
+    /// Service rate once warmed up, in units a second.
+    pub service_rate: f64,
 }
 
-/// Everything that was seen.
+/// Everything that was recorded.
 pub struct History {
-    /// What the hosts were told at their start.
+    /// The settings of all initiators.
     pub settings: Settings,
-    /// When each life began, and ended where it did.
-    pub lives: Vec<Duration>,
-    /// Lives that a crash ended.
-    pub ended: HashMap<usize, Duration>,
-    /// Requests in the order they were taken.
-    pub requests: Vec<Asked>,
-    /// Attempts in the order they were made.
-    pub attempts: Vec<Sent>,
-    /// Final answers.
-    pub answers: Vec<(usize, Origin, Duration, Ending)>,
-    /// News of nodes in the order they came.
-    pub news: Vec<Told>,
-    /// Nodes that came up cold.
-    pub started: Vec<Started>,
-    places: HashMap<NodeId, (u32, u32)>,
+    /// When each generation started.
+    pub generation_starts: Vec<Duration>,
+    /// Generations ended by a crash, and when.
+    pub crashed: HashMap<usize, Duration>,
+    /// Requests in the order of their arrival.
+    pub requests: Vec<AcceptedRequest>,
+    /// Attempts in the order they were sent.
+    pub attempts: Vec<SentAttempt>,
+    /// Final answers, with generation and time.
+    pub answers: Vec<(usize, Origin, Duration, FinalAnswer)>,
+    /// Updates of the node list in the order they were received.
+    pub list_updates: Vec<ListUpdate>,
+    /// Nodes that joined in slow start.
+    pub started: Vec<JoinedNode>,
+    /// Shard and zone of each node.
+    node_places: HashMap<NodeId, (u32, u32)>,
     by_id: HashMap<(usize, RequestId), usize>,
 }
 
-/// Broken rules, by rule.
+/// Number of violations by rule.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Breaches {
-    /// Requests without an answer, or with a late one.
+    /// Requests without an answer or with a late one.
     pub unanswered: u64,
     /// Requests with two answers.
     pub answered_twice: u64,
-    /// Attempts where an earlier one may have run, beyond what the class allows.
+    /// Attempts that the class does not allow, as an earlier one may have run.
     pub repeated: u64,
-    /// Requests told to be harmless to repeat that are not.
+    /// Requests answered as harmless to repeat that may have run.
     pub refused_wrongly: u64,
-    /// Attempts beyond the number allowed, or beside one that is out.
+    /// Attempts beyond the maximum number, or sent while another was in flight.
     pub attempts: u64,
-    /// Attempts at nodes told to drain longer ago than the grace.
+    /// Attempts at nodes whose drain was received longer ago than the drain grace.
     pub drains: u64,
-    /// Cold nodes sent more than they bear.
+    /// Overloads of nodes in slow start.
     pub cold: u64,
-    /// Limits of volumes passed.
+    /// Attempts beyond the limit of their volume.
     pub limits: u64,
-    /// Requests of a key out of turn.
+    /// Requests of an ordered key sent before an earlier one had ended.
     pub order: u64,
-    /// Attempts beyond the budget.
+    /// Attempts beyond the retry budget.
     pub budget: u64,
 }
 
 impl Breaches {
-    /// All of them.
+    /// Returns the number of all violations.
     pub fn sum(&self) -> u64 {
         let answers = self.unanswered + self.answered_twice + self.refused_wrongly;
         answers
@@ -133,7 +135,7 @@
             + self.budget
     }
 
-    /// Adds those of another play.
+    /// Adds the violations of another simulation.
     pub fn add(&mut self, other: &Breaches) {
         let pairs = [
             (&mut self.unanswered, other.unanswered),
@@ -151,84 +153,96 @@
     }
 }
 
-/// Whether an attempt that ended like this has run for certain not.
+/// Whether an attempt with this outcome certainly did not run.
 fn never_ran(outcome: Outcome) -> bool {
     matches!(outcome, Outcome::Rejected | Outcome::NotConnected | Outcome::NotSent)
 }
 
 impl History {
-    /// Nothing seen yet.
+    /// Returns an empty history.
     pub fn new(settings: Settings) -> Self {
         History {
             settings,
-            lives: Vec::new(),
-            ended: HashMap::new(),
+            generation_starts: Vec::new(),
+            crashed: HashMap::new(),
             requests: Vec::new(),
             attempts: Vec::new(),
             answers: Vec::new(),
-            news: Vec::new(),
+            list_updates: Vec::new(),
             started: Vec::new(),
-            places: HashMap::new(),
+            node_places: HashMap::new(),
             by_id: HashMap::new(),
         }
     }
 
-    /// Where a node is.
-    pub fn placed(&mut self, node: NodeId, shard: u32, zone: u32) {
-        self.places.insert(node, (shard, zone));
+    /// Records shard and zone of a node.
+    pub fn node_added(&mut self, node: NodeId, shard: u32, zone: u32) {
+        self.node_places.insert(node, (shard, zone));
     }
 
-    /// A request was taken.
-    pub fn asked(&mut self, asked: Asked) {
-        self.by_id.insert((asked.life, asked.new.id), self.requests.len());
-        self.requests.push(asked);
+    /// Records an accepted request.
+    pub fn accepted(&mut self, accepted_request: AcceptedRequest) {
+        self.by_id.insert((accepted_request.generation, accepted_request.new.id), self.requests.len());
+        self.requests.push(accepted_request);
     }
 
-    /// An attempt was made.
-    pub fn sent(&mut self, sent: Sent) {
+    /// Records a sent attempt.
+    pub fn sent(&mut self, sent: SentAttempt) {
         self.attempts.push(sent);
     }
 
-    /// An attempt ended, unless it had.
-    pub fn over(&mut self, life: usize, request: RequestId, number: u32, at: Duration, outcome: Outcome) {
-        let mut of = self.attempts.iter_mut().rev();
-        let of = of.find(|it| (it.life, it.request, it.number) == (life, request, number));
-        if let Some(sent) = of.filter(|sent| sent.over.is_none()) {
-            sent.over = Some((at, outcome));
+    /// Records the end of an attempt, unless it has ended before.
+    pub fn attempt_ended(
+        &mut self,
+        generation: usize,
+        request: RequestId,
+        number: u32,
+        at: Duration,
+        outcome: Outcome,
+    ) {
+        let mut latest_first = self.attempts.iter_mut().rev();
+        let attempt =
+            latest_first.find(|it| (it.generation, it.request, it.number) == (generation, request, number));
+        if let Some(sent) = attempt.filter(|sent| sent.end.is_none()) {
+            sent.end = Some((at, outcome));
         }
     }
 
-    /// A final answer was given.
-    pub fn answered(&mut self, life: usize, origin: Origin, at: Duration, ending: Ending) {
-        self.answers.push((life, origin, at, ending));
+    /// Records a final answer.
+    pub fn answered(&mut self, generation: usize, origin: Origin, at: Duration, answer: FinalAnswer) {
+        self.answers.push((generation, origin, at, answer));
     }
 
-    /// A host was told.
-    pub fn told(&mut self, told: Told) {
-        self.news.push(told);
+    /// Records a received update of the node list.
+    pub fn list_received(&mut self, update: ListUpdate) {
+        self.list_updates.push(update);
     }
 
-    /// Size of a request.
-    pub fn units(&self, life: usize, request: RequestId) -> f64 {
-        self.by_id.get(&(life, request)).map_or(0.0, |at| self.requests[*at].new.units)
+    /// Returns the size of a request in units, 0 if it is not known.
+    pub fn units(&self, generation: usize, request: RequestId) -> f64 {
+        self.by_id.get(&(generation, request)).map_or(0.0, |at| self.requests[*at].new.units)
     }
 
-    /// Everything that breaks a rule.
+    /// Checks all rules and counts the violations.
     pub fn check(&self) -> Breaches {
         let mut breaches = Breaches::default();
-        let mut attempts: HashMap<(usize, RequestId), Vec<&Sent>> = HashMap::new();
+        let mut attempts: HashMap<(usize, RequestId), Vec<&SentAttempt>> = HashMap::new();
         self.attempts
             .iter()
-            .for_each(|sent| attempts.entry((sent.life, sent.request)).or_default().push(sent));
-        let mut answers: HashMap<(usize, Origin), Vec<(Duration, Ending)>> = HashMap::new();
-        for (life, origin, at, ending) in &self.answers {
-            answers.entry((*life, *origin)).or_default().push((*at, *ending));
+            .for_each(|sent| attempts.entry((sent.generation, sent.request)).or_default().push(sent));
+        let mut answers: HashMap<(usize, Origin), Vec<(Duration, FinalAnswer)>> = HashMap::new();
+        for (generation, origin, at, answer) in &self.answers {
+            answers.entry((*generation, *origin)).or_default().push((*at, *answer));
         }
-        for asked in &self.requests {
-            let own = attempts.get(&(asked.life, asked.new.id)).map_or(&[][..], Vec::as_slice);
-            let told = answers.get(&(asked.life, asked.origin)).map_or(&[][..], Vec::as_slice);
-            self.check_answers(asked, own, told, &mut breaches);
-            self.check_attempts(asked, own, &mut breaches);
+        for accepted_request in &self.requests {
+            let own = attempts
+                .get(&(accepted_request.generation, accepted_request.new.id))
+                .map_or(&[][..], Vec::as_slice);
+            let own_answers = answers
+                .get(&(accepted_request.generation, accepted_request.origin))
+                .map_or(&[][..], Vec::as_slice);
+            self.check_answers(accepted_request, own, own_answers, &mut breaches);
+            self.check_attempts(accepted_request, own, &mut breaches);
         }
         self.check_drains(&mut breaches);
         self.check_cold(&mut breaches);
@@ -240,53 +254,59 @@
 
     fn check_answers(
         &self,
-        asked: &Asked,
-        own: &[&Sent],
-        told: &[(Duration, Ending)],
+        accepted_request: &AcceptedRequest,
+        own: &[&SentAttempt],
+        answers: &[(Duration, FinalAnswer)],
         breaches: &mut Breaches,
     ) {
         let rules = &self.settings.rules;
-        let due = asked.new.deadline.saturating_sub(EPOCH) + rules.answer_grace + self.settings.tick;
-        let died = self.ended.get(&asked.life);
-        match told.first() {
-            // What a host held that died is lost with it.
-            None => breaches.unanswered += u64::from(died.is_none_or(|at| *at > due)),
+        let due =
+            accepted_request.new.deadline.saturating_sub(EPOCH) + rules.answer_grace + self.settings.tick;
+        let crashed_at = self.crashed.get(&accepted_request.generation);
+        match answers.first() {
+            // The requests of a crashed initiator are lost with it.
+            None => breaches.unanswered += u64::from(crashed_at.is_none_or(|at| *at > due)),
             Some((at, _)) => breaches.unanswered += u64::from(*at > due),
         }
-        breaches.answered_twice += u64::from(told.len() > 1);
-        if let Some((at, Ending::Refused)) = told.first() {
-            let harmless = match self.settings.classes[asked.new.class].effect {
+        breaches.answered_twice += u64::from(answers.len() > 1);
+        if let Some((at, FinalAnswer::Refused)) = answers.first() {
+            let harmless = match self.settings.classes[accepted_request.new.class].effect {
                 Effect::Safe | Effect::Keyed(DedupScope::All) => true,
                 Effect::Keyed(_) | Effect::Unsafe => {
-                    own.iter().all(|it| it.over.is_some_and(|(end, how)| end <= *at && never_ran(how)))
+                    own.iter().all(|it| it.end.is_some_and(|(end, how)| end <= *at && never_ran(how)))
                 }
             };
             breaches.refused_wrongly += u64::from(!harmless);
         }
     }
 
-    fn check_attempts(&self, asked: &Asked, own: &[&Sent], breaches: &mut Breaches) {
-        let class = &self.settings.classes[asked.new.class];
+    fn check_attempts(
+        &self,
+        accepted_request: &AcceptedRequest,
+        own: &[&SentAttempt],
+        breaches: &mut Breaches,
+    ) {
+        let class = &self.settings.classes[accepted_request.new.class];
         breaches.attempts += u64::from(own.len() > self.settings.limits.max_attempts as usize);
         for (number, sent) in own.iter().enumerate() {
             let before = &own[..number];
-            // Nothing here sends a second copy: each waits for the end of the one before.
+            // The scheduler sends no hedged attempts: each has to wait for the end of the one before.
             breaches.attempts +=
-                u64::from(before.iter().any(|it| it.over.is_none_or(|(end, _)| end > sent.at)));
-            let ran = before.iter().find(|it| it.over.is_none_or(|(_, how)| !never_ran(how)));
+                u64::from(before.iter().any(|it| it.end.is_none_or(|(end, _)| end > sent.at)));
+            let ran = before.iter().find(|it| it.end.is_none_or(|(_, how)| !never_ran(how)));
             let Some(first) = ran else { continue };
-            let place = |node| self.places.get(&node).copied().unwrap_or_default();
+            let place = |node| self.node_places.get(&node).copied().unwrap_or_default();
             let ((shard, zone), (first_shard, first_zone)) = (place(sent.node), place(first.node));
             let allowed = match class.effect {
                 Effect::Safe => true,
                 Effect::Unsafe => false,
                 Effect::Keyed(group) => {
-                    let inside = match group {
+                    let in_window = match group {
                         DedupScope::All => true,
                         DedupScope::Zone => zone == first_zone,
                         DedupScope::Shard => shard == first_shard,
                     };
-                    inside && sent.at < first.at + class.dedup_window
+                    in_window && sent.at < first.at + class.dedup_window
                 }
             };
             breaches.repeated += u64::from(!allowed);
@@ -295,12 +315,12 @@
 
     fn check_drains(&self, breaches: &mut Breaches) {
         for sent in &self.attempts {
-            let news = self
-                .news
+            let updates = self
+                .list_updates
                 .iter()
-                .filter(|it| it.life == sent.life && it.node == sent.node && it.at <= sent.at);
-            // Since when it has not been ready any more, as this host was told.
-            let since = news.fold(None, |since: Option<Duration>, it| match it.state {
+                .filter(|it| it.generation == sent.generation && it.node == sent.node && it.at <= sent.at);
+            // When this generation first received that the node is not ready any more.
+            let since = updates.fold(None, |since: Option<Duration>, it| match it.state {
                 NodeState::Ready => None,
                 NodeState::Draining | NodeState::Gone => since.or(Some(it.at)),
             });
@@ -309,7 +329,8 @@
         }
     }
 
-    /// Work that reaches a cold node in any window of the rule, from all hosts. Each host may overdraw by a request.
+    /// Checks the work that all initiators send to a node in slow start, in each window of the rule. Each initiator
+    /// may exceed its share by one request.
     fn check_cold(&self, breaches: &mut Breaches) {
         let (rules, units) = (&self.settings.rules, &self.settings.units);
         let slack = units.largest * f64::from(self.settings.initiators);
@@ -319,65 +340,76 @@
                 .iter()
                 .filter(|it| it.node == cold.node && it.at < cold.at + rules.slow_start_time);
             let arrivals: Vec<(Duration, f64)> =
-                arrivals.map(|it| (it.at, self.units(it.life, it.request))).collect();
+                arrivals.map(|it| (it.at, self.units(it.generation, it.request))).collect();
             for (number, (end, _)) in arrivals.iter().enumerate() {
-                let inside = arrivals[..=number].iter().filter(|(at, _)| *at + rules.overload_window > *end);
-                let sum: f64 = inside.map(|(_, units)| units).sum();
+                let in_window =
+                    arrivals[..=number].iter().filter(|(at, _)| *at + rules.overload_window > *end);
+                let sum: f64 = in_window.map(|(_, units)| units).sum();
                 let age = end.saturating_sub(cold.at).div_duration_f64(rules.slow_start_time);
-                let capacity = cold.power
+                let capacity = cold.service_rate
                     * (rules.slow_start_min_share + (1.0 - rules.slow_start_min_share) * age).min(1.0);
-                let borne = (rules.overload_factor * capacity * rules.overload_window.as_secs_f64())
+                let max_units = (rules.overload_factor * capacity * rules.overload_window.as_secs_f64())
                     .max(units.slow_start_units);
-                breaches.cold += u64::from(sum > borne + slack);
+                breaches.cold += u64::from(sum > max_units + slack);
             }
         }
     }
 
     fn check_limits(&self, breaches: &mut Breaches) {
-        let mut stores: BTreeMap<VolumeId, (Duration, f64)> = BTreeMap::new();
+        let mut balances: BTreeMap<VolumeId, (Duration, f64)> = BTreeMap::new();
         for sent in self.attempts.iter().filter(|sent| sent.number == 0) {
-            let Some(asked) = self.by_id.get(&(sent.life, sent.request)).map(|at| &self.requests[*at]) else {
+            let Some(accepted_request) =
+                self.by_id.get(&(sent.generation, sent.request)).map(|at| &self.requests[*at])
+            else {
                 continue;
             };
-            let Some(limit) = self.settings.plans[asked.new.plan].limit else { continue };
-            let (at, level) = stores.get(&asked.new.volume).copied().unwrap_or((Duration::ZERO, limit.burst));
-            let filled =
-                (level + limit.rate * (sent.at - at).as_secs_f64()).min(limit.burst) - asked.new.units;
-            stores.insert(asked.new.volume, (sent.at, filled));
-            breaches.limits += u64::from(filled < -limit.overdraft - 1e-6);
+            let Some(limit) = self.settings.plans[accepted_request.new.plan].limit else { continue };
+            let (at, level) =
+                balances.get(&accepted_request.new.volume).copied().unwrap_or((Duration::ZERO, limit.burst));
+            let remaining = (level + limit.rate * (sent.at - at).as_secs_f64()).min(limit.burst)
+                - accepted_request.new.units;
+            balances.insert(accepted_request.new.volume, (sent.at, remaining));
+            breaches.limits += u64::from(remaining < -limit.overdraft - 1e-6);
         }
     }
 
     fn check_order(
         &self,
-        attempts: &HashMap<(usize, RequestId), Vec<&Sent>>,
-        answers: &HashMap<(usize, Origin), Vec<(Duration, Ending)>>,
+        attempts: &HashMap<(usize, RequestId), Vec<&SentAttempt>>,
+        answers: &HashMap<(usize, Origin), Vec<(Duration, FinalAnswer)>>,
         breaches: &mut Breaches,
     ) {
-        let mut lines: HashMap<(usize, u64), Vec<&Asked>> = HashMap::new();
-        let ordered = |it: &&Asked| self.settings.classes[it.new.class].in_order && it.new.key != 0;
-        for asked in self.requests.iter().filter(ordered) {
-            lines.entry((asked.life, asked.new.key)).or_default().push(asked);
+        let mut lines: HashMap<(usize, u64), Vec<&AcceptedRequest>> = HashMap::new();
+        let ordered = |it: &&AcceptedRequest| self.settings.classes[it.new.class].in_order && it.new.key != 0;
+        for accepted_request in self.requests.iter().filter(ordered) {
+            lines
+                .entry((accepted_request.generation, accepted_request.new.key))
+                .or_default()
+                .push(accepted_request);
         }
         let settle = self.settings.rules.key_settle_time;
         for line in lines.values() {
-            for (place, asked) in line.iter().enumerate() {
-                let own = attempts.get(&(asked.life, asked.new.id)).map_or(&[][..], Vec::as_slice);
+            for (place, accepted_request) in line.iter().enumerate() {
+                let own = attempts
+                    .get(&(accepted_request.generation, accepted_request.new.id))
+                    .map_or(&[][..], Vec::as_slice);
                 let Some(first) = own.first() else { continue };
-                let early = line[..place].iter().any(|before| {
-                    let told = answers.get(&(before.life, before.origin)).and_then(|told| told.first());
-                    let over = told.is_some_and(|(at, _)| *at <= first.at);
-                    let theirs = attempts.get(&(before.life, before.new.id)).map_or(&[][..], Vec::as_slice);
-                    let rests = theirs.iter().any(|it| match it.over {
+                let out_of_order = line[..place].iter().any(|before| {
+                    let answer =
+                        answers.get(&(before.generation, before.origin)).and_then(|answers| answers.first());
+                    let is_answered = answer.is_some_and(|(at, _)| *at <= first.at);
+                    let earlier =
+                        attempts.get(&(before.generation, before.new.id)).map_or(&[][..], Vec::as_slice);
+                    let is_unsettled = earlier.iter().any(|it| match it.end {
                         None => true,
                         Some((end, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled)) => {
                             end + settle > first.at
                         }
                         Some((end, _)) => end > first.at,
                     });
-                    !over || rests
+                    !is_answered || is_unsettled
                 });
-                breaches.order += u64::from(early);
+                breaches.order += u64::from(out_of_order);
             }
         }
     }
@@ -385,18 +417,22 @@
     fn check_budget(&self, breaches: &mut Breaches) {
         let Some(budget) = self.settings.rules.retry_budget else { return };
         for (at, sent) in self.attempts.iter().enumerate().filter(|(_, sent)| sent.number > 0) {
-            let inside = |when: Duration| when <= sent.at && when + budget.window > sent.at;
+            let in_window = |when: Duration| when <= sent.at && when + budget.window > sent.at;
             let further = self.attempts[..=at].iter();
-            let further =
-                further.filter(|it| it.life == sent.life && it.number > 0 && inside(it.at)).count() as f64;
-            let taken =
-                self.requests.iter().filter(|it| it.life == sent.life && inside(it.at)).count() as f64;
+            let further = further
+                .filter(|it| it.generation == sent.generation && it.number > 0 && in_window(it.at))
+                .count() as f64;
+            let taken = self
+                .requests
+                .iter()
+                .filter(|it| it.generation == sent.generation && in_window(it.at))
+                .count() as f64;
             breaches.budget += u64::from(further > budget.min_retries + budget.retry_ratio * taken + 1e-9);
         }
     }
 }
 
-/// Unix time of a play's start, as requests' deadlines count it.
+/// Unix time of the simulation's start; deadlines of requests count from the Unix epoch.
 pub const EPOCH: Duration = Duration::from_secs(1_000_000);
 
 #[cfg(test)]
--- a/lab/src/settings/mod.rs
+++ b/lab/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! Settings drawn at random, played in virtual time, with every rule checked on what was seen.
+//! Random settings, simulated in virtual time, with every rule checked on the recorded history.
 
 mod check;
 pub mod command;
--- a/lab/src/settings/world.rs
+++ b/lab/src/settings/world.rs
@@ -1,7 +1,8 @@
-//! A small fleet in virtual time under settings drawn at random: the real core and the real scheduler of each host, a
-//! node model, lists that come late, clients, and a history of what was seen from outside. Everything comes of one seed.
+//! Simulates a small fleet in virtual time under random settings: the real core and scheduler of each initiator, a
+//! model of the nodes, delayed node lists and clients. It records a history for [`super::check`]; one seed determines
+//! everything.
 
-use super::check::{Asked, Ending, History, Sent, Started, Told, EPOCH};
+use super::check::{AcceptedRequest, FinalAnswer, History, JoinedNode, ListUpdate, SentAttempt, EPOCH};
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -9,17 +10,19 @@
 use std::collections::BinaryHeap;
 use std::time::{Duration, Instant};
 use topazpath::clock::Clock;
-use topazpath::core::{Answer, AttemptId, AttemptResult, Content, Core, Effect as Done, Operation, Origin};
+use topazpath::core::{
+    Answer, AttemptId, AttemptResult, Content, Core, Effect as CoreEffect, Operation, Origin,
+};
 use topazpath::interface::*;
 use topazpath::Scheduler;
 
 const MS: fn(u64) -> Duration = Duration::from_millis;
 
-/// A connection's way there and back.
-const WAY: Duration = Duration::from_micros(300);
+/// Network round trip to a node.
+const ROUND_TRIP: Duration = Duration::from_micros(300);
 
-/// What a deployment may set, drawn well beyond what any has set so far.
-pub fn draw(random: &mut ChaCha8Rng) -> Settings {
+/// Returns random settings, over ranges well beyond those of existing deployments.
+pub fn random_settings(random: &mut ChaCha8Rng) -> Settings {
     let initiators = random.random_range(1..=6_u32);
     let classes = (0..random.random_range(1..=4)).map(|_| {
         let latency_target = MS(random.random_range(50..2000));
@@ -95,13 +98,13 @@
 /// How a node behaves for a while.
 #[derive(Clone, Copy, PartialEq)]
 enum Health {
-    Well,
-    /// Takes requests and answers none.
+    Healthy,
+    /// Accepts requests and does not answer.
     Hangs,
-    /// Says nothing, not even to a connection.
-    Vanished,
+    /// Crashed: connection attempts time out.
+    Unreachable,
     /// Refuses connections.
-    Dead,
+    Refuses,
     Resets,
     Fails,
     Slow,
@@ -110,28 +113,28 @@
 struct Node {
     entry: NodeEntry,
     health: Health,
-    /// Units a second when warm.
-    power: f64,
+    /// Service rate once warmed up, in units a second.
+    service_rate: f64,
     slots: usize,
-    room: usize,
-    /// When each of what it holds will be done.
-    held: Vec<Duration>,
+    queue_limit: usize,
+    /// When each of its running and queued requests will be done.
+    completions: Vec<Duration>,
 }
 
-struct Host {
+struct Initiator {
     core: Core,
     scheduler: Scheduler,
-    /// It counts anew at each start.
-    life: usize,
-    /// When it is to turn next, if anything is due.
-    turns: Option<Duration>,
+    /// Number of this start, over all initiators.
+    generation: usize,
+    /// When its next step is scheduled, if any is.
+    next_step: Option<Duration>,
 }
 
-enum Happens {
+enum Scheduled {
     Request,
     Fault,
-    Healed(usize),
-    /// A list reaches a host of this life.
+    Recovered(usize),
+    /// A list reaches an initiator, unless it has restarted since this generation.
     List(usize, usize, ListKind, Vec<NodeEntry>),
     Replaced(usize),
     Ended(usize, usize, AttemptId, Outcome),
@@ -139,36 +142,36 @@
     Step(usize),
 }
 
-/// One play.
-pub struct World {
+/// The state of one simulation.
+pub struct Simulation {
     random: ChaCha8Rng,
     settings: Settings,
     base: Instant,
     clock: Clock,
     now: Duration,
-    hosts: Vec<Host>,
+    initiators: Vec<Initiator>,
     nodes: Vec<Node>,
     zones: u32,
-    /// What happens, by time and in the order it was found out.
+    /// Scheduled events by time, then by order of scheduling.
     queue: BinaryHeap<Reverse<(Duration, u64)>>,
-    due: std::collections::HashMap<u64, Happens>,
+    due: std::collections::HashMap<u64, Scheduled>,
     next: u64,
     rate: f64,
     history: History,
 }
 
-/// Plays a seed for some time; what was seen.
-pub fn play(seed: u64, time: Duration) -> History {
+/// Simulates a seed, with requests arriving for `time`, and returns the history.
+pub fn simulate(seed: u64, time: Duration) -> History {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
-    let settings = draw(&mut random);
+    let settings = random_settings(&mut random);
     let (base, shards, zones) = (Instant::now(), random.random_range(2..=5_u32), random.random_range(1..=3));
     let clock = Clock::new(base, EPOCH);
-    let mut world = World {
+    let mut simulation = Simulation {
         settings: settings.clone(),
         base,
         clock,
         now: Duration::ZERO,
-        hosts: Vec::new(),
+        initiators: Vec::new(),
         nodes: Vec::new(),
         zones,
         queue: BinaryHeap::new(),
@@ -178,27 +181,27 @@
         history: History::new(settings),
         random,
     };
-    for number in 0..random_nodes(&mut world.random, shards) {
-        world.add_node(number % shards, None);
+    for number in 0..random_node_count(&mut simulation.random, shards) {
+        simulation.add_node(number % shards, None);
     }
-    for at in 0..world.settings.initiators as usize {
-        world.start_host(at);
+    for at in 0..simulation.settings.initiators as usize {
+        simulation.start_initiator(at);
     }
-    world.at(Duration::ZERO, Happens::Request);
-    world.at(MS(1000), Happens::Fault);
-    world.at(MS(2500), Happens::Crash);
-    world.run(time);
-    world.history
+    simulation.schedule(Duration::ZERO, Scheduled::Request);
+    simulation.schedule(MS(1000), Scheduled::Fault);
+    simulation.schedule(MS(2500), Scheduled::Crash);
+    simulation.run(time);
+    simulation.history
 }
 
-fn random_nodes(random: &mut ChaCha8Rng, shards: u32) -> u32 {
+fn random_node_count(random: &mut ChaCha8Rng, shards: u32) -> u32 {
     shards + random.random_range(0..=shards)
 }
 
-impl World {
-    fn at(&mut self, at: Duration, happens: Happens) {
+impl Simulation {
+    fn schedule(&mut self, at: Duration, event: Scheduled) {
         self.next += 1;
-        self.due.insert(self.next, happens);
+        self.due.insert(self.next, event);
         self.queue.push(Reverse((at, self.next)));
     }
 
@@ -206,114 +209,126 @@
         let zone = self.random.random_range(0..self.zones);
         let node = NodeId(self.nodes.len() as u32 + 1);
         let entry = NodeEntry { node, shard, zone, started, state: NodeState::Ready, no_new_objects: false };
-        self.history.placed(node, shard, zone);
+        self.history.node_added(node, shard, zone);
         self.nodes.push(Node {
             entry,
-            health: Health::Well,
-            power: self.random.random_range(3.0..150.0),
+            health: Health::Healthy,
+            service_rate: self.random.random_range(3.0..150.0),
             slots: self.random.random_range(1..=8),
-            room: self.random.random_range(4..60),
-            held: Vec::new(),
+            queue_limit: self.random.random_range(4..60),
+            completions: Vec::new(),
         });
     }
 
-    fn start_host(&mut self, at: usize) {
-        let life = self.history.lives.len();
-        self.history.lives.push(self.now);
+    fn start_initiator(&mut self, at: usize) {
+        let generation = self.history.generation_starts.len();
+        self.history.generation_starts.push(self.now);
         let mut core = Core::new(self.clock, self.settings.limits.max_retry_after);
         core.set_classes(&self.settings.classes);
-        let host = Host {
+        let initiator = Initiator {
             core,
             scheduler: Scheduler::new(self.settings.clone(), self.random.random()),
-            life,
-            turns: None,
+            generation,
+            next_step: None,
         };
-        match self.hosts.get_mut(at) {
-            Some(old) => *old = host,
-            None => self.hosts.push(host),
+        match self.initiators.get_mut(at) {
+            Some(old) => *old = initiator,
+            None => self.initiators.push(initiator),
         }
         let entries: Vec<NodeEntry> = self.nodes.iter().map(|node| node.entry.clone()).collect();
-        self.tell(at, ListKind::Cached, entries.clone());
+        self.deliver_list(at, ListKind::Cached, entries.clone());
         let soon = self.now + MS(self.random.random_range(10..2000));
-        self.at(soon, Happens::List(at, life, ListKind::Full, entries));
+        self.schedule(soon, Scheduled::List(at, generation, ListKind::Full, entries));
     }
 
-    /// A host hears of the list now.
-    fn tell(&mut self, at: usize, kind: ListKind, entries: Vec<NodeEntry>) {
-        let life = self.hosts[at].life;
+    /// Delivers a list to an initiator.
+    fn deliver_list(&mut self, at: usize, kind: ListKind, entries: Vec<NodeEntry>) {
+        let generation = self.initiators[at].generation;
         for entry in &entries {
-            self.history.told(Told { life, at: self.now, node: entry.node, state: entry.state });
+            self.history.list_received(ListUpdate {
+                generation,
+                at: self.now,
+                node: entry.node,
+                state: entry.state,
+            });
         }
-        self.hosts[at].core.push_event(Event::List { kind, entries });
+        self.initiators[at].core.push_event(Event::List { kind, entries });
         self.step(at);
     }
 
-    /// All hosts hear of a change, each later.
-    fn spread(&mut self, entry: &NodeEntry) {
-        for at in 0..self.hosts.len() {
-            let late = self.now + MS(self.random.random_range(0..3000));
-            let life = self.hosts[at].life;
-            self.at(late, Happens::List(at, life, ListKind::Delta, vec![entry.clone()]));
+    /// Schedules a change of a node for all initiators, each with its own delay.
+    fn broadcast(&mut self, entry: &NodeEntry) {
+        for at in 0..self.initiators.len() {
+            let received_at = self.now + MS(self.random.random_range(0..3000));
+            let generation = self.initiators[at].generation;
+            self.schedule(received_at, Scheduled::List(at, generation, ListKind::Delta, vec![entry.clone()]));
         }
     }
 
     fn run(&mut self, time: Duration) {
-        // After the last arrival a play goes on until all is to be answered.
+        // After the last arrival the simulation goes on until every request must have been answered.
         let longest = self.settings.classes.iter().map(|class| class.deadline).max().unwrap_or_default();
         let end = time + longest + MS(1000);
         while let Some(Reverse((at, number))) = self.queue.pop() {
-            let Some(happens) = self.due.remove(&number) else { continue };
+            let Some(event) = self.due.remove(&number) else { continue };
             if at > end {
                 break;
             }
             self.now = at;
-            match happens {
-                Happens::Request if at <= time => self.ask(),
-                Happens::Fault if at <= time => self.fault(),
-                Happens::Crash if at <= time => {
+            match event {
+                Scheduled::Request if at <= time => self.send_request(),
+                Scheduled::Fault if at <= time => self.fault(),
+                Scheduled::Crash if at <= time => {
                     if self.random.random_bool(0.4) {
-                        let host = self.random.random_range(0..self.hosts.len());
-                        let life = self.hosts[host].life;
-                        self.history.ended.insert(life, self.now);
-                        self.start_host(host);
+                        let initiator = self.random.random_range(0..self.initiators.len());
+                        let generation = self.initiators[initiator].generation;
+                        self.history.crashed.insert(generation, self.now);
+                        self.start_initiator(initiator);
                     }
                     let next = self.now + MS(self.random.random_range(500..6000));
-                    self.at(next, Happens::Crash);
+                    self.schedule(next, Scheduled::Crash);
                 }
-                Happens::Request | Happens::Fault | Happens::Crash => {}
-                Happens::Healed(node) => self.nodes[node].health = Health::Well,
-                Happens::Replaced(node) => {
+                Scheduled::Request | Scheduled::Fault | Scheduled::Crash => {}
+                Scheduled::Recovered(node) => self.nodes[node].health = Health::Healthy,
+                Scheduled::Replaced(node) => {
                     self.nodes[node].entry.state = NodeState::Gone;
                     let gone = self.nodes[node].entry.clone();
-                    self.spread(&gone);
+                    self.broadcast(&gone);
                     self.add_node(gone.shard, Some(EPOCH + self.now));
                     if let Some(node) = self.nodes.last() {
                         let entry = node.entry.clone();
-                        let cold = Started { node: entry.node, at: self.now, power: node.power };
-                        self.history.started.push(cold);
-                        self.spread(&entry);
+                        let joined =
+                            JoinedNode { node: entry.node, at: self.now, service_rate: node.service_rate };
+                        self.history.started.push(joined);
+                        self.broadcast(&entry);
                     }
                 }
-                Happens::List(at, life, kind, entries) => {
-                    if self.hosts[at].life == life {
-                        self.tell(at, kind, entries);
+                Scheduled::List(at, generation, kind, entries) => {
+                    if self.initiators[at].generation == generation {
+                        self.deliver_list(at, kind, entries);
                     }
                 }
-                Happens::Ended(at, life, attempt, outcome) => {
-                    if self.hosts[at].life == life {
+                Scheduled::Ended(at, generation, attempt, outcome) => {
+                    if self.initiators[at].generation == generation {
                         let now = self.base + self.now;
-                        self.hosts[at].core.attempt_ended(
+                        self.initiators[at].core.attempt_ended(
                             now,
                             attempt,
                             AttemptResult::without_reply(outcome),
                         );
-                        self.history.over(life, attempt.request, attempt.number, self.now, outcome);
+                        self.history.attempt_ended(
+                            generation,
+                            attempt.request,
+                            attempt.number,
+                            self.now,
+                            outcome,
+                        );
                         self.step(at);
                     }
                 }
-                // One that was put forward is left out.
-                Happens::Step(at) => {
-                    if self.hosts[at].turns.take_if(|turns| *turns == self.now).is_some() {
+                // A step that was replaced by an earlier one is skipped.
+                Scheduled::Step(at) => {
+                    if self.initiators[at].next_step.take_if(|next_step| *next_step == self.now).is_some() {
                         self.step(at);
                     }
                 }
@@ -323,31 +338,37 @@
 
     fn fault(&mut self) {
         let next = self.now + MS(self.random.random_range(200..4000));
-        self.at(next, Happens::Fault);
+        self.schedule(next, Scheduled::Fault);
         let node = self.random.random_range(0..self.nodes.len());
-        let health =
-            [Health::Hangs, Health::Vanished, Health::Dead, Health::Resets, Health::Fails, Health::Slow];
+        let health = [
+            Health::Hangs,
+            Health::Unreachable,
+            Health::Refuses,
+            Health::Resets,
+            Health::Fails,
+            Health::Slow,
+        ];
         if self.nodes[node].entry.state == NodeState::Ready && self.random.random_bool(0.4) {
             self.nodes[node].entry.state = NodeState::Draining;
             let entry = self.nodes[node].entry.clone();
-            self.spread(&entry);
+            self.broadcast(&entry);
             let gone = self.now + MS(self.random.random_range(500..5000));
-            self.at(gone, Happens::Replaced(node));
+            self.schedule(gone, Scheduled::Replaced(node));
         } else if let Some(health) = health.choose(&mut self.random) {
             self.nodes[node].health = *health;
-            let healed = self.now + MS(self.random.random_range(200..8000));
-            self.at(healed, Happens::Healed(node));
+            let recovered = self.now + MS(self.random.random_range(200..8000));
+            self.schedule(recovered, Scheduled::Recovered(node));
         }
     }
 
-    /// A client asks one host.
-    fn ask(&mut self) {
-        let pause = -(1.0 - self.random.random::<f64>()).ln() / self.rate;
-        self.at(self.now + Duration::from_secs_f64(pause), Happens::Request);
-        let (hosts, random) = (self.settings.initiators, &mut self.random);
+    /// Sends a random request to one initiator, and schedules the next.
+    fn send_request(&mut self) {
+        let gap = -(1.0 - self.random.random::<f64>()).ln() / self.rate;
+        self.schedule(self.now + Duration::from_secs_f64(gap), Scheduled::Request);
+        let (initiators, random) = (self.settings.initiators, &mut self.random);
         let volume = random.random_range(0..12_u64);
-        let over = 1 + volume as u32 % hosts;
-        let at = ((volume as u32 + random.random_range(0..over)) % hosts) as usize;
+        let volume_initiators = 1 + volume as u32 % initiators;
+        let at = ((volume as u32 + random.random_range(0..volume_initiators)) % initiators) as usize;
         let class = random.random_range(0..self.settings.classes.len());
         let shard = self.nodes.choose(random).map(|node| node.entry.shard);
         let deadline = self.settings.classes[class].deadline.mul_f64(random.random_range(0.3..1.0));
@@ -360,7 +381,7 @@
             deadline: EPOCH + self.now + deadline,
             units: f64::from(random.random_range(1..=self.settings.units.largest as u32)),
             shard: shard.filter(|_| random.random_bool(0.8)),
-            volume_initiators: f64::from(over),
+            volume_initiators: f64::from(volume_initiators),
         };
         let content = Content {
             operation: Operation::Read,
@@ -371,104 +392,114 @@
             body_stream: None,
             extent: None,
         };
-        let host = &mut self.hosts[at];
+        let initiator = &mut self.initiators[at];
         let origin = Origin { conn: at, sequence: self.next };
-        if let Some(id) = host.core.accept(origin, new.clone(), content) {
-            let asked = Asked { life: host.life, at: self.now, new: NewRequest { id, ..new }, origin };
-            self.history.asked(asked);
+        if let Some(id) = initiator.core.accept(origin, new.clone(), content) {
+            let accepted = AcceptedRequest {
+                generation: initiator.generation,
+                at: self.now,
+                new: NewRequest { id, ..new },
+                origin,
+            };
+            self.history.accepted(accepted);
         }
         self.step(at);
     }
 
-    /// What the loop does in one turn.
+    /// Runs one iteration of an initiator's event loop.
     fn step(&mut self, at: usize) {
         let now = self.base + self.now;
-        self.hosts[at].core.fire_timers(now);
+        self.initiators[at].core.fire_timers(now);
         loop {
-            let effects = self.hosts[at].core.drain_effects();
-            let host = &mut self.hosts[at];
+            let effects = self.initiators[at].core.drain_effects();
+            let initiator = &mut self.initiators[at];
             if effects.is_empty() {
-                let events = host.core.drain_events();
+                let events = initiator.core.drain_events();
                 if events.is_empty() {
                     break;
                 }
                 let mut actions = Vec::new();
-                host.scheduler.handle(EPOCH + self.now, &events, &mut actions);
-                host.core.carry_out(now, actions);
+                initiator.scheduler.handle(EPOCH + self.now, &events, &mut actions);
+                initiator.core.carry_out(now, actions);
             }
             effects.into_iter().for_each(|effect| self.carry_out(at, effect));
         }
-        let due = self.hosts[at].core.next_timer();
+        let due = self.initiators[at].core.next_timer();
         let due = due.map(|due| due.saturating_duration_since(self.base).max(self.now + MS(1)));
-        if let Some(due) = due.filter(|due| self.hosts[at].turns.is_none_or(|turns| *due < turns)) {
-            self.hosts[at].turns = Some(due);
-            self.at(due, Happens::Step(at));
+        if let Some(due) =
+            due.filter(|due| self.initiators[at].next_step.is_none_or(|next_step| *due < next_step))
+        {
+            self.initiators[at].next_step = Some(due);
+            self.schedule(due, Scheduled::Step(at));
         }
     }
 
-    fn carry_out(&mut self, at: usize, effect: Done) {
-        let life = self.hosts[at].life;
+    fn carry_out(&mut self, at: usize, effect: CoreEffect) {
+        let generation = self.initiators[at].generation;
         match effect {
-            Done::Answer { origin, answer } => {
-                let ending = match answer {
-                    Answer::Served(_) => Ending::Served,
-                    Answer::Refused { .. } => Ending::Refused,
-                    Answer::Failed => Ending::Failed,
+            CoreEffect::Answer { origin, answer } => {
+                let answer_kind = match answer {
+                    Answer::Served(_) => FinalAnswer::Served,
+                    Answer::Refused { .. } => FinalAnswer::Refused,
+                    Answer::Failed => FinalAnswer::Failed,
                 };
-                self.history.answered(life, origin, self.now, ending);
+                self.history.answered(generation, origin, self.now, answer_kind);
             }
-            Done::Stop { attempt, outcome } => {
-                self.at(self.now, Happens::Ended(at, life, attempt, outcome));
+            CoreEffect::Stop { attempt, outcome } => {
+                self.schedule(self.now, Scheduled::Ended(at, generation, attempt, outcome));
             }
-            Done::Start { attempt, node, .. } => self.start(at, life, attempt, node),
-            // Here an attempt reaches its node in the moment that it starts.
-            Done::CancelUnsent { .. } | Done::BodyAvailable { .. } | Done::EndStream { .. } => {}
+            CoreEffect::Start { attempt, node, .. } => self.start(at, generation, attempt, node),
+            // In the simulation an attempt reaches its node as soon as it starts, so nothing is unsent.
+            CoreEffect::CancelUnsent { .. }
+            | CoreEffect::BodyAvailable { .. }
+            | CoreEffect::EndStream { .. } => {}
         }
     }
 
-    /// An attempt reaches a node.
-    fn start(&mut self, at: usize, life: usize, attempt: AttemptId, id: NodeId) {
-        self.history.sent(Sent {
-            life,
+    /// Records an attempt and schedules its end by the model of the node.
+    fn start(&mut self, at: usize, generation: usize, attempt: AttemptId, id: NodeId) {
+        self.history.sent(SentAttempt {
+            generation,
             request: attempt.request,
             number: attempt.number,
             node: id,
             at: self.now,
-            over: None,
+            end: None,
         });
-        let units = self.history.units(life, attempt.request);
+        let units = self.history.units(generation, attempt.request);
         let now = self.now;
         let connect = self.settings.limits.connect_timeout;
-        let (cold, share) = (self.settings.rules.slow_start_time, self.settings.rules.slow_start_min_share);
+        let (slow_start_time, share) =
+            (self.settings.rules.slow_start_time, self.settings.rules.slow_start_min_share);
         let drawn: f64 = self.random.random();
         let Some(node) = self.nodes.get_mut(id.0 as usize - 1) else { return };
-        node.held.retain(|done| *done > now);
-        let refused = node.entry.state == NodeState::Gone;
+        node.completions.retain(|done| *done > now);
+        let is_gone = node.entry.state == NodeState::Gone;
         let (after, outcome) = match node.health {
-            Health::Vanished => (connect, Outcome::NotConnected),
-            Health::Dead => (WAY, Outcome::NotConnected),
-            _ if refused => (WAY, Outcome::NotConnected),
+            Health::Unreachable => (connect, Outcome::NotConnected),
+            Health::Refuses => (ROUND_TRIP, Outcome::NotConnected),
+            _ if is_gone => (ROUND_TRIP, Outcome::NotConnected),
             Health::Hangs => return,
-            Health::Resets if drawn < 0.5 => (WAY, Outcome::Reset),
-            Health::Fails if drawn < 0.5 => (WAY, Outcome::Error),
-            _ if node.held.len() >= node.slots + node.room => (WAY, Outcome::Rejected),
+            Health::Resets if drawn < 0.5 => (ROUND_TRIP, Outcome::Reset),
+            Health::Fails if drawn < 0.5 => (ROUND_TRIP, Outcome::Error),
+            _ if node.completions.len() >= node.slots + node.queue_limit => (ROUND_TRIP, Outcome::Rejected),
             health => {
                 let age = now.saturating_sub(node.entry.started.map_or(Duration::ZERO, |it| it - EPOCH));
                 let warmth = match node.entry.started {
-                    Some(_) => (share + (1.0 - share) * age.div_duration_f64(cold)).min(1.0),
+                    Some(_) => (share + (1.0 - share) * age.div_duration_f64(slow_start_time)).min(1.0),
                     None => 1.0,
                 };
                 let slow = if health == Health::Slow { 8.0 } else { 1.0 };
-                let one = node.slots as f64 * units * slow / (node.power * warmth);
-                // In turn of arrival: the slot that is free first takes it.
-                let mut done = node.held.clone();
-                done.sort();
-                let begins = done.iter().rev().nth(node.slots - 1).copied().unwrap_or(now);
-                let ends = begins.max(now) + Duration::from_secs_f64(one);
-                node.held.push(ends);
-                (ends - now + WAY, Outcome::Served)
+                let service_time = node.slots as f64 * units * slow / (node.service_rate * warmth);
+                // First come, first served: the slot that is free first takes it.
+                let mut ends = node.completions.clone();
+                ends.sort();
+                let start = ends.iter().rev().nth(node.slots - 1).copied().unwrap_or(now);
+                let end = start.max(now) + Duration::from_secs_f64(service_time);
+                node.completions.push(end);
+                (end - now + ROUND_TRIP, Outcome::Served)
             }
         };
-        self.at(now + after, Happens::Ended(at, life, attempt, outcome));
+        self.schedule(now + after, Scheduled::Ended(at, generation, attempt, outcome));
     }
 }
--- a/lab/src/soak/checker.rs
+++ b/lab/src/soak/checker.rs
@@ -58,8 +58,8 @@
     all
 }
 
-/// Returns the tolerance for times measured at two sockets: socket delay, the stand-ins' own delay, and the longest time
-/// that the process was stopped.
+/// Returns the tolerance for times measured at two sockets: socket delay, the stand-ins' own delay, and the longest
+/// time that the process was stopped.
 fn slack(history: &History) -> Duration {
     let longest_hold = history.holds.iter().map(|(from, to)| *to - *from).max().unwrap_or_default();
     // The rules allow a process to be stopped for 0.15 s, and no plan stops it for longer.
--- a/lab/src/soak/clients.rs
+++ b/lab/src/soak/clients.rs
@@ -72,7 +72,8 @@
         }
     }
 
-    /// Sends one random request. Without `may_connect` only idle connections are used, and nothing is sent if there is none.
+    /// Sends one random request. Without `may_connect` only idle connections are used, and nothing is sent if there is
+    /// none.
     pub fn send(
         &mut self,
         now: Instant,
--- a/lab/src/soak/crowds.rs
+++ b/lab/src/soak/crowds.rs
@@ -1,5 +1,6 @@
-//! `topazpath-lab crowds`: waves of idle connections against a low descriptor limit, while requests arrive on new and on
-//! established connections. The remaining time told to nodes and the time of answers are compared with the clients' deadlines.
+//! `topazpath-lab crowds`: waves of idle connections against a low descriptor limit, while requests arrive on new and
+//! on established connections. The remaining time told to nodes and the time of answers are compared with the clients'
+//! deadlines.
 
 use super::history::{Attempt, End, History, Request};
 use super::plan::{Fault, Plan};
--- a/lab/src/soak/mod.rs
+++ b/lab/src/soak/mod.rs
@@ -1,5 +1,6 @@
-//! `topazpath-lab soak`: runs the real process between stand-in clients, nodes and discovery, and injects faults. A seed
-//! determines the plan of traffic and faults, so a run can be repeated. Checkers examine what the stand-ins recorded.
+//! `topazpath-lab soak`: runs the real process between stand-in clients, nodes and discovery, and injects faults. A
+//! seed determines the plan of traffic and faults, so a run can be repeated. Checkers examine what the stand-ins
+//! recorded.
 
 mod checker;
 mod clients;
--- a/lab/src/soak/nodes.rs
+++ b/lab/src/soak/nodes.rs
@@ -148,8 +148,8 @@
 
     /// Accepts the pending connections of a node.
     pub fn accept(&mut self, node: usize, registry: &Registry, mut token: impl FnMut() -> Token) {
-        // A node that is down accepts too, and resets: if connections stayed in the queue, their commands would be recorded
-        // as starting when the node is up again.
+        // A node that is down accepts too, and resets: if connections stayed in the queue, their commands would be
+        // recorded as starting when the node is up again.
         let is_down = matches!(self.nodes[node].failure, Some((Failure::Down, _)));
         let Endpoint::Listening(listener) = &self.nodes[node].endpoint else { return };
         while let Ok((stream, _)) = listener.accept() {
--- a/lab/src/soak/plan.rs
+++ b/lab/src/soak/plan.rs
@@ -17,8 +17,8 @@
 const NEW_CONNECTIONS: f64 = 0.15;
 /// Mixed into the seed of extended runs, so that their draws differ from those of plain runs.
 const EXTENDED_SEED_MASK: u64 = 0x6578_7465_6e64;
-/// Share of the extended runs with waves of idle connections, and the limits of these: number of waves, connections of a
-/// wave as a multiple of the descriptor limit, and connections of a wave.
+/// Share of the extended runs with waves of idle connections, and the limits of these: number of waves, connections of
+/// a wave as a multiple of the descriptor limit, and connections of a wave.
 const CROWD_PROBABILITY: f64 = 0.7;
 const MAX_WAVES: usize = 4;
 const MAX_CROWD_PER_DESCRIPTOR: usize = 20;
@@ -134,8 +134,8 @@
         }
     }
 
-    /// Returns the extended plan of a seed: waves of idle connections, half of the requests on new connections, and series of
-    /// signals during shutdown.
+    /// Returns the extended plan of a seed: waves of idle connections, half of the requests on new connections, and
+    /// series of signals during shutdown.
     pub fn draw_extended(seed: u64, short: bool) -> Plan {
         let mut plan = Plan::draw(seed, short);
         let mut random = ChaCha8Rng::seed_from_u64(seed ^ EXTENDED_SEED_MASK);
@@ -180,8 +180,8 @@
         self.crowd > 0 || waves
     }
 
-    /// Returns the time from SIGTERM to SIGKILL: the longest deadline, capped at 3 s, plus 0.7 s. No supervisor may kill the
-    /// process earlier.
+    /// Returns the time from SIGTERM to SIGKILL: the longest deadline, capped at 3 s, plus 0.7 s. No supervisor may
+    /// kill the process earlier.
     pub fn grace(&self) -> Duration {
         self.deadlines[0].max(self.deadlines[1]).min(ms(3_000)) + ms(700)
     }
--- a/lab/src/soak/tests.rs
+++ b/lab/src/soak/tests.rs
@@ -35,10 +35,10 @@
     }
 }
 
-/// The listener's accept queue held 128 connections. When many idle clients connected at once, the kernel silently dropped
-/// the handshakes beyond that, and a client retries after 1.0 s. Its request was then served as if it had just been sent: a
-/// node was told 0.99 to 1.01 s too much remaining time (issue 42; `ss -ltnm` shows the queue length and the drops). With an
-/// accept queue of 4,096 the same seeds violated no rule.
+/// The listener's accept queue held 128 connections. When many idle clients connected at once, the kernel silently
+/// dropped the handshakes beyond that, and a client retries after 1.0 s. Its request was then served as if it had just
+/// been sent: a node was told 0.99 to 1.01 s too much remaining time (issue 42; `ss -ltnm` shows the queue length and
+/// the drops). With an accept queue of 4,096 the same seeds violated no rule.
 #[test]
 fn time_before_a_connection_is_accepted_counts() {
     let _alone = processor::alone();
@@ -47,13 +47,13 @@
     assert!(breaches.is_empty(), "{breaches:#?}");
 }
 
-/// Four waves of 1,500 idle connections against 256 descriptors, with the process running and repeatedly stopped, while half
-/// of the requests arrive on new connections.
+/// Four waves of 1,500 idle connections against 256 descriptors, with the process running and repeatedly stopped,
+/// while half of the requests arrive on new connections.
 ///
-/// Requests that had waited in the accept queue for over a second were served as if they had just been sent, since a client's
-/// deadline counted from the accept: nodes were told up to 365 ms too much remaining time, and some answers were late. With
-/// all connection slots taken, the queue was not served for 20 ms at a time, and a silent client kept its slot for 50 ms, so
-/// an accept queue of 700 to 1,000 shrank by only some 800 a second on an idle processor.
+/// Requests that had waited in the accept queue for over a second were served as if they had just been sent, since a
+/// client's deadline counted from the accept: nodes were told up to 365 ms too much remaining time, and some answers
+/// were late. With all connection slots taken, the queue was not served for 20 ms at a time, and a silent client kept
+/// its slot for 50 ms, so an accept queue of 700 to 1,000 shrank by only some 800 a second on an idle processor.
 #[test]
 fn a_crowd_makes_no_request_older_than_it_is_told_to_be() {
     let _alone = processor::alone();
