--- a/lab/src/check.rs
+++ b/lab/src/check.rs
@@ -1,7 +1,7 @@
 //! Checkers of the rules. They read what clients, nodes and the experiment wrote down, and know nothing of how the
 //! program works.
 
-use crate::stand_ins::clients::{Item, Told};
+use crate::stand_ins::clients::{RequestEnd, SentRequest};
 use crate::stand_ins::service::Attempt;
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap};
@@ -81,7 +81,7 @@
 }
 
 /// Checks a run.
-pub fn check(items: &[Item], attempts: &[Attempt], terms: &Terms) -> Breaches {
+pub fn check(items: &[SentRequest], attempts: &[Attempt], terms: &Terms) -> Breaches {
     Breaches {
         duplicates: items.iter().filter(|item| item.answers > 1).count(),
         orphans: items.iter().filter(|item| is_orphan(item, &terms.troubles)).count(),
@@ -92,14 +92,14 @@
 }
 
 /// An item that a machine accepted, that got no answer, while the machine could have given one.
-pub fn is_orphan(item: &Item, troubles: &[Trouble]) -> bool {
+pub fn is_orphan(item: &SentRequest, troubles: &[Trouble]) -> bool {
     let Some(machine) = item.machine else { return false };
     let in_trouble = |trouble: &Trouble| {
         trouble.machine == machine
             && trouble.from <= item.ended
             && trouble.to.is_none_or(|to| item.sent <= to)
     };
-    matches!(item.told, Told::Closed | Told::Nothing) && !troubles.iter().any(in_trouble)
+    matches!(item.end, RequestEnd::Closed | RequestEnd::TimedOut) && !troubles.iter().any(in_trouble)
 }
 
 fn is_late(attempt: &Attempt, drains: &[Drain]) -> bool {
@@ -118,7 +118,7 @@
     let mut volumes: BTreeMap<&str, Vec<(Instant, f64)>> = BTreeMap::new();
     for attempt in attempts.iter().filter(|attempt| attempt.plan == "base") {
         // Only an item's first attempt takes units.
-        if first.insert(&attempt.item, attempt.at).is_none() {
+        if first.insert(&attempt.request_id, attempt.at).is_none() {
             volumes.entry(&attempt.volume).or_default().push((attempt.at, attempt.units));
         }
     }
@@ -143,7 +143,7 @@
     attempts
         .iter()
         .filter(|attempt| {
-            let count = sent.entry(&attempt.item).or_default();
+            let count = sent.entry(&attempt.request_id).or_default();
             *count += 1;
             let allowed = if attempt.class == "append" { 1 } else { 4 };
             *count > allowed
--- a/lab/src/check/tests.rs
+++ b/lab/src/check/tests.rs
@@ -2,12 +2,12 @@
 
 fn attempt(at: Instant, item: &str, class: &str, units: f64) -> Attempt {
     let (plan, volume) = ("base".to_string(), "1".to_string());
-    Attempt { at, node: 1, item: item.into(), class: class.into(), plan, volume, units }
+    Attempt { at, node: 1, request_id: item.into(), class: class.into(), plan, volume, units }
 }
 
-fn item(sent: Instant, told: Told, machine: Option<usize>) -> Item {
-    let (answers, ended) = (usize::from(told == Told::Served), sent + Duration::from_millis(500));
-    Item { sent, ended, told, answers, machine }
+fn item(sent: Instant, end: RequestEnd, machine: Option<usize>) -> SentRequest {
+    let (answers, ended) = (usize::from(end == RequestEnd::Served), sent + Duration::from_millis(500));
+    SentRequest { sent, ended, end, answers, machine }
 }
 
 fn terms() -> Terms {
@@ -17,9 +17,10 @@
 #[test]
 fn a_planted_duplicate_and_an_orphan_are_found() {
     let now = Instant::now();
-    let twice = Item { answers: 2, ..item(now, Told::Served, Some(0)) };
-    let lost = item(now, Told::Closed, Some(0));
-    let items = [twice, lost.clone(), item(now, Told::Served, Some(0)), item(now, Told::Closed, None)];
+    let twice = SentRequest { answers: 2, ..item(now, RequestEnd::Served, Some(0)) };
+    let lost = item(now, RequestEnd::Closed, Some(0));
+    let items =
+        [twice, lost.clone(), item(now, RequestEnd::Served, Some(0)), item(now, RequestEnd::Closed, None)];
     let breaches = check(&items, &[], &terms());
     assert_eq!((breaches.duplicates, breaches.orphans, breaches.none()), (1, 1, false));
     let dead = |machine| Trouble { machine, from: now + Duration::from_millis(100), to: None };
--- a/lab/src/drains.rs
+++ b/lab/src/drains.rs
@@ -3,7 +3,7 @@
 
 use crate::arguments::Common;
 use crate::load::configuration;
-use crate::stand_ins::service::{node, Attempts, Listed, Registry};
+use crate::stand_ins::service::{node, Attempts, ListedNode, Registry};
 use crate::vrrp::experiments::spread;
 use serde_json::{json, Map};
 use std::io::{Read, Write};
@@ -91,13 +91,13 @@
     }
 }
 
-fn list(nodes: &[SocketAddr], renamed: usize, leaves: Option<usize>) -> Vec<Listed> {
-    let line = |(at, address): (usize, &SocketAddr)| Listed {
+fn list(nodes: &[SocketAddr], renamed: usize, leaves: Option<usize>) -> Vec<ListedNode> {
+    let line = |(at, address): (usize, &SocketAddr)| ListedNode {
         name: format!("s-{at}-{renamed}"),
         address: *address,
         shard: SHARDS[at],
         status: if leaves == Some(at) { "leaving" } else { "active" },
-        cold: false,
+        in_slow_start: false,
     };
     nodes.iter().enumerate().map(line).collect()
 }
@@ -140,7 +140,7 @@
         for repeat in 0..repeats {
             for (victim, seen) in [(VICTIMS[0], &mut others), (VICTIMS[1], &mut last)] {
                 let announced = Instant::now();
-                registry.tell(list(&nodes, repeat, Some(victim)));
+                registry.set_list(list(&nodes, repeat, Some(victim)));
                 thread::sleep(GRACE * 2);
                 let attempts = crate::sync::lock(&attempts);
                 // Nodes write down side by side, so that the order is not quite that of time.
@@ -149,7 +149,7 @@
                 seen.push(at.unwrap_or_default());
                 drop(attempts);
                 // It comes again under another name.
-                registry.tell(list(&nodes, repeat + 1, None));
+                registry.set_list(list(&nodes, repeat + 1, None));
                 thread::sleep(Duration::from_millis(300));
             }
         }
--- a/lab/src/hollow/rig.rs
+++ b/lab/src/hollow/rig.rs
@@ -9,7 +9,7 @@
 use super::relay::{Relay, Way};
 use super::switch::Switch;
 use super::{memory, worse, Cut, Requests, Sizes, REGIONS};
-use crate::stand_ins::clients::{Clients, Item, Load, Told, Way as Clientele};
+use crate::stand_ins::clients::{Clients, Destination as Clientele, Load, RequestEnd, SentRequest};
 use crate::stand_ins::service::{node, Attempts};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
@@ -213,7 +213,7 @@
         let serving = self.sizes.serving();
         let load = Load {
             rate: self.sizes.rate,
-            hosts: serving.len(),
+            initiators: serving.len(),
             limited: 0.2,
             volumes: 50,
             shards: self.sizes.alive as u64,
@@ -405,9 +405,10 @@
     /// Ends the clients; what became of their requests.
     pub fn finish(&mut self) -> Result<Requests, String> {
         self.check()?;
-        let items: Vec<Item> = self.clients.drain(..).flat_map(Clients::end).collect();
-        let count = |told: &[Told]| items.iter().filter(|item| told.contains(&item.told)).count();
-        let unanswered = items.iter().filter(|item| matches!(item.told, Told::Closed | Told::Nothing));
+        let items: Vec<SentRequest> = self.clients.drain(..).flat_map(Clients::end).collect();
+        let count = |told: &[RequestEnd]| items.iter().filter(|item| told.contains(&item.end)).count();
+        let unanswered =
+            items.iter().filter(|item| matches!(item.end, RequestEnd::Closed | RequestEnd::TimedOut));
         let (mut lost, mut lost_with_it) = (0, 0);
         for item in unanswered {
             let with = self.killed.iter().any(|(who, before, after)| {
@@ -417,9 +418,9 @@
         }
         Ok(Requests {
             sent: items.len(),
-            served: count(&[Told::Served]),
-            refused: count(&[Told::Refused]),
-            failed: count(&[Told::Failed]),
+            served: count(&[RequestEnd::Served]),
+            refused: count(&[RequestEnd::Refused]),
+            failed: count(&[RequestEnd::Failed]),
             lost,
             lost_with_it,
         })
--- a/lab/src/hollow/scenes/primary.rs
+++ b/lab/src/hollow/scenes/primary.rs
@@ -52,7 +52,7 @@
 fn users(rig: &Rig, node: usize, since: Instant) -> BTreeMap<usize, f64> {
     let mut users = BTreeMap::new();
     for attempt in lock(&rig.attempts).iter().filter(|it| it.node == node && it.at >= since) {
-        if let Some(who) = rig.sender(&attempt.item) {
+        if let Some(who) = rig.sender(&attempt.request_id) {
             users.entry(who).or_insert((attempt.at - since).as_secs_f64());
         }
     }
--- a/lab/src/load.rs
+++ b/lab/src/load.rs
@@ -4,7 +4,7 @@
 
 use crate::arguments::Common;
 use crate::stand_ins::nodes::{Nodes, VALUE};
-use crate::stand_ins::service::{Listed, Registry};
+use crate::stand_ins::service::{ListedNode, Registry};
 use hdrhistogram::Histogram;
 use mio::net::TcpStream;
 use mio::{Events, Interest, Poll, Token};
@@ -227,12 +227,12 @@
     let told = |error: std::io::Error| error.to_string();
     let ip = Ipv4Addr::new(127, 130, std::process::id() as u8, 1);
     let nodes = Nodes::start(ip, play.nodes, play.takes).map_err(told)?;
-    let list = nodes.addresses.iter().enumerate().map(|(number, address)| Listed {
+    let list = nodes.addresses.iter().enumerate().map(|(number, address)| ListedNode {
         name: format!("s-{number}"),
         address: *address,
         shard: number as u32,
         status: "active",
-        cold: false,
+        in_slow_start: false,
     });
     let registry = Registry::start(ip, list.collect()).map_err(told)?;
     let listen = TcpListener::bind((ip, 0)).and_then(|free| free.local_addr()).map_err(told)?;
--- a/lab/src/membership/processes.rs
+++ b/lab/src/membership/processes.rs
@@ -3,9 +3,9 @@
 //! is recorded and checked.
 
 use crate::arguments::Parts;
-use crate::stand_ins::machines::{Fleet, Machine, Setup};
+use crate::stand_ins::machines::{FleetSetup, Machine, Setup};
 use crate::stand_ins::segment::{Link, Segment};
-use crate::stand_ins::service::{node, Attempts, Listed, Registry};
+use crate::stand_ins::service::{node, Attempts, ListedNode, Registry};
 use serde::Serialize;
 use serde_json::{json, Map, Value};
 use std::collections::{BTreeMap, BTreeSet};
@@ -151,7 +151,8 @@
         let ips: Vec<Ipv4Addr> = (0..=size).map(|at| ip(1 + at as u8)).collect();
         let segment = Segment::start(&ips, ip(250), seed)?;
         let address = node(ip(251), 0, Duration::from_millis(2), Attempts::default())?;
-        let listed = Listed { name: "s-1".into(), address, shard: 0, status: "active", cold: false };
+        let listed =
+            ListedNode { name: "s-1".into(), address, shard: 0, status: "active", in_slow_start: false };
         let registry = Registry::start(ip(252), vec![listed])?;
         let names: Vec<String> = (0..=size).map(|at| format!("m-{}", at.min(twin))).collect();
         let seeds = names.iter().zip(segment.ports()).take(3);
@@ -160,7 +161,7 @@
         for (at, port) in segment.ports().iter().enumerate() {
             let folder =
                 std::env::temp_dir().join(format!("topazpath-fleet-{}-{place}-{at}", std::process::id()));
-            let part = Fleet {
+            let part = FleetSetup {
                 port: *port,
                 name: names[at].clone(),
                 seeds: seeds.clone(),
@@ -169,14 +170,14 @@
             };
             let setup = Setup {
                 name: names[at].clone(),
-                listen: port.serves,
-                routes: None,
+                listen: port.listen,
+                vrrp: None,
                 planners: Vec::new(),
                 fleet: fleet.then_some(part),
                 discovery: registry.address,
                 limit: 80.0,
             };
-            listens.push(port.serves);
+            listens.push(port.listen);
             machines.push(Machine::new(program, folder, setup)?);
         }
         for machine in machines.iter_mut().take(size) {
--- a/lab/src/planners/processes.rs
+++ b/lab/src/planners/processes.rs
@@ -3,9 +3,9 @@
 
 use crate::arguments::Common;
 use crate::check::{check, Breaches, Drain, Terms};
-use crate::stand_ins::clients::{Clients, Item, Load, Part, Told, Way};
-use crate::stand_ins::machines::{Machine, Setup, BURST, SLACK};
-use crate::stand_ins::service::{node, Attempt, Attempts, Listed, Registry};
+use crate::stand_ins::clients::{Clients, Destination, Load, LoadShare, RequestEnd, SentRequest};
+use crate::stand_ins::machines::{Machine, Setup, BURST, OVERDRAFT};
+use crate::stand_ins::service::{node, Attempt, Attempts, ListedNode, Registry};
 use crate::worth::Prices;
 use serde_json::{json, Map, Value};
 use std::collections::BTreeMap;
@@ -106,7 +106,7 @@
         let setup = Setup {
             name: format!("f-{at}"),
             listen: *listen,
-            routes: None,
+            vrrp: None,
             planners: if planned { planners.addresses.clone() } else { Vec::new() },
             fleet: None,
             discovery: registry.address,
@@ -118,10 +118,10 @@
     }
     std::thread::sleep(Duration::from_millis(500));
     let start = Instant::now();
-    let load = Load { rate: LEADS, hosts: FORWARDERS, limited: 0.8, volumes: 1, shards: 2 };
+    let load = Load { rate: LEADS, initiators: FORWARDERS, limited: 0.8, volumes: 1, shards: 2 };
     let clients: Vec<Clients> = (0..FORWARDERS)
         .map(|at| {
-            let part: Part = Arc::new(move |since| {
+            let part: LoadShare = Arc::new(move |since| {
                 let lead = (since.as_secs() / LEAD.as_secs()) as usize * 3 % FORWARDERS;
                 if lead == at {
                     1.0
@@ -129,13 +129,13 @@
                     0.125
                 }
             });
-            Clients::start(Way::Direct(listens[at], at), load, part, seed * 100 + at as u64)
+            Clients::start(Destination::Direct(listens[at], at), load, part, seed * 100 + at as u64)
         })
         .collect();
     std::thread::sleep(YOUNG + WITH);
     let killed = Instant::now();
     planners.kill();
-    registry.tell(list(&nodes, "leaving"));
+    registry.set_list(list(&nodes, "leaving"));
     let drains = vec![Drain { node: 2, since: Instant::now(), until: None }];
     std::thread::sleep(outage);
     let back = Instant::now();
@@ -144,9 +144,9 @@
     }
     std::thread::sleep(WITH);
     let end = Instant::now();
-    let items: Vec<Item> = clients.into_iter().flat_map(Clients::end).collect();
+    let items: Vec<SentRequest> = clients.into_iter().flat_map(Clients::end).collect();
     let attempts = attempts.lock().map_err(|_| std::io::Error::other("a node's thread panicked"))?;
-    let terms = Terms { limit: (LIMIT, BURST + SLACK), drains, troubles: Vec::new() };
+    let terms = Terms { limit: (LIMIT, BURST + OVERDRAFT), drains, troubles: Vec::new() };
     // The moves that were in force run out in the first second, and new ones take as long.
     let pause = Duration::from_secs(2);
     let between = |from, to| worth(&attempts, from, to);
@@ -155,13 +155,13 @@
         ended: items.iter().filter(|item| is_ended_by(item, killed)).count(),
         worth: [between(start + YOUNG, killed), between(killed, back), between(back + pause, end)],
         sent: items.len(),
-        served: items.iter().filter(|item| item.told == Told::Served).count(),
+        served: items.iter().filter(|item| item.end == RequestEnd::Served).count(),
     })
 }
 
-fn is_ended_by(item: &Item, killed: Instant) -> bool {
+fn is_ended_by(item: &SentRequest, killed: Instant) -> bool {
     let after = item.ended >= killed && item.ended < killed + Duration::from_millis(500);
-    after && item.sent < killed && matches!(item.told, Told::Failed | Told::Closed)
+    after && item.sent < killed && matches!(item.end, RequestEnd::Failed | RequestEnd::Closed)
 }
 
 /// Worth a second of what was sent for volumes with a limit: the reserve counts most.
@@ -173,13 +173,13 @@
     seconds.values().map(|units| PRICES.worth(*units)).sum::<f64>() / (to - from).as_secs_f64()
 }
 
-fn list(nodes: &[SocketAddr], last: &'static str) -> Vec<Listed> {
-    let listed = |(at, address): (usize, &SocketAddr)| Listed {
+fn list(nodes: &[SocketAddr], last: &'static str) -> Vec<ListedNode> {
+    let listed = |(at, address): (usize, &SocketAddr)| ListedNode {
         name: format!("n-{at}"),
         address: *address,
         shard: at.min(1) as u32,
         status: if at == nodes.len() - 1 { last } else { "active" },
-        cold: false,
+        in_slow_start: false,
     };
     nodes.iter().enumerate().map(listed).collect()
 }
--- a/lab/src/stand_ins/clients.rs
+++ b/lab/src/stand_ins/clients.rs
@@ -1,5 +1,5 @@
-//! Stand-in clients of one virtual address: open loop, each request with its own id, over connections that are opened
-//! again wherever the address leads now. What was sent and what came back is written down for the checkers.
+//! Stand-in clients of one virtual address: open-loop load, each request with its own id, over connections that are
+//! reopened to wherever the address is routed now. Requests and answers are recorded for the checkers.
 
 use crate::stand_ins::segment::Segment;
 use crate::sync::lock;
@@ -12,156 +12,158 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long a client waits for an answer: what it says as `d`, and a little for the way.
-pub const PATIENCE: Duration = Duration::from_millis(1500);
-/// A connection that is older is not used again, so that clients follow the address all the time. It also is well
-/// within the two seconds after which the platform lets an idle one be closed.
-const REUSED: Duration = Duration::from_millis(300);
-/// How many items back a look for recent ones goes.
+/// How long a client waits for an answer. Requests state it as their deadline `d`; 200 ms are added for the network.
+pub const ANSWER_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Older connections are not reused, so that clients follow the address all the time. This is also well within the two
+/// seconds after which an idle connection may be closed.
+const MAX_CONNECTION_AGE: Duration = Duration::from_millis(300);
+/// How many of the newest requests a search for recent ones covers.
 const RECENT: usize = 200;
-/// Requests that may be open together.
-const MOST_OPEN: usize = 1000;
+/// Max number of requests in flight.
+const MAX_IN_FLIGHT: usize = 1000;
 
-/// What a client was told.
+/// How a request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum RequestEnd {
     /// The value.
     Served,
-    /// `-BUSY`: it never ran.
+    /// `-BUSY`: the request did not run.
     Refused,
-    /// `-ERR`.
+    /// `-ERR`: the request may have run.
     Failed,
-    /// The connection ended without an answer.
+    /// The connection closed without an answer.
     Closed,
-    /// Nothing in time.
-    Nothing,
+    /// No answer in time.
+    TimedOut,
 }
 
 /// One request of a client.
 #[derive(Clone, Debug)]
-pub struct Item {
+pub struct SentRequest {
     /// When its last byte was written.
     pub sent: Instant,
-    /// When its end came.
+    /// When it ended.
     pub ended: Instant,
-    /// Its end.
-    pub told: Told,
-    /// Answers that came for it; more than one is one too many.
+    /// How it ended.
+    pub end: RequestEnd,
+    /// Number of answers received; more than one is a duplicate.
     pub answers: usize,
     /// The machine that accepted its connection, if one did.
     pub machine: Option<usize>,
 }
 
-/// Where clients find who serves them.
+/// Where clients connect to.
 #[derive(Clone)]
-pub enum Way {
-    /// A virtual address of a segment, which knows who accepted each connection.
+pub enum Destination {
+    /// The virtual address of a segment, which knows the machine that accepted each connection.
     Segment(Arc<Segment>),
-    /// One machine's own address.
+    /// The address and number of one machine.
     Direct(SocketAddr, usize),
 }
 
-impl Way {
+impl Destination {
     fn address(&self) -> SocketAddr {
         match self {
-            Way::Segment(segment) => segment.address,
-            Way::Direct(address, _) => *address,
+            Destination::Segment(segment) => segment.address,
+            Destination::Direct(address, _) => *address,
         }
     }
 
     fn accepted(&self, client: SocketAddr) -> Option<usize> {
         match self {
-            Way::Segment(segment) => segment.accepted(client),
-            Way::Direct(_, machine) => Some(*machine),
+            Destination::Segment(segment) => segment.accepted(client),
+            Destination::Direct(_, machine) => Some(*machine),
         }
     }
 
     fn forget(&self, client: SocketAddr) {
-        if let Way::Segment(segment) = self {
+        if let Destination::Segment(segment) = self {
             segment.forget(client);
         }
     }
 }
 
-/// Part of the requests that are sent at a time since the start: leads that move.
-pub type Part = Arc<dyn Fn(Duration) -> f64 + Send + Sync>;
+/// Share of the requests that are sent, as a function of the time since the start. It moves load between clients.
+pub type LoadShare = Arc<dyn Fn(Duration) -> f64 + Send + Sync>;
 
-/// What the clients ask for.
+/// The load that clients generate.
 #[derive(Clone, Copy, Debug)]
 pub struct Load {
-    /// Requests a second, at most.
+    /// Max requests a second.
     pub rate: f64,
-    /// Machines that a volume's requests come through, as requests say.
-    pub hosts: usize,
-    /// Part of the reads and keyed writes that are for volumes with a limit.
+    /// Number of initiators that requests name for their volume (`hosts`).
+    pub initiators: usize,
+    /// Share of the reads and keyed writes that are for volumes with a limit.
     pub limited: f64,
-    /// Volumes of the plan with a limit, and of that without.
+    /// Number of volumes of each of the two plans, with and without a limit.
     pub volumes: u64,
-    /// Shards that reads name.
+    /// Number of shards that requests name.
     pub shards: u64,
 }
 
 struct Shared {
-    way: Way,
-    items: Mutex<Vec<Item>>,
+    destination: Destination,
+    requests: Mutex<Vec<SentRequest>>,
     idle: Mutex<Vec<(TcpStream, Instant)>>,
-    open: Mutex<usize>,
+    in_flight: Mutex<usize>,
     ended: AtomicBool,
 }
 
-/// Clients at work. They end when told to.
+/// Running clients. [`Clients::end`] stops them.
 pub struct Clients {
     shared: Arc<Shared>,
     arrivals: Option<thread::JoinHandle<()>>,
 }
 
 impl Clients {
-    /// Starts them.
-    pub fn start(way: Way, load: Load, part: Part, seed: u64) -> Clients {
+    /// Starts the clients.
+    pub fn start(destination: Destination, load: Load, share: LoadShare, seed: u64) -> Clients {
         let shared = Arc::new(Shared {
-            way,
-            items: Mutex::default(),
+            destination,
+            requests: Mutex::default(),
             idle: Mutex::default(),
-            open: Mutex::default(),
+            in_flight: Mutex::default(),
             ended: AtomicBool::new(false),
         });
-        let at_work = shared.clone();
-        let arrivals = thread::spawn(move || arrive(&at_work, load, &part, seed));
+        let for_thread = shared.clone();
+        let arrivals = thread::spawn(move || generate(&for_thread, load, &share, seed));
         Clients { shared, arrivals: Some(arrivals) }
     }
 
-    /// When values came after a moment, in order.
+    /// Returns when requests were served since `since`, in order.
     pub fn served_since(&self, since: Instant) -> Vec<Instant> {
-        let items = lock(&self.shared.items);
-        let served = items.iter().filter(|item| item.told == Told::Served && item.ended >= since);
-        let mut times: Vec<Instant> = served.map(|item| item.ended).collect();
+        let requests = lock(&self.shared.requests);
+        let served =
+            requests.iter().filter(|request| request.end == RequestEnd::Served && request.ended >= since);
+        let mut times: Vec<Instant> = served.map(|request| request.ended).collect();
         times.sort();
         times
     }
 
-    /// Whether a machine has served anything since a moment.
+    /// Whether a machine has served a request that was sent since `since`.
     pub fn served_by(&self, machine: usize, since: Instant) -> bool {
-        let items = lock(&self.shared.items);
-        let by = |item: &&Item| item.machine == Some(machine) && item.told == Told::Served;
-        items.iter().rev().take(RECENT).filter(by).any(|item| item.sent >= since)
+        let requests = lock(&self.shared.requests);
+        let by =
+            |request: &&SentRequest| request.machine == Some(machine) && request.end == RequestEnd::Served;
+        requests.iter().rev().take(RECENT).filter(by).any(|request| request.sent >= since)
     }
 
-    /// Ends them once all that is open has its end; everything that was sent.
-    pub fn end(mut self) -> Vec<Item> {
+    /// Stops new requests, waits until those in flight have ended, and returns all requests.
+    pub fn end(mut self) -> Vec<SentRequest> {
         self.shared.ended.store(true, Ordering::Relaxed);
         if let Some(arrivals) = self.arrivals.take() {
-            // A panic there has been told on standard error.
+            // A panic there has been printed to standard error.
             let _ = arrivals.join();
         }
-        while *lock(&self.shared.open) > 0 {
+        while *lock(&self.shared.in_flight) > 0 {
             thread::sleep(Duration::from_millis(5));
         }
-        std::mem::take(&mut *lock(&self.shared.items))
+        std::mem::take(&mut *lock(&self.shared.requests))
     }
 }
 
-/// Sends at times that do not wait for answers: drawn ahead, with exponential distances.
-fn arrive(shared: &Arc<Shared>, load: Load, part: &Part, seed: u64) {
+/// Sends requests open loop, with exponentially distributed intervals that do not depend on answers.
+fn generate(shared: &Arc<Shared>, load: Load, share: &LoadShare, seed: u64) {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let start = Instant::now();
     let mut next = start;
@@ -169,29 +171,29 @@
     while !shared.ended.load(Ordering::Relaxed) {
         next += Duration::from_secs_f64(-(1.0 - random.random::<f64>()).ln() / load.rate);
         thread::sleep(next.saturating_duration_since(Instant::now()));
-        if random.random::<f64>() >= part(next - start) {
+        if random.random::<f64>() >= share(next - start) {
             continue;
         }
         number += 1;
         let id = format!("{:016x}", seed << 40 ^ number);
         let command = command(&id, load, &mut random);
-        let mut open = lock(&shared.open);
-        // Guards the laboratory's machine: so many are open only where nobody answers at all.
-        if *open >= MOST_OPEN {
+        let mut in_flight = lock(&shared.in_flight);
+        // Bounds the number of threads; it is reached only if no initiator answers.
+        if *in_flight >= MAX_IN_FLIGHT {
             continue;
         }
-        *open += 1;
-        drop(open);
+        *in_flight += 1;
+        drop(in_flight);
         let shared = shared.clone();
         thread::spawn(move || {
-            let item = ask(&shared, id, &command);
-            lock(&shared.items).extend(item);
-            *lock(&shared.open) -= 1;
+            let request = send_request(&shared, id, &command);
+            lock(&shared.requests).extend(request);
+            *lock(&shared.in_flight) -= 1;
         });
     }
 }
 
-/// A read, a keyed write, or a write that may not run twice.
+/// Returns a random command: a read, a keyed write, or a write that must not run twice.
 fn command(id: &str, load: Load, random: &mut ChaCha8Rng) -> Vec<u8> {
     let plan = if random.random::<f64>() < load.limited { "base" } else { "plus" };
     let (class, plan) = match random.random_range(0..10_u32) {
@@ -204,9 +206,9 @@
     let key: u64 = random.random();
     let list = format!(
         "c={class},t={plan},d={},k={key:016x},volume={volume:016x},units={},shard={shard},hosts={}",
-        PATIENCE.as_millis(),
+        ANSWER_TIMEOUT.as_millis(),
         random.random_range(1..=8_u32),
-        load.hosts,
+        load.initiators,
     );
     let object = format!("{:016x}", random.random::<u64>());
     let mut words = vec![if class == "read" { "OBJ.GET" } else { "OBJ.PUT" }, &object, id, &list];
@@ -220,82 +222,82 @@
     command.into_bytes()
 }
 
-/// One request on a connection that is there or a new one; nothing if it could not be sent at all.
-fn ask(shared: &Shared, id: String, command: &[u8]) -> Option<Item> {
+/// Sends one request on an idle or a new connection and waits for its end; none if it could not be sent.
+fn send_request(shared: &Shared, id: String, command: &[u8]) -> Option<SentRequest> {
     let (mut stream, opened) = connection(shared)?;
     let own = stream.local_addr().ok()?;
     if stream.write_all(command).is_err() {
-        shared.way.forget(own);
+        shared.destination.forget(own);
         return None;
     }
     let sent = Instant::now();
-    let (told, answers) = listen(&mut stream, &id, sent + PATIENCE + Duration::from_millis(200));
+    let (end, answers) = read_answer(&mut stream, &id, sent + ANSWER_TIMEOUT + Duration::from_millis(200));
     let ended = Instant::now();
-    let machine = shared.way.accepted(own);
-    if told == Told::Served && answers == 1 {
+    let machine = shared.destination.accepted(own);
+    if end == RequestEnd::Served && answers == 1 {
         let mut idle = lock(&shared.idle);
         idle.push((stream, opened));
     } else {
-        // Whoever is refused or gets nothing looks for the address again.
-        shared.way.forget(own);
+        // After a refusal or a missing answer the client connects again.
+        shared.destination.forget(own);
     }
-    Some(Item { sent, ended, told, answers, machine })
+    Some(SentRequest { sent, ended, end, answers, machine })
 }
 
-/// A connection, and when it was opened.
+/// Returns an idle or a new connection, and when it was opened.
 fn connection(shared: &Shared) -> Option<(TcpStream, Instant)> {
     loop {
         let idle = lock(&shared.idle).pop();
         let Some((stream, since)) = idle else { break };
-        // What is closed, or says something that nobody asked for, is not used.
+        // A connection that is closed, or has unexpected input, is not reused.
         let quiet = stream.set_nonblocking(true).is_ok()
             && matches!(stream.peek(&mut [0]), Err(error) if error.kind() == ErrorKind::WouldBlock)
             && stream.set_nonblocking(false).is_ok();
-        if quiet && since.elapsed() < REUSED {
+        if quiet && since.elapsed() < MAX_CONNECTION_AGE {
             return Some((stream, since));
         }
         if let Ok(own) = stream.local_addr() {
-            shared.way.forget(own);
+            shared.destination.forget(own);
         }
     }
-    let stream = TcpStream::connect_timeout(&shared.way.address(), PATIENCE).ok()?;
+    let stream = TcpStream::connect_timeout(&shared.destination.address(), ANSWER_TIMEOUT).ok()?;
     stream.set_nodelay(true).ok()?;
     Some((stream, Instant::now()))
 }
 
-/// Reads the answer, and looks whether a second one comes with it.
-fn listen(stream: &mut TcpStream, id: &str, until: Instant) -> (Told, usize) {
+/// Reads the answer, and counts a second one that arrives with it.
+fn read_answer(stream: &mut TcpStream, id: &str, until: Instant) -> (RequestEnd, usize) {
     let mut input = Vec::new();
     loop {
-        let left = until.saturating_duration_since(Instant::now());
-        if left.is_zero() || stream.set_read_timeout(Some(left)).is_err() {
-            return (Told::Nothing, 0);
+        let remaining = until.saturating_duration_since(Instant::now());
+        if remaining.is_zero() || stream.set_read_timeout(Some(remaining)).is_err() {
+            return (RequestEnd::TimedOut, 0);
         }
         let mut bytes = [0; 4096];
         match stream.read(&mut bytes) {
-            Ok(0) => return (Told::Closed, 0),
+            Ok(0) => return (RequestEnd::Closed, 0),
             Ok(count) => input.extend(&bytes[..count]),
             Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
-                return (Told::Nothing, 0);
+                return (RequestEnd::TimedOut, 0);
             }
-            Err(_) => return (Told::Closed, 0),
+            Err(_) => return (RequestEnd::Closed, 0),
         }
         let text = String::from_utf8_lossy(&input);
         let value = format!("${}\r\n{id}\r\n", id.len());
-        let (told, length) =
+        let (end, length) =
             if let Some(line) = text.strip_prefix('-').and_then(|rest| rest.split_once("\r\n")) {
-                let told = if line.0.starts_with("BUSY") { Told::Refused } else { Told::Failed };
-                (told, line.0.len() + 3)
+                let end = if line.0.starts_with("BUSY") { RequestEnd::Refused } else { RequestEnd::Failed };
+                (end, line.0.len() + 3)
             } else if text.len() >= value.len() {
-                // A value made for another item is none; it counts as an answer too many.
+                // The value of another request is not an answer to this one; it counts as a duplicate.
                 if !text.starts_with(&value) {
-                    return (Told::Served, 2);
+                    return (RequestEnd::Served, 2);
                 }
-                (Told::Served, value.len())
+                (RequestEnd::Served, value.len())
             } else {
                 continue;
             };
         let more = usize::from(input.len() > length);
-        return (told, 1 + more);
+        return (end, 1 + more);
     }
 }
--- a/lab/src/stand_ins/machines.rs
+++ b/lab/src/stand_ins/machines.rs
@@ -1,4 +1,4 @@
-//! Initiator machines: the real program as a process each, with files of its own.
+//! Initiator machines: each runs the real program as a process, with its own configuration files.
 
 use crate::stand_ins::segment::Port;
 use std::net::SocketAddr;
@@ -6,61 +6,61 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// A machine's part in VRRP.
+/// The VRRP configuration of a machine.
 #[derive(Clone, Debug)]
-pub struct Routes {
-    /// Its ports on the segment.
+pub struct VrrpSetup {
+    /// Its addresses on the segment.
     pub port: Port,
-    /// The relays of the other machines.
+    /// Relay addresses of the other machines.
     pub peers: Vec<SocketAddr>,
     /// Its priority.
     pub priority: u8,
     /// The interval of advertisements.
     pub interval: Duration,
-    /// Its parts of every limit, in rate and at once.
+    /// Its shares of every limit: of the rate and of the burst.
     pub share: (f64, f64),
 }
 
-/// A machine's part in a fleet.
+/// The fleet configuration of a machine.
 #[derive(Clone, Debug)]
-pub struct Fleet {
-    /// Its ports on the segment.
+pub struct FleetSetup {
+    /// Its addresses on the segment.
     pub port: Port,
-    /// Its name there.
+    /// Its name in the fleet.
     pub name: String,
-    /// Those that may found the fleet, with their relays.
+    /// The seeds, which may bootstrap the fleet, with their relay addresses.
     pub seeds: Vec<(String, SocketAddr)>,
-    /// How often one of the others is probed, and how long an answer may take.
+    /// Interval of probes, and the time limit of their answers.
     pub period: Duration,
     /// Likewise.
     pub answer: Duration,
 }
 
-/// How a machine is set up.
+/// The configuration of a machine.
 #[derive(Clone, Debug)]
 pub struct Setup {
     /// Its name.
     pub name: String,
-    /// Where it serves in its own name.
+    /// Listen address of its own front.
     pub listen: SocketAddr,
-    /// Its part in VRRP, if it has one.
-    pub routes: Option<Routes>,
-    /// Its planners.
+    /// Its VRRP configuration, if enabled.
+    pub vrrp: Option<VrrpSetup>,
+    /// Addresses of the planners.
     pub planners: Vec<SocketAddr>,
-    /// Its part in a fleet, if it has one.
-    pub fleet: Option<Fleet>,
-    /// Where discovery is.
+    /// Its fleet configuration, if enabled.
+    pub fleet: Option<FleetSetup>,
+    /// Address of discovery.
     pub discovery: SocketAddr,
-    /// Units a second that a volume of `base` may take, over all machines.
+    /// Limit of a volume of plan `base` over all machines, in units a second.
     pub limit: f64,
 }
 
-/// Units at once that a volume of `base` may take, and by how much that may be overdrawn.
+/// Burst of a volume of plan `base` in units, and by how much it may be overdrawn.
 pub const BURST: f64 = 48.0;
 /// Likewise.
-pub const SLACK: f64 = 8.0;
+pub const OVERDRAFT: f64 = 8.0;
 
-/// A machine, running or not. Its process ends with it.
+/// A machine, running or not. Dropping it kills its process.
 pub struct Machine {
     setup: Setup,
     program: PathBuf,
@@ -71,13 +71,13 @@
 impl Drop for Machine {
     fn drop(&mut self) {
         self.kill();
-        // What is left of a folder is the system's to clean.
+        // A folder that cannot be removed is left to the system's cleaning of temporary files.
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
 impl Machine {
-    /// A machine that is off.
+    /// Creates a machine that is not running, and writes its files.
     pub fn new(program: &Path, folder: PathBuf, setup: Setup) -> std::io::Result<Machine> {
         std::fs::create_dir_all(&folder)?;
         let machine = Machine { setup, program: program.to_path_buf(), folder, child: None };
@@ -85,9 +85,9 @@
         Ok(machine)
     }
 
-    /// Writes its files anew.
+    /// Writes the configuration files.
     fn write(&self) -> std::io::Result<()> {
-        let Setup { name, listen, routes, planners, fleet, discovery, limit } = &self.setup;
+        let Setup { name, listen, vrrp, planners, fleet, discovery, limit } = &self.setup;
         std::fs::write(
             self.folder.join("config.json"),
             format!(
@@ -99,7 +99,7 @@
   {{"name":"write","aim_ms":600,"hard_limit_ms":3000,"worth":3,"effect":"idempotency_key","key_scope":"cell","window_ms":5000}},
   {{"name":"append","aim_ms":600,"hard_limit_ms":3000,"worth":3,"effect":"non_idempotent"}}],
  "service_levels":[
-  {{"name":"base","base_rate":40,"ceiling_rate":{limit},"guaranteed":20,"limit_burst":{BURST},"tolerance":{SLACK}}},
+  {{"name":"base","base_rate":40,"ceiling_rate":{limit},"guaranteed":20,"limit_burst":{BURST},"tolerance":{OVERDRAFT}}},
   {{"name":"plus","base_rate":1000,"guaranteed":1000}}],
  "domain":{{"largest":8,"unit_mean":4.5,"share_worth":0.35,"idle_worth":0.05,"young_limit":34}},
  "contract":{{"grace_to_answer_ms":8,"drain_grace_ms":2000,"cold_from":0.16,"warm_after_ms":18000,"tip_multiple":3,"fall_ms":3000}},
@@ -111,7 +111,7 @@
             let text = format!("enabled = true\nplanners = {planners:?}\n");
             std::fs::write(self.folder.join("planners.toml"), text)?;
         }
-        if let Some(Fleet { port, name, seeds, period, answer }) = fleet {
+        if let Some(FleetSetup { port, name, seeds, period, answer }) = fleet {
             let seeds: Vec<String> = seeds
                 .iter()
                 .map(|(name, address)| format!("[[seed]]\nname = {name:?}\naddress = \"{address}\"\n"))
@@ -127,7 +127,7 @@
             );
             std::fs::write(self.folder.join("fleet.toml"), text)?;
         }
-        let Some(Routes { port, peers, priority, interval, share: (rate, burst) }) = routes else {
+        let Some(VrrpSetup { port, peers, priority, interval, share: (rate, burst) }) = vrrp else {
             return Ok(());
         };
         let peers: Vec<String> = peers.iter().map(SocketAddr::to_string).collect();
@@ -139,12 +139,12 @@
                  [handover]\nmachines = 2\nrate_share = {rate}\nburst_share = {burst}\n",
                 port.own,
                 interval.as_millis(),
-                port.serves,
+                port.listen,
             ),
         )
     }
 
-    /// Switches it on.
+    /// Starts the process, after killing a running one.
     pub fn start(&mut self) -> std::io::Result<()> {
         self.kill();
         let file = |name: &str| self.folder.join(name);
@@ -158,20 +158,20 @@
         Ok(())
     }
 
-    /// Its process, while it runs.
+    /// Returns the process id, if it was started.
     pub fn process(&self) -> Option<u32> {
         self.child.as_ref().map(Child::id)
     }
 
-    /// Sends it a signal by name.
+    /// Sends the process a signal by name.
     pub fn signal(&self, name: &str) {
         if let Some(child) = &self.child {
-            // One that has ended hears nothing.
+            // A process that has ended ignores it.
             let _ = Command::new("kill").args([&format!("-{name}"), &child.id().to_string()]).status();
         }
     }
 
-    /// Ends it at once, as a machine that loses power.
+    /// Kills the process, as in a loss of power.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill();
@@ -179,11 +179,11 @@
         }
     }
 
-    /// Waits until it has ended by itself; true if it did in order.
-    pub fn wait(&mut self, patience: Duration) -> bool {
+    /// Waits until the process has ended by itself; true if it exited successfully in time.
+    pub fn wait(&mut self, timeout: Duration) -> bool {
         let Some(child) = &mut self.child else { return true };
         let start = Instant::now();
-        while start.elapsed() < patience {
+        while start.elapsed() < timeout {
             if let Ok(Some(status)) = child.try_wait() {
                 self.child = None;
                 return status.success();
@@ -193,7 +193,7 @@
         false
     }
 
-    /// What its log says.
+    /// Returns the log of all its processes.
     pub fn log(&self) -> String {
         std::fs::read_to_string(self.folder.join("log")).unwrap_or_default()
     }
--- a/lab/src/stand_ins/mod.rs
+++ b/lab/src/stand_ins/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for what the program talks to, and the real program as processes.
+//! Stand-ins for the clients, nodes, discovery and network of the program, and the real program run as processes.
 
 pub mod clients;
 pub mod machines;
--- a/lab/src/stand_ins/nodes.rs
+++ b/lab/src/stand_ins/nodes.rs
@@ -1,5 +1,5 @@
-//! Many storage nodes in one thread, for plays where nodes must cost next to nothing: each takes the same time for
-//! every request, whatever comes together.
+//! Many stand-in storage nodes on one thread, for measurements where nodes must use little processor time. Every
+//! request takes the same time, regardless of load.
 
 use mio::net::{TcpListener, TcpStream};
 use mio::{Events, Interest, Poll, Token};
@@ -15,9 +15,9 @@
 pub const VALUE: &[u8] = b"hello";
 const ANSWER: &[u8] = b"*3\r\n$5\r\nhello\r\n$-1\r\n$-1\r\n";
 
-/// Nodes at work; they end with this.
+/// Running nodes. Dropping it stops them.
 pub struct Nodes {
-    /// Where each is.
+    /// Address of each node.
     pub addresses: Vec<SocketAddr>,
     ended: Arc<AtomicBool>,
     thread: Option<thread::JoinHandle<()>>,
@@ -27,15 +27,15 @@
     fn drop(&mut self) {
         self.ended.store(true, Ordering::Relaxed);
         if let Some(thread) = self.thread.take() {
-            // A panic there has been told on standard error.
+            // A panic there has been printed to standard error.
             let _ = thread.join();
         }
     }
 }
 
 impl Nodes {
-    /// Starts so many.
-    pub fn start(ip: Ipv4Addr, count: usize, takes: Duration) -> std::io::Result<Nodes> {
+    /// Starts `count` nodes that answer each request after `service_time`.
+    pub fn start(ip: Ipv4Addr, count: usize, service_time: Duration) -> std::io::Result<Nodes> {
         let poll = Poll::new()?;
         let mut listeners = Vec::new();
         for number in 0..count {
@@ -45,12 +45,18 @@
         }
         let addresses = listeners.iter().map(TcpListener::local_addr).collect::<Result<_, _>>()?;
         let ended = Arc::new(AtomicBool::new(false));
-        let at_work = ended.clone();
+        let should_stop = ended.clone();
         let thread = thread::spawn(move || {
-            let mut work =
-                Work { poll, listeners, conns: HashMap::new(), next: count, takes, due: VecDeque::new() };
-            while !at_work.load(Ordering::Relaxed) {
-                if let Err(error) = work.turn() {
+            let mut event_loop = EventLoop {
+                poll,
+                listeners,
+                conns: HashMap::new(),
+                next: count,
+                service_time,
+                pending: VecDeque::new(),
+            };
+            while !should_stop.load(Ordering::Relaxed) {
+                if let Err(error) = event_loop.run_once() {
                     eprintln!("stand-in nodes: {error}");
                     return;
                 }
@@ -60,21 +66,21 @@
     }
 }
 
-struct Work {
+struct EventLoop {
     poll: Poll,
     listeners: Vec<TcpListener>,
     conns: HashMap<usize, (TcpStream, Vec<u8>)>,
     next: usize,
-    takes: Duration,
-    /// Answers to come, in order.
-    due: VecDeque<(Instant, usize)>,
+    service_time: Duration,
+    /// Pending answers in the order they are due.
+    pending: VecDeque<(Instant, usize)>,
 }
 
-impl Work {
-    fn turn(&mut self) -> std::io::Result<()> {
+impl EventLoop {
+    fn run_once(&mut self) -> std::io::Result<()> {
         let mut events = Events::with_capacity(1024);
         let wait = Duration::from_millis(20);
-        let first = self.due.front().map(|(at, _)| at.saturating_duration_since(Instant::now()));
+        let first = self.pending.front().map(|(at, _)| at.saturating_duration_since(Instant::now()));
         self.poll.poll(&mut events, Some(first.unwrap_or(wait).min(wait)))?;
         for event in &events {
             let Token(id) = event.token();
@@ -91,9 +97,9 @@
             }
         }
         let now = Instant::now();
-        while let Some((_, id)) = self.due.pop_front_if(|(at, _)| *at <= now) {
+        while let Some((_, id)) = self.pending.pop_front_if(|(at, _)| *at <= now) {
             if let Some((stream, _)) = self.conns.get_mut(&id) {
-                // Who does not take so little has gone; that shows when it is read.
+                // A peer that does not accept this little data has gone, which a read reports.
                 let _ = stream.write(ANSWER);
             }
         }
@@ -117,7 +123,7 @@
             commands += 1;
         }
         for _ in 0..commands {
-            self.due.push_back((Instant::now() + self.takes, id));
+            self.pending.push_back((Instant::now() + self.service_time, id));
         }
     }
 }
--- a/lab/src/stand_ins/service.rs
+++ b/lab/src/stand_ins/service.rs
@@ -1,5 +1,6 @@
-//! Stand-ins for what initiators talk to: storage nodes that speak RESP2 and write down every attempt, and discovery,
-//! which tells a list and its changes over HTTP. Written from the project's own protocol page.
+//! Stand-ins for the services that initiators use: storage nodes that speak RESP2 and record every attempt, and
+//! discovery, which serves the node list over HTTP with long polls. Written from the protocol's description,
+//! independently of the program.
 
 use crate::sync::lock;
 use std::collections::HashMap;
@@ -9,43 +10,48 @@
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// One attempt as a node saw it.
+/// One attempt as a node recorded it.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// When its last byte had come.
+    /// When its command was read.
     pub at: Instant,
     /// The node.
     pub node: usize,
-    /// The client's id for the request.
-    pub item: String,
-    /// Its class, plan, volume and units, as the command says.
+    /// The client's id of the request.
+    pub request_id: String,
+    /// Its class, as the command states it.
     pub class: String,
     /// Its plan.
     pub plan: String,
     /// Its volume.
     pub volume: String,
-    /// Its size.
+    /// Its size in units.
     pub units: f64,
 }
 
-/// Every attempt of a run, in the order the nodes saw them.
+/// All attempts of a run, in the order the nodes recorded them.
 pub type Attempts = Arc<Mutex<Vec<Attempt>>>;
 
-/// Starts a node that takes as long for each request; returns its address.
-pub fn node(ip: Ipv4Addr, number: usize, takes: Duration, attempts: Attempts) -> std::io::Result<SocketAddr> {
+/// Starts a node that answers each request after `service_time`; returns its address.
+pub fn node(
+    ip: Ipv4Addr,
+    number: usize,
+    service_time: Duration,
+    attempts: Attempts,
+) -> std::io::Result<SocketAddr> {
     let listener = TcpListener::bind((ip, 0))?;
     let address = listener.local_addr()?;
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             let attempts = attempts.clone();
-            thread::spawn(move || serve(stream, number, takes, &attempts));
+            thread::spawn(move || serve(stream, number, service_time, &attempts));
         }
     });
     Ok(address)
 }
 
-/// Ends with the connection.
-fn serve(stream: TcpStream, node: usize, takes: Duration, attempts: &Attempts) -> Option<()> {
+/// Serves a connection until it ends or sends an invalid command.
+fn serve(stream: TcpStream, node: usize, service_time: Duration, attempts: &Attempts) -> Option<()> {
     stream.set_nodelay(true).ok()?;
     let (mut reader, mut stream) = (BufReader::new(stream.try_clone().ok()?), stream);
     loop {
@@ -60,25 +66,25 @@
                 let attempt = Attempt {
                     at: Instant::now(),
                     node,
-                    item: text(2)?,
+                    request_id: text(2)?,
                     class: of("c"),
                     plan: of("t"),
                     volume: of("volume"),
                     units: of("units").parse().ok()?,
                 };
                 lock(attempts).push(attempt);
-                thread::sleep(takes);
-                // The value names the item, so that a client knows its own answer.
+                thread::sleep(service_time);
+                // The value is the request's id, by which a client recognizes its own answer.
                 let value = text(2)?;
                 write!(stream, "*3\r\n${}\r\n{value}\r\n$-1\r\n$-1\r\n", value.len()).ok()?;
             }
-            // Probes and whatever else: nothing to tell.
+            // Probes and other commands: an empty answer.
             _ => stream.write_all(b"*0\r\n").ok()?,
         }
     }
 }
 
-/// One RESP2 command.
+/// Reads one RESP2 command; none at the end of the connection or if it is invalid.
 fn command(reader: &mut impl BufRead) -> Option<Vec<Vec<u8>>> {
     let count: usize = line(reader)?.strip_prefix('*')?.parse().ok().filter(|count| *count <= 16)?;
     let mut words = Vec::new();
@@ -100,23 +106,23 @@
 
 /// A line of the node list.
 #[derive(Clone, Debug)]
-pub struct Listed {
-    /// The node's name.
+pub struct ListedNode {
+    /// Name of the node.
     pub name: String,
-    /// Where it is.
+    /// Its address.
     pub address: SocketAddr,
-    /// The shard that it holds.
+    /// Its shard.
     pub shard: u32,
     /// `active`, `leaving` or `left`.
     pub status: &'static str,
-    /// It has just started.
-    pub cold: bool,
+    /// Whether it starts now, in slow start.
+    pub in_slow_start: bool,
 }
 
-/// A registry whose list the experiment changes.
+/// A stand-in for discovery, whose list the experiment changes.
 #[derive(Clone)]
 pub struct Registry {
-    /// Where it is asked.
+    /// Its address.
     pub address: SocketAddr,
     state: Arc<(Mutex<State>, Condvar)>,
 }
@@ -124,19 +130,19 @@
 #[derive(Default)]
 struct State {
     index: u64,
-    nodes: Vec<Listed>,
+    nodes: Vec<ListedNode>,
     started_ms: HashMap<String, u128>,
-    /// Calls answered, and lines in them.
+    /// Number of answered calls, and of the lines in the answers.
     calls: (u64, u64),
 }
 
 impl Registry {
-    /// Starts one with this list.
-    pub fn start(ip: Ipv4Addr, nodes: Vec<Listed>) -> std::io::Result<Registry> {
+    /// Starts discovery with a node list.
+    pub fn start(ip: Ipv4Addr, nodes: Vec<ListedNode>) -> std::io::Result<Registry> {
         let listener = TcpListener::bind((ip, 0))?;
         let address = listener.local_addr()?;
         let registry = Registry { address, state: Arc::default() };
-        registry.tell(nodes);
+        registry.set_list(nodes);
         let state = registry.state.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -147,16 +153,16 @@
         Ok(registry)
     }
 
-    /// Calls answered so far, and lines in them.
+    /// Returns the number of answered calls, and of the lines in the answers.
     pub fn calls(&self) -> (u64, u64) {
         lock(&self.state.0).calls
     }
 
-    /// Tells a list from now on.
-    pub fn tell(&self, nodes: Vec<Listed>) {
+    /// Replaces the list and answers the waiting calls.
+    pub fn set_list(&self, nodes: Vec<ListedNode>) {
         let mut state = lock(&self.state.0);
         let now = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis());
-        for node in nodes.iter().filter(|node| node.cold) {
+        for node in nodes.iter().filter(|node| node.in_slow_start) {
             state.started_ms.entry(node.name.clone()).or_insert(now);
         }
         state.index += 1;
@@ -176,25 +182,26 @@
         };
         let wait = Duration::from_millis(number("wait_ms=").unwrap_or(0));
         let after = number("after=");
-        let mut held = lock(&state.0);
+        let mut current = lock(&state.0);
         if let Some(after) = after {
-            let waited = state.1.wait_timeout_while(held, wait, |state| state.index <= after);
-            held = waited.unwrap_or_else(PoisonError::into_inner).0;
+            let waited = state.1.wait_timeout_while(current, wait, |state| state.index <= after);
+            current = waited.unwrap_or_else(PoisonError::into_inner).0;
         }
-        held.calls = (held.calls.0 + 1, held.calls.1 + held.nodes.len() as u64);
-        let lines: Vec<String> = held
+        current.calls = (current.calls.0 + 1, current.calls.1 + current.nodes.len() as u64);
+        let lines: Vec<String> = current
             .nodes
             .iter()
             .map(|node| {
-                let since = held.started_ms.get(&node.name).copied().unwrap_or(0);
+                let since = current.started_ms.get(&node.name).copied().unwrap_or(0);
                 format!(
                     r#"{{"name":"{}","address":"{}","zone":"z","type":"t","group":{},"status":"{}","weight":1.0,"since_ms":{since}}}"#,
                     node.name, node.address, node.shard, node.status
                 )
             })
             .collect();
-        let body = format!(r#"{{"index":{},"snapshot":true,"endpoints":[{}]}}"#, held.index, lines.join(","));
-        drop(held);
+        let body =
+            format!(r#"{{"index":{},"snapshot":true,"endpoints":[{}]}}"#, current.index, lines.join(","));
+        drop(current);
         write!(stream, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()).ok()?;
     }
 }
--- a/lab/src/vrrp/cost.rs
+++ b/lab/src/vrrp/cost.rs
@@ -35,7 +35,7 @@
     let ports: Vec<Port> = [1, 2]
         .map(|last| {
             let own = UdpSocket::bind((ip(last), 0)).and_then(|socket| socket.local_addr());
-            own.map(|own| Port { own, relay: own, serves: own })
+            own.map(|own| Port { own, relay: own, listen: own })
         })
         .into_iter()
         .collect::<Result<_, _>>()
--- a/lab/src/vrrp/takeover.rs
+++ b/lab/src/vrrp/takeover.rs
@@ -1,10 +1,10 @@
 //! Takeovers between two real machines: how long the virtual address gives no answer, and whether a rule broke.
 
 use crate::check::{check, Breaches, Drain, Terms, Trouble};
-use crate::stand_ins::clients::{Clients, Load, Way};
-use crate::stand_ins::machines::{Machine, Routes, Setup, BURST, SLACK};
+use crate::stand_ins::clients::{Clients, Destination, Load};
+use crate::stand_ins::machines::{Machine, Setup, VrrpSetup, BURST, OVERDRAFT};
 use crate::stand_ins::segment::{Link, Segment};
-use crate::stand_ins::service::{node, Attempts, Listed, Registry};
+use crate::stand_ins::service::{node, Attempts, ListedNode, Registry};
 use serde::Serialize;
 use std::net::Ipv4Addr;
 use std::path::Path;
@@ -113,7 +113,8 @@
     let attempts = scene.attempts.clone();
     let items = scene.clients.end();
     let attempts = attempts.lock().map_err(|_| "a node's thread panicked")?;
-    let served = items.iter().filter(|item| item.told == crate::stand_ins::clients::Told::Served).count();
+    let served =
+        items.iter().filter(|item| item.end == crate::stand_ins::clients::RequestEnd::Served).count();
     let breaches = check(&items, &attempts, &scene.terms);
     Ok(Outcome { gaps, least: 3 * plan.interval + skew, skew, breaches, sent: items.len(), served })
 }
@@ -134,7 +135,7 @@
                 std::process::id(),
                 plan.place
             ));
-            let routes = Routes {
+            let vrrp = VrrpSetup {
                 port: *port,
                 peers: vec![segment.ports()[1 - at].relay],
                 priority: PRIORITIES[at],
@@ -144,7 +145,7 @@
             let setup = Setup {
                 name: format!("m-{at}"),
                 listen: (ip(at as u8 + 1), 0).into(),
-                routes: Some(routes),
+                vrrp: Some(vrrp),
                 planners: Vec::new(),
                 fleet: None,
                 discovery: registry.address,
@@ -154,9 +155,10 @@
             machine.start()?;
             machines.push(machine);
         }
-        let load = Load { rate: 200.0, hosts: 1, limited: plan.limited, volumes: 2, shards: 2 };
-        let clients = Clients::start(Way::Segment(segment.clone()), load, Arc::new(|_| 1.0), plan.seed);
-        let terms = Terms { limit: (LIMIT, BURST + SLACK), ..Terms::default() };
+        let load = Load { rate: 200.0, initiators: 1, limited: plan.limited, volumes: 2, shards: 2 };
+        let clients =
+            Clients::start(Destination::Segment(segment.clone()), load, Arc::new(|_| 1.0), plan.seed);
+        let terms = Terms { limit: (LIMIT, BURST + OVERDRAFT), ..Terms::default() };
         Ok(Scene { plan, segment, machines, registry, nodes, attempts, clients, terms, renamed: 0 })
     }
 
@@ -201,10 +203,10 @@
     }
 
     fn term(&mut self) -> Result<Vec<(Kind, Duration)>, String> {
-        let told = Instant::now();
+        let terminated = Instant::now();
         self.drain();
         self.machines[0].signal("TERM");
-        let gap = self.gap_until_served(1, told)?;
+        let gap = self.gap_until_served(1, terminated)?;
         if !self.machines[0].wait(PATIENCE) {
             return Err("the machine did not end in order".into());
         }
@@ -275,7 +277,7 @@
 
     /// The last node is told to drain.
     fn drain(&mut self) {
-        self.registry.tell(list(&self.nodes, self.renamed, "leaving"));
+        self.registry.set_list(list(&self.nodes, self.renamed, "leaving"));
         self.terms.drains.push(Drain { node: NODES - 1, since: Instant::now(), until: None });
     }
 
@@ -288,7 +290,7 @@
         if let Some(drain) = self.terms.drains.last_mut() {
             drain.until = Some(Instant::now());
         }
-        self.registry.tell(list(&self.nodes, self.renamed, "active"));
+        self.registry.set_list(list(&self.nodes, self.renamed, "active"));
     }
 
     /// The trouble of the last machine is over.
@@ -309,15 +311,15 @@
 }
 
 /// The list of nodes: a shard for the first, and one that the others hold together.
-fn list(nodes: &[std::net::SocketAddr], renamed: usize, last: &'static str) -> Vec<Listed> {
+fn list(nodes: &[std::net::SocketAddr], renamed: usize, last: &'static str) -> Vec<ListedNode> {
     let listed = |(at, address): (usize, &std::net::SocketAddr)| {
         let is_last = at == nodes.len() - 1;
-        Listed {
+        ListedNode {
             name: if is_last { format!("n-{at}-{renamed}") } else { format!("n-{at}") },
             address: *address,
             shard: at.min(1) as u32,
             status: if is_last { last } else { "active" },
-            cold: false,
+            in_slow_start: false,
         }
     };
     nodes.iter().enumerate().map(listed).collect()
