--- a/lab/src/capacity/members_adapter.rs
+++ b/lab/src/capacity/members_adapter.rs
@@ -1,6 +1,6 @@
 //! All that this command uses of the membership in virtual time, in one place.
 
-use crate::membership::world::{Terms, World};
+use crate::membership::world::{Settings, Simulation};
 use std::time::Duration;
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -9,7 +9,7 @@
 
 /// A fleet of members that have come together.
 pub struct Members {
-    world: World,
+    world: Simulation,
 }
 
 /// What a stretch of virtual time came to, over all members.
@@ -24,7 +24,7 @@
 impl Members {
     /// Starts so many, and waits until all are in one view with all.
     pub fn together(size: usize, seed: u64) -> Result<Members, String> {
-        let mut world = World::new(Terms::default(), size, seed);
+        let mut world = Simulation::new(Settings::default(), size, seed);
         for _ in 0..PATIENCE_S {
             world.run(world.now + SECOND);
             if world.is_settled() {
--- a/lab/src/membership/mod.rs
+++ b/lab/src/membership/mod.rs
@@ -1,4 +1,5 @@
-//! Experiments on membership among initiators: real processes, virtual time, scripts of faults, a model checker.
+//! Experiments on the fleet's membership: with real processes, in virtual time, with scripts of faults, and with a
+//! model checker.
 
 mod comparison;
 mod model;
--- a/lab/src/membership/model.rs
+++ b/lab/src/membership/model.rs
@@ -1,5 +1,5 @@
-//! The rule of views under a model checker: the program's own acceptors and proposers, two of which try at once, with
-//! messages that are lost, doubled and reordered, and a member that starts again.
+//! Model checking of the agreement on views: the program's own acceptors and proposers, two competing proposers, lost,
+//! duplicated and reordered messages, and a member that restarts.
 
 use stateright::{Checker, Model, Property};
 use std::collections::{BTreeMap, BTreeSet};
@@ -7,20 +7,21 @@
 use topazpath::fleet::update::Generation;
 use topazpath::fleet::view::{Acceptor, Ballot, Change, Proposal, View, ViewId, ViewMember};
 
-/// What is checked.
+/// The model: a view and what may happen in it.
 #[derive(Clone, Debug)]
-pub struct Voting {
+pub struct ViewAgreement {
     /// Members of the view.
     pub members: usize,
-    /// Tries of each of the first members; each wants another change.
+    /// Number of proposals of each of the first members; each proposes a different change.
     pub tries: Vec<u32>,
-    /// Members that may start again.
+    /// Number of restarts.
     pub restarts: u8,
-    /// A member that started again votes on as the one before, and has forgotten: the deliberate fault.
+    /// Planted fault: a restarted member keeps its vote and has forgotten its promises.
     pub forgets: bool,
 }
 
-/// Something said, by member numbers; it stays on its way, so that it can come late, twice or never.
+/// A message, with the numbers of sender and receiver. It stays in transit after delivery, so that it can arrive late,
+/// twice or never.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Message {
     Prepare(usize, usize, Ballot),
@@ -42,46 +43,46 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     Try(usize),
-    Arrives(Message),
-    Restarts(usize),
+    Deliver(Message),
+    Restart(usize),
 }
 
-fn name(who: usize) -> String {
-    format!("m{who}")
+fn name(index: usize) -> String {
+    format!("m{index}")
 }
 
-impl Voting {
+impl ViewAgreement {
     fn view(&self) -> View {
-        let line = |who| {
-            let address = SocketAddr::from(([127, 0, 0, 1], 1 + who as u16));
-            (name(who), ViewMember { name: name(who), generation: Generation(1), address })
+        let line = |index| {
+            let address = SocketAddr::from(([127, 0, 0, 1], 1 + index as u16));
+            (name(index), ViewMember { name: name(index), generation: Generation(1), address })
         };
         let members: BTreeMap<String, ViewMember> = (0..self.members).map(line).collect();
         View { id: ViewId { bootstrap: 1, number: 1 }, members, ..View::default() }
     }
 
-    /// Puts messages on their way; what a member says to itself is heard at once, as in the program.
-    fn say(&self, state: &mut State, messages: impl IntoIterator<Item = Message>) {
+    /// Sends messages. Those of a member to itself are delivered at once, as in the program.
+    fn send(&self, state: &mut State, messages: impl IntoIterator<Item = Message>) {
         for message in messages {
             match message {
                 Message::Prepare(a, b, _) | Message::Promise(a, b, ..) if a == b => {
-                    self.arrives(state, message)
+                    self.deliver(state, message)
                 }
                 Message::Propose(a, b, ..) | Message::Accepted(a, b, _) if a == b => {
-                    self.arrives(state, message)
+                    self.deliver(state, message)
                 }
                 message => state.messages.extend([message]),
             }
         }
     }
 
-    fn arrives(&self, state: &mut State, message: Message) {
+    fn deliver(&self, state: &mut State, message: Message) {
         let view = self.view();
         match message {
             Message::Prepare(from, to, ballot) => {
                 let promised = state.acceptors[to].as_mut().and_then(|acceptor| acceptor.prepare(&ballot));
                 if let Some(accepted) = promised {
-                    self.say(state, [Message::Promise(to, from, ballot, accepted)]);
+                    self.send(state, [Message::Promise(to, from, ballot, accepted)]);
                 }
             }
             Message::Promise(from, to, ballot, accepted) => {
@@ -89,12 +90,12 @@
                 if let Some(change) = own.and_then(|it| it.add_vote(&view, &name(from), accepted, [])) {
                     let all =
                         (0..self.members).map(|it| Message::Propose(to, it, ballot.clone(), change.clone()));
-                    self.say(state, all.collect::<Vec<_>>());
+                    self.send(state, all.collect::<Vec<_>>());
                 }
             }
             Message::Propose(from, to, ballot, change) => {
                 if state.acceptors[to].as_mut().is_some_and(|acceptor| acceptor.accept(&ballot, &change)) {
-                    self.say(state, [Message::Accepted(to, from, ballot)]);
+                    self.send(state, [Message::Accepted(to, from, ballot)]);
                 }
             }
             Message::Accepted(from, to, ballot) => {
@@ -105,7 +106,7 @@
     }
 }
 
-impl Model for Voting {
+impl Model for ViewAgreement {
     type State = State;
     type Action = Action;
 
@@ -121,36 +122,36 @@
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
-        actions.extend((0..state.tries.len()).filter(|who| state.tries[*who] > 0).map(Action::Try));
-        actions.extend(state.messages.iter().cloned().map(Action::Arrives));
+        actions.extend((0..state.tries.len()).filter(|index| state.tries[*index] > 0).map(Action::Try));
+        actions.extend(state.messages.iter().cloned().map(Action::Deliver));
         if state.restarts > 0 {
             actions
-                .extend((0..self.members).filter(|it| state.acceptors[*it].is_some()).map(Action::Restarts));
+                .extend((0..self.members).filter(|it| state.acceptors[*it].is_some()).map(Action::Restart));
         }
     }
 
     fn next_state(&self, before: &State, action: Action) -> Option<State> {
         let mut state = before.clone();
         match action {
-            Action::Try(who) => {
-                state.acceptors[who].as_ref()?;
-                state.tries[who] -= 1;
-                let round = 1 + self.tries[who] - state.tries[who];
-                let ballot = Ballot { round, by: name(who) };
-                // Each wants somebody else out.
-                let leaves = vec![name((who + 1) % self.members)];
-                state.proposals[who] =
+            Action::Try(index) => {
+                state.acceptors[index].as_ref()?;
+                state.tries[index] -= 1;
+                let round = 1 + self.tries[index] - state.tries[index];
+                let ballot = Ballot { round, by: name(index) };
+                // Each proposes to remove a different member.
+                let leaves = vec![name((index + 1) % self.members)];
+                state.proposals[index] =
                     Some(Proposal::new(ballot.clone(), Change { leaves, ..Change::default() }));
-                let all = (0..self.members).map(|it| Message::Prepare(who, it, ballot.clone()));
-                self.say(&mut state, all.collect::<Vec<_>>());
+                let all = (0..self.members).map(|it| Message::Prepare(index, it, ballot.clone()));
+                self.send(&mut state, all.collect::<Vec<_>>());
             }
-            Action::Arrives(message) => self.arrives(&mut state, message),
-            Action::Restarts(who) => {
+            Action::Deliver(message) => self.deliver(&mut state, message),
+            Action::Restart(index) => {
                 state.restarts -= 1;
-                // Another generation has no vote in this view; one that is taken for the same has forgotten.
-                state.acceptors[who] = self.forgets.then(Acceptor::default);
-                state.proposals.iter_mut().skip(who).take(1).for_each(|proposal| *proposal = None);
-                state.tries.iter_mut().skip(who).take(1).for_each(|tries| *tries = 0);
+                // A new generation has no vote in this view. With the planted fault it votes with an empty memory.
+                state.acceptors[index] = self.forgets.then(Acceptor::default);
+                state.proposals.iter_mut().skip(index).take(1).for_each(|proposal| *proposal = None);
+                state.tries.iter_mut().skip(index).take(1).for_each(|tries| *tries = 0);
             }
         }
         (state != *before).then_some(state)
@@ -164,8 +165,8 @@
     }
 }
 
-/// States that were reached, and the properties that do not hold.
-pub fn check(model: Voting) -> (usize, Vec<&'static str>) {
+/// Returns the number of reached states, and the properties that do not hold.
+pub fn check(model: ViewAgreement) -> (usize, Vec<&'static str>) {
     let threads = std::thread::available_parallelism().map_or(1, usize::from);
     let checker = model.checker().threads(threads).spawn_bfs().join();
     let mut broken = Vec::new();
@@ -178,9 +179,9 @@
     (checker.unique_state_count(), broken)
 }
 
-/// The checks that docs/fleet.md records.
-pub fn recorded(short: bool) -> Vec<(&'static str, Voting)> {
-    let model = |members, tries: &[u32], restarts| Voting {
+/// Returns the checks whose results docs/fleet.md records; `short` selects the smallest.
+pub fn recorded(short: bool) -> Vec<(&'static str, ViewAgreement)> {
+    let model = |members, tries: &[u32], restarts| ViewAgreement {
         members,
         tries: tries.to_vec(),
         restarts,
--- a/lab/src/membership/processes.rs
+++ b/lab/src/membership/processes.rs
@@ -1,6 +1,6 @@
 //! `topazpath-lab fleet`: membership among real processes of the program. Processes are stopped and continued, killed
-//! and started again, cut one way and both, their datagrams lost, doubled and late; what each of them says of the fleet
-//! is recorded and checked.
+//! and restarted, cut off one way and both ways, and their datagrams lost, duplicated and delayed. What each of them
+//! reports about the fleet is recorded and checked.
 
 use crate::arguments::Parts;
 use crate::stand_ins::machines::{FleetSetup, Machine, Setup};
@@ -15,31 +15,31 @@
 use std::time::{Duration, Instant};
 use topazpath::resp::{self, Value as Resp};
 
-/// Longer than anything here takes on a loaded machine.
-const PATIENCE: Duration = Duration::from_secs(60);
-/// What each process is set up with: a suspicion lasts 0.8 to 2.4 s.
+/// Time limit of every wait; longer than any takes on a loaded machine.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
+/// Probe interval and time limit of answers of each process; with them a suspicion lasts 0.8 to 2.4 s.
 const PERIOD: Duration = Duration::from_millis(200);
-const ANSWER: Duration = Duration::from_millis(60);
-/// How often each is asked what it knows.
-const SAMPLED: Duration = Duration::from_millis(50);
+const ACK_TIMEOUT: Duration = Duration::from_millis(60);
+/// How often each process is queried.
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What one process says of the fleet.
+/// What one process reports about the fleet.
 #[derive(Clone, Debug)]
-pub struct Said {
+pub struct MemberStatus {
     phase: String,
     generation: u64,
     quorate: bool,
-    view: Option<(Id, Lives)>,
+    view: Option<(Id, Generations)>,
     states: BTreeMap<String, String>,
 }
 
-impl Said {
-    /// What a timeline tells of it.
+impl MemberStatus {
+    /// Returns its entry for a timeline.
     pub fn summary(&self) -> Value {
         json!({ "phase": self.phase, "life": self.generation, "quorate": self.quorate, "view": self.view, "states": self.states })
     }
 
-    fn read(report: &Value) -> Option<Said> {
+    fn read(report: &Value) -> Option<MemberStatus> {
         let view = report["view"].as_object().map(|view| {
             let members = view["members"].as_array().into_iter().flatten();
             let members =
@@ -50,7 +50,7 @@
         let states = report["peers"].as_array()?.iter().filter_map(|peer| {
             Some((peer["name"].as_str()?.to_string(), peer["state"].as_str()?.to_string()))
         });
-        Some(Said {
+        Some(MemberStatus {
             phase: report["phase"].as_str()?.to_string(),
             generation: report["life"].as_u64()?,
             quorate: report["quorate"].as_bool()?,
@@ -60,18 +60,18 @@
     }
 }
 
-/// What was broken, over all samples.
+/// Number of violations of each rule, over all samples.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Breaches {
-    /// Two views of one number that differ.
+    /// Pairs of different views with the same number.
     pub split_views: usize,
-    /// A generation that was out of a view and is in a later one.
+    /// Generations that were removed from a view and are in a later one.
     pub revived: usize,
-    /// Members that were taken out though nothing was done to them that allows it.
+    /// Members that were removed without a fault that allows it.
     pub false_gone: usize,
-    /// Members that are dead and still in the view at the end.
+    /// Members that do not run and are still in the view at the end.
     pub missed_gone: usize,
-    /// Requests that got no answer from a process that ran.
+    /// Requests that a running process did not answer.
     pub requests_lost: usize,
 }
 
@@ -81,21 +81,22 @@
     }
 }
 
-/// Founding and number of a view, and its members with their generations.
+/// Id of a view: bootstrap and number.
 type Id = (u64, u64);
-type Lives = BTreeMap<String, u64>;
+/// The members of a view with their generations.
+type Generations = BTreeMap<String, u64>;
 
-/// Everything that was recorded of one play.
+/// All views recorded in one run.
 #[derive(Default)]
 struct History {
-    views: BTreeMap<Id, Lives>,
-    /// Ids at which two views differ, counted once each.
+    views: BTreeMap<Id, Generations>,
+    /// Ids with different views.
     split: BTreeSet<Id>,
 }
 
 impl History {
-    fn add(&mut self, said: &Said) {
-        let Some((id, members)) = &said.view else { return };
+    fn add(&mut self, status: &MemberStatus) {
+        let Some((id, members)) = &status.view else { return };
         match self.views.get(id) {
             Some(known) if known != members => drop(self.split.insert(*id)),
             Some(_) => {}
@@ -103,11 +104,11 @@
         }
     }
 
-    /// `allowed`: the members that may be taken out; `running`: those that are to be in the last view.
+    /// Checks the recorded views. Members in `allowed` may be removed; only those in `running` may be in the last view.
     fn check(&self, allowed: &[String], running: &[String]) -> Breaches {
         let mut breaches = Breaches { split_views: self.split.len(), ..Breaches::default() };
         let mut out: BTreeSet<(u64, String, u64)> = BTreeSet::new();
-        let mut last: Option<(&Id, &Lives)> = None;
+        let mut last: Option<(&Id, &Generations)> = None;
         for (id, members) in &self.views {
             if let Some((before, known)) = last.filter(|(before, _)| before.0 == id.0) {
                 for (name, generation) in
@@ -123,30 +124,31 @@
             breaches.revived += back.count();
             last = Some((id, members));
         }
-        let left = last.into_iter().flat_map(|(_, members)| members.keys());
-        breaches.missed_gone = left.filter(|name| !running.contains(name)).count();
+        let remaining = last.into_iter().flat_map(|(_, members)| members.keys());
+        breaches.missed_gone = remaining.filter(|name| !running.contains(name)).count();
         breaches
     }
 }
 
-/// Real processes of the program on a segment.
+/// Real processes of the program on one segment.
 pub struct Rig {
     pub segment: Segment,
     pub machines: Vec<Machine>,
     listens: Vec<SocketAddr>,
     pub names: Vec<String>,
     history: History,
-    /// Who is stopped, and would not answer.
+    /// Processes that are stopped and therefore not queried.
     stopped: BTreeSet<usize>,
-    /// Keep discovery and the node there.
+    /// Keeps the stand-in for discovery alive.
     _registry: Registry,
 }
 
 impl Rig {
-    /// `twin`: one more machine, which is off, with the name of the last. `fleet`: whether it is switched on.
+    /// Starts `size` processes, with membership enabled if `fleet`. One more machine, the twin, has the name of the
+    /// last and is not started.
     pub fn start(program: &Path, size: usize, place: u8, seed: u64, fleet: bool) -> std::io::Result<Rig> {
         let twin = size - 1;
-        // Addresses of this run's own, so that no other can be given a port on them.
+        // IP addresses that no other run uses, so that none of the ports chosen on them is taken.
         let ip = |last: u8| Ipv4Addr::new(127, 150 + place, std::process::id() as u8, last);
         let ips: Vec<Ipv4Addr> = (0..=size).map(|at| ip(1 + at as u8)).collect();
         let segment = Segment::start(&ips, ip(250), seed)?;
@@ -166,7 +168,7 @@
                 name: names[at].clone(),
                 seeds: seeds.clone(),
                 period: PERIOD,
-                answer: ANSWER,
+                answer: ACK_TIMEOUT,
             };
             let setup = Setup {
                 name: names[at].clone(),
@@ -194,94 +196,95 @@
         })
     }
 
-    /// What a process says now, unless it does not run or is stopped.
-    pub fn ask(&mut self, who: usize) -> Option<Said> {
-        if self.stopped.contains(&who) {
+    /// Queries and records the status of a process; none if it does not run or is stopped.
+    pub fn ask(&mut self, index: usize) -> Option<MemberStatus> {
+        if self.stopped.contains(&index) {
             return None;
         }
-        let report = ask(self.listens[who], &[b"INFO", b"FLEET"])?;
-        let said = Said::read(&serde_json::from_slice(&report).ok()?)?;
-        self.history.add(&said);
-        Some(said)
+        let report = ask(self.listens[index], &[b"INFO", b"FLEET"])?;
+        let status = MemberStatus::read(&serde_json::from_slice(&report).ok()?)?;
+        self.history.add(&status);
+        Some(status)
     }
 
-    /// Until the processes named are all members of one view that has just their names.
-    pub fn together(&mut self, who: &[usize]) -> Result<Duration, String> {
-        let names: BTreeSet<String> = who.iter().map(|who| self.names[*who].clone()).collect();
-        self.until("they are together in one view", |rig| {
-            let said: Vec<Said> = who.iter().filter_map(|who| rig.ask(*who)).collect();
-            let views: BTreeSet<_> = said.iter().filter_map(|said| said.view.clone()).collect();
+    /// Waits until the given processes are the members of one view, and no others are; returns the time that took.
+    pub fn wait_for_common_view(&mut self, indices: &[usize]) -> Result<Duration, String> {
+        let names: BTreeSet<String> = indices.iter().map(|index| self.names[*index].clone()).collect();
+        self.wait_until("they are together in one view", |rig| {
+            let status: Vec<MemberStatus> = indices.iter().filter_map(|index| rig.ask(*index)).collect();
+            let views: BTreeSet<_> = status.iter().filter_map(|status| status.view.clone()).collect();
             let first = views.iter().next().map(|(_, members)| members.keys().cloned().collect());
-            let all =
-                said.len() == who.len() && said.iter().all(|said| said.phase == "member" && said.quorate);
-            let calm = said.iter().all(|said| said.states.values().all(|state| state == "alive"));
-            (all && calm && views.len() == 1 && first == Some(names.clone())).then_some(())
+            let all = status.len() == indices.len()
+                && status.iter().all(|status| status.phase == "member" && status.quorate);
+            let all_alive = status.iter().all(|status| status.states.values().all(|state| state == "alive"));
+            (all && all_alive && views.len() == 1 && first == Some(names.clone())).then_some(())
         })
     }
 
-    fn until(
+    fn wait_until(
         &mut self,
         what: &str,
         mut check: impl FnMut(&mut Rig) -> Option<()>,
     ) -> Result<Duration, String> {
         let start = Instant::now();
         while check(self).is_none() {
-            if start.elapsed() > PATIENCE {
+            if start.elapsed() > WAIT_TIMEOUT {
                 let logs: Vec<String> = self.machines.iter().map(Machine::log).collect();
-                return Err(format!("never came true: {what}\n{}", logs.join("\n---\n")));
+                return Err(format!("timed out waiting until {what}\n{}", logs.join("\n---\n")));
             }
-            std::thread::sleep(SAMPLED);
+            std::thread::sleep(SAMPLE_INTERVAL);
         }
         Ok(start.elapsed())
     }
 
-    /// Records what all of them say for a time.
-    fn watch(&mut self, time: Duration) {
+    /// Queries and records the status of all processes for a time.
+    fn sample_for(&mut self, time: Duration) {
         let start = Instant::now();
         while start.elapsed() < time {
-            (0..SIZE).for_each(|who| drop(self.ask(who)));
-            std::thread::sleep(SAMPLED);
+            (0..SIZE).for_each(|index| drop(self.ask(index)));
+            std::thread::sleep(SAMPLE_INTERVAL);
         }
     }
 
-    pub fn stop(&mut self, who: &[usize]) {
-        self.stopped.extend(who);
-        who.iter().for_each(|who| self.machines[*who].signal("STOP"));
+    pub fn stop(&mut self, indices: &[usize]) {
+        self.stopped.extend(indices);
+        indices.iter().for_each(|index| self.machines[*index].signal("STOP"));
     }
 
-    pub fn go_on(&mut self, who: &[usize]) {
-        self.stopped.retain(|it| !who.contains(it));
-        who.iter().for_each(|who| self.machines[*who].signal("CONT"));
+    pub fn resume(&mut self, indices: &[usize]) {
+        self.stopped.retain(|it| !indices.contains(it));
+        indices.iter().for_each(|index| self.machines[*index].signal("CONT"));
     }
 
     fn cut(&self, pairs: &[(usize, usize)], cut: bool) {
         pairs.iter().for_each(|(a, b)| self.segment.set_link(*a, *b, Link { cut, ..Link::default() }));
     }
 
-    fn everywhere(&self, link: Link) {
+    fn set_all_links(&self, link: Link) {
         let size = SIZE;
         let pairs = (0..size).flat_map(|a| (0..size).filter(move |b| a != *b).map(move |b| (a, b)));
         pairs.for_each(|(a, b)| self.segment.set_link(a, b, link));
     }
 
-    /// What was broken, where these may be taken out and those run.
+    /// Checks the recorded views: `may_go` may be removed, and `running` run at the end.
     pub fn check(&self, may_go: &[usize], running: &[usize]) -> Breaches {
-        let named = |who: &[usize]| who.iter().map(|who| self.names[*who].clone()).collect::<Vec<_>>();
+        let named =
+            |indices: &[usize]| indices.iter().map(|index| self.names[*index].clone()).collect::<Vec<_>>();
         self.history.check(&named(may_go), &named(running))
     }
 
-    /// Each process that runs serves a request; how many did not.
-    pub fn lost(&self, who: &[usize]) -> usize {
-        let served = |who: &&usize| {
-            let id = format!("{:016x}", **who + 1);
+    /// Sends a request to each of the processes, and returns how many did not answer it.
+    pub fn count_unserved(&self, indices: &[usize]) -> usize {
+        let served = |index: &&usize| {
+            let id = format!("{:016x}", **index + 1);
             let list = b"c=read,t=plus,d=1500,volume=00000000000000a0,units=2,shard=0,hosts=1";
-            ask(self.listens[**who], &[b"OBJ.GET", b"00000000000000aa", id.as_bytes(), list]).is_some()
+            ask(self.listens[**index], &[b"OBJ.GET", b"00000000000000aa", id.as_bytes(), list]).is_some()
         };
-        who.iter().filter(|who| !served(who)).count()
+        indices.iter().filter(|index| !served(index)).count()
     }
 }
 
-/// The bulk string that comes back.
+/// Sends a command and returns the bulk string of the answer, if any.
 fn ask(address: SocketAddr, words: &[&[u8]]) -> Option<Vec<u8>> {
     let mut stream = TcpStream::connect_timeout(&address, Duration::from_millis(250)).ok()?;
     stream.set_read_timeout(Some(Duration::from_secs(2))).ok()?;
@@ -300,42 +303,42 @@
     }
 }
 
-/// What is done to five processes.
+/// A fault injected into a fleet of five processes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Scene {
-    /// Nothing.
+    /// No fault.
     Calm,
-    /// One is stopped for less, and for longer, than a suspicion lasts.
+    /// One is stopped for less, or for longer, than a suspicion lasts.
     ShortPause,
     LongPause,
     /// All are stopped at once.
     AllPaused,
-    /// One is killed, and stays away; or comes back at once.
+    /// One is killed, and stays away or comes back at once.
     Killed,
     KilledAndBack,
-    /// One does not hear another, the others hear both.
+    /// Two links are cut one way.
     OneWay,
-    /// Two are cut off from three.
+    /// Two are cut off from the other three.
     Split,
-    /// One can say and not hear, or hear and not say.
+    /// One does not receive, or its datagrams are lost.
     Deaf,
     Mute,
-    /// Three in ten datagrams are lost, some come twice, late and out of order.
+    /// 30 % of the datagrams are lost, some are duplicated, delayed and reordered.
     Lossy,
-    /// A link is up and down by half seconds.
+    /// A link alternates between up and down every half second.
     Flapping,
-    /// Datagrams of others, and what is none.
+    /// Invalid and forged datagrams arrive.
     Noise,
-    /// Three in five are started again one after another.
+    /// Three of five are restarted one after another.
     Rolling,
-    /// One ends in order.
+    /// One shuts down gracefully.
     Leaves,
-    /// Four in five are killed at once and come back, so that most of the view is over.
+    /// Four of five are killed at once and come back, so that the view loses its quorum.
     Wave,
-    /// One gets a tenth of its processor time.
+    /// One is stopped for 90 % of the time.
     Starved,
-    /// Another process takes the name of one that is there.
+    /// Another process starts with the name of a running one.
     TwoNames,
 }
 
@@ -360,16 +363,16 @@
     Scene::TwoNames,
 ];
 
-/// What a scene came to.
+/// The result of a scene.
 #[derive(Clone, Debug, Serialize)]
-pub struct Played {
+pub struct SceneResult {
     pub scene: Scene,
-    /// From the first start to one view of all, and from the end of the fault to one view of all that run.
+    /// Time from the start until all are in one view, and from the end of the fault until all that run are.
     pub formed_ms: u64,
     pub settled_ms: u64,
-    /// From the fault to the first view without its victim, where there is one.
+    /// Time from the fault until most of the others have a view without its victim, if it has one.
     pub gone_ms: Option<u64>,
-    /// Members that knew that they sat in the smaller part.
+    /// Members of the minority that reported that they have no quorum.
     pub knew: usize,
     pub views: usize,
     pub breaches: Breaches,
@@ -377,50 +380,50 @@
 
 const SIZE: usize = 5;
 
-/// Plays a scene.
-pub fn play(program: &Path, scene: Scene, place: u8, seed: u64) -> Result<Played, String> {
+/// Runs a scene.
+pub fn run_scene(program: &Path, scene: Scene, place: u8, seed: u64) -> Result<SceneResult, String> {
     let mut rig = Rig::start(program, SIZE, place, seed, true).map_err(|error| error.to_string())?;
     let all: Vec<usize> = (0..SIZE).collect();
-    let formed = rig.together(&all)?;
+    let formed = rig.wait_for_common_view(&all)?;
     let (mut allowed, mut running, mut gone, mut knew) = (Vec::new(), all.clone(), None, 0);
     let secs = Duration::from_secs;
-    // The one that bootstrapped the fleet, which tries first for other views.
+    // The member that bootstrapped the fleet, which proposes new views first.
     let victim = 0;
     match scene {
-        Scene::Calm => rig.watch(secs(3)),
+        Scene::Calm => rig.sample_for(secs(3)),
         Scene::ShortPause => {
             rig.stop(&[victim]);
-            rig.watch(Duration::from_millis(300));
-            rig.go_on(&[victim]);
-            rig.watch(secs(3));
+            rig.sample_for(Duration::from_millis(300));
+            rig.resume(&[victim]);
+            rig.sample_for(secs(3));
         }
         Scene::LongPause => {
             allowed.push(victim);
             rig.stop(&[victim]);
-            gone = Some(until_gone(&mut rig, victim)?);
-            rig.go_on(&[victim]);
+            gone = Some(wait_until_gone(&mut rig, victim)?);
+            rig.resume(&[victim]);
         }
         Scene::AllPaused => {
             rig.stop(&all);
             std::thread::sleep(secs(5));
-            rig.go_on(&all);
-            rig.watch(secs(4));
+            rig.resume(&all);
+            rig.sample_for(secs(4));
         }
         Scene::Killed => {
             allowed.push(victim);
             rig.machines[victim].kill();
-            running.retain(|who| *who != victim);
-            gone = Some(until_gone(&mut rig, victim)?);
+            running.retain(|index| *index != victim);
+            gone = Some(wait_until_gone(&mut rig, victim)?);
         }
         Scene::KilledAndBack => {
             allowed.push(victim);
             rig.machines[victim].kill();
             rig.machines[victim].start().map_err(|error| error.to_string())?;
-            rig.watch(secs(2));
+            rig.sample_for(secs(2));
         }
         Scene::OneWay => {
             rig.cut(&[(1, 2), (3, victim)], true);
-            rig.watch(secs(8));
+            rig.sample_for(secs(8));
             rig.cut(&[(1, 2), (3, victim)], false);
         }
         Scene::Split => {
@@ -428,9 +431,9 @@
             let pairs: Vec<(usize, usize)> =
                 [0, 1].iter().flat_map(|a| [2, 3, 4].map(|b| [(*a, b), (b, *a)])).flatten().collect();
             rig.cut(&pairs, true);
-            gone = Some(until_gone(&mut rig, victim)?);
-            rig.until("the smaller part knows that it is", |rig| {
-                let small = [0, 1].map(|who| rig.ask(who).is_some_and(|said| !said.quorate));
+            gone = Some(wait_until_gone(&mut rig, victim)?);
+            rig.wait_until("the minority reports that it has no quorum", |rig| {
+                let small = [0, 1].map(|index| rig.ask(index).is_some_and(|status| !status.quorate));
                 (small == [true; 2]).then_some(())
             })?;
             knew = 2;
@@ -442,42 +445,42 @@
                 (1..SIZE).map(|other| if scene == Scene::Deaf { (other, victim) } else { (victim, other) });
             let pairs: Vec<(usize, usize)> = pairs.collect();
             rig.cut(&pairs, true);
-            gone = Some(until_gone(&mut rig, victim)?);
+            gone = Some(wait_until_gone(&mut rig, victim)?);
             rig.cut(&pairs, false);
         }
         Scene::Lossy => {
             let (delay, jitter) = (Duration::from_millis(2), Duration::from_millis(30));
-            rig.everywhere(Link { cut: false, loss: 0.3, duplicated: 0.2, delay, jitter });
-            rig.watch(secs(15));
-            rig.everywhere(Link::default());
+            rig.set_all_links(Link { cut: false, loss: 0.3, duplicated: 0.2, delay, jitter });
+            rig.sample_for(secs(15));
+            rig.set_all_links(Link::default());
         }
         Scene::Flapping => {
             for _ in 0..8 {
                 rig.cut(&[(1, 2), (2, 1)], true);
-                rig.watch(Duration::from_millis(500));
+                rig.sample_for(Duration::from_millis(500));
                 rig.cut(&[(1, 2), (2, 1)], false);
-                rig.watch(Duration::from_millis(500));
+                rig.sample_for(Duration::from_millis(500));
             }
         }
         Scene::Noise => make_noise(&mut rig)?,
         Scene::Rolling => {
-            for who in [0, 2, 4] {
-                allowed.push(who);
-                rig.machines[who].signal("TERM");
-                if !rig.machines[who].wait(PATIENCE) {
-                    return Err("a process did not end in order".into());
+            for index in [0, 2, 4] {
+                allowed.push(index);
+                rig.machines[index].signal("TERM");
+                if !rig.machines[index].wait(WAIT_TIMEOUT) {
+                    return Err("a process did not shut down gracefully".into());
                 }
-                rig.machines[who].start().map_err(|error| error.to_string())?;
-                rig.together(&all)?;
+                rig.machines[index].start().map_err(|error| error.to_string())?;
+                rig.wait_for_common_view(&all)?;
             }
         }
         Scene::Wave => {
             allowed.extend(&all);
-            for who in 0..SIZE - 1 {
-                rig.machines[who].kill();
+            for index in 0..SIZE - 1 {
+                rig.machines[index].kill();
             }
-            for who in 0..SIZE - 1 {
-                rig.machines[who].start().map_err(|error| error.to_string())?;
+            for index in 0..SIZE - 1 {
+                rig.machines[index].start().map_err(|error| error.to_string())?;
             }
         }
         Scene::Starved => {
@@ -486,7 +489,7 @@
             while start.elapsed() < secs(8) {
                 rig.stop(&[victim]);
                 std::thread::sleep(Duration::from_millis(90));
-                rig.go_on(&[victim]);
+                rig.resume(&[victim]);
                 std::thread::sleep(Duration::from_millis(10));
                 drop(rig.ask(1));
             }
@@ -495,23 +498,23 @@
             let (older, twin) = (SIZE - 1, SIZE);
             allowed.push(older);
             rig.machines[twin].start().map_err(|error| error.to_string())?;
-            rig.until("the older one gives way", |rig| {
-                rig.ask(older).filter(|said| said.phase == "aside").map(drop)
+            rig.wait_until("the older one has given up its name", |rig| {
+                rig.ask(older).filter(|status| status.phase == "aside").map(drop)
             })?;
             running = vec![0, 1, 2, 3, twin];
         }
         Scene::Leaves => {
             allowed.push(victim);
             rig.machines[victim].signal("TERM");
-            running.retain(|who| *who != victim);
-            gone = Some(until_gone(&mut rig, victim)?);
+            running.retain(|index| *index != victim);
+            gone = Some(wait_until_gone(&mut rig, victim)?);
         }
     }
-    let settled = rig.together(&running)?;
-    rig.watch(secs(1));
+    let settled = rig.wait_for_common_view(&running)?;
+    rig.sample_for(secs(1));
     let mut breaches = rig.check(&allowed, &running);
-    breaches.requests_lost = rig.lost(&running);
-    Ok(Played {
+    breaches.requests_lost = rig.count_unserved(&running);
+    Ok(SceneResult {
         scene,
         formed_ms: formed.as_millis() as u64,
         settled_ms: settled.as_millis() as u64,
@@ -522,21 +525,22 @@
     })
 }
 
-/// Until most of the others have a view without the generation that a member has now.
-fn until_gone(rig: &mut Rig, victim: usize) -> Result<Duration, String> {
+/// Waits until most of the others have a view without the member's present generation; returns the time that took.
+fn wait_until_gone(rig: &mut Rig, victim: usize) -> Result<Duration, String> {
     let name = rig.names[victim].clone();
     let last = rig.history.views.values().next_back().and_then(|members| members.get(&name).copied());
-    rig.until("a view without it", |rig| {
-        let without = |rig: &mut Rig, who: usize| {
-            let view = rig.ask(who).and_then(|said| said.view);
+    rig.wait_until("there is a view without it", |rig| {
+        let without = |rig: &mut Rig, index: usize| {
+            let view = rig.ask(index).and_then(|status| status.view);
             view.is_some_and(|(_, members)| members.get(&name).copied() != last)
         };
-        let others = (0..SIZE).filter(|who| *who != victim);
-        (others.filter(|who| without(rig, *who)).count() > SIZE / 2).then_some(())
+        let others = (0..SIZE).filter(|index| *index != victim);
+        (others.filter(|index| without(rig, *index)).count() > SIZE / 2).then_some(())
     })
 }
 
-/// Datagrams that are none, of another version, of another fleet, too long, and in a member's name from elsewhere.
+/// Sends datagrams that are truncated, empty, too long, random, of another version or fleet, or forged in a member's
+/// name.
 fn make_noise(rig: &mut Rig) -> Result<(), String> {
     use topazpath::fleet::frame::{tag, Frame, Message};
     use topazpath::fleet::update::Generation;
@@ -549,7 +553,7 @@
         message,
         updates: vec![],
     };
-    let generation = rig.ask(1).map_or(0, |said| said.generation);
+    let generation = rig.ask(1).map_or(0, |status| status.generation);
     let sound = forged("m-1", generation, Message::Ping(1)).write(tag("lab"));
     for _ in 0..200 {
         for port in rig.segment.ports() {
@@ -566,43 +570,49 @@
                 socket.send_to(&datagram, port.own).map_err(|error| error.to_string())?;
             }
         }
-        rig.watch(Duration::from_millis(10));
+        rig.sample_for(Duration::from_millis(10));
     }
     Ok(())
 }
 
-/// Requests a second of each process while membership's cost beside them is measured.
+/// Rate of requests at each process while the cost of membership is measured, in requests a second.
 const RATE: u32 = 400;
 
-/// What requests cost and how long they take at five processes, with the fleet or without: processor time of a process
-/// and second, in milliseconds; latency at the median and the 99th percentile, in microseconds; requests not served.
-fn service(program: &Path, place: u8, fleet: bool, time: Duration) -> Result<(f64, f64, f64, usize), String> {
+/// Measures requests at five processes, with or without membership. Returns the processor time of a process in
+/// milliseconds a second, the median and 99th percentile of latency in microseconds, and the requests not served.
+fn measure_service(
+    program: &Path,
+    place: u8,
+    fleet: bool,
+    time: Duration,
+) -> Result<(f64, f64, f64, usize), String> {
     let mut rig = Rig::start(program, SIZE, place, 1, fleet).map_err(|error| error.to_string())?;
     if fleet {
-        rig.together(&(0..SIZE).collect::<Vec<_>>())?;
+        rig.wait_for_common_view(&(0..SIZE).collect::<Vec<_>>())?;
     }
     std::thread::sleep(Duration::from_secs(1));
     let processes: Vec<u32> = rig.machines.iter().filter_map(Machine::process).collect();
     let used = || processes.iter().map(|process| crate::load::processor(*process)).sum::<Duration>();
     let (before, start) = (used(), Instant::now());
     let clients: Vec<_> = rig.listens[..SIZE].iter().map(|listen| (*listen, time)).collect();
-    let taken = std::thread::scope(|scope| {
+    let outcomes = std::thread::scope(|scope| {
         let running: Vec<_> =
-            clients.iter().map(|(listen, time)| scope.spawn(move || client(*listen, *time))).collect();
+            clients.iter().map(|(listen, time)| scope.spawn(move || run_client(*listen, *time))).collect();
         running.into_iter().map(|it| it.join().unwrap_or_default()).collect::<Vec<_>>()
     });
     let cpu = (used() - before).as_secs_f64() * 1000.0 / start.elapsed().as_secs_f64() / SIZE as f64;
-    let lost = taken.iter().map(|(_, lost)| lost).sum();
-    let all: Vec<Duration> = taken.into_iter().flat_map(|(latencies, _)| latencies).collect();
+    let unserved = outcomes.iter().map(|(_, unserved)| unserved).sum();
+    let all: Vec<Duration> = outcomes.into_iter().flat_map(|(latencies, _)| latencies).collect();
     let [p50, p99, _] = crate::vrrp::experiments::spread(&all).map(|millis| millis * 1000.0);
-    Ok((cpu, p50, p99, lost))
+    Ok((cpu, p50, p99, unserved))
 }
 
-/// One connection, on which requests have intended times; latencies count from those.
-fn client(listen: SocketAddr, time: Duration) -> (Vec<Duration>, usize) {
-    let (mut latencies, mut lost) = (Vec::new(), 0);
+/// Sends requests at fixed times on one connection, and returns the latencies counted from these times, and the
+/// requests not served.
+fn run_client(listen: SocketAddr, time: Duration) -> (Vec<Duration>, usize) {
+    let (mut latencies, mut unserved) = (Vec::new(), 0);
     let Ok(mut stream) = TcpStream::connect(listen) else { return (latencies, 1) };
-    // Without these a late answer shows as what it is, only later.
+    // Without these options late answers only take longer to show.
     let _ = (stream.set_nodelay(true), stream.set_read_timeout(Some(Duration::from_secs(2))));
     let (start, mut number) = (Instant::now(), 0_u32);
     while start.elapsed() < time {
@@ -615,19 +625,20 @@
         let mut bytes = [0; 4096];
         match stream.write_all(&command).and_then(|()| stream.read(&mut bytes)) {
             Ok(count) if count > 0 && bytes[0] == b'$' => latencies.push(due.elapsed()),
-            _ => lost += 1,
+            _ => unserved += 1,
         }
     }
-    (latencies, lost)
+    (latencies, unserved)
 }
 
-fn services(program: &Path, repeats: u64, time: Duration) -> Result<Value, String> {
+fn compare_service(program: &Path, repeats: u64, time: Duration) -> Result<Value, String> {
     println!(
         "service at {RATE} requests a second of each of five processes, without and with the fleet, in turn"
     );
     let mut rows = Vec::new();
     for repeat in 0..repeats {
-        let [without, with] = [false, true].map(|fleet| service(program, 60 + repeat as u8, fleet, time));
+        let [without, with] =
+            [false, true].map(|fleet| measure_service(program, 60 + repeat as u8, fleet, time));
         let (without, with) = (without?, with?);
         println!(
             "  processor {:.2} {:.2} ms a second  p50 {:.0} {:.0} us  p99 {:.0} {:.0} us  not served {} {}",
@@ -638,7 +649,7 @@
     Ok(json!(rows))
 }
 
-/// True if no rule broke.
+/// Runs the selected scenes; true if no rule was violated.
 pub fn run(parts: &Parts) -> Result<bool, String> {
     let names: Vec<String> = SCENES.iter().map(|scene| format!("{scene:?}").to_lowercase()).collect();
     let known: Vec<&str> = names.iter().map(String::as_str).chain(["service"]).collect();
@@ -648,25 +659,25 @@
     let (mut report, mut sound) = (Map::new(), true);
     let wanted = SCENES.iter().zip(&names).filter(|(_, name)| parts.want(name));
     for (place, (scene, name)) in wanted.enumerate() {
-        let mut plays = Vec::new();
+        let mut runs = Vec::new();
         for repeat in 0..repeats {
-            let played = play(&program, *scene, place as u8, parts.common.seed + repeat)?;
+            let result = run_scene(&program, *scene, place as u8, parts.common.seed + repeat)?;
             println!(
                 "  {name:<14} formed {:>5} ms  gone {:>6}  settled {:>5} ms  views {:>2}  {:?}",
-                played.formed_ms,
-                played.gone_ms.map_or("-".into(), |gone| format!("{gone} ms")),
-                played.settled_ms,
-                played.views,
-                played.breaches
+                result.formed_ms,
+                result.gone_ms.map_or("-".into(), |gone| format!("{gone} ms")),
+                result.settled_ms,
+                result.views,
+                result.breaches
             );
-            sound &= played.breaches.none();
-            plays.push(played);
+            sound &= result.breaches.none();
+            runs.push(result);
         }
-        report.insert(name.clone(), json!(plays));
+        report.insert(name.clone(), json!(runs));
     }
     if parts.want("service") {
         let (repeats, time) = if parts.common.short { (2, 4) } else { (5, 8) };
-        report.insert("service".into(), services(&program, repeats, Duration::from_secs(time))?);
+        report.insert("service".into(), compare_service(&program, repeats, Duration::from_secs(time))?);
     }
     parts.common.finish(report);
     Ok(sound)
--- a/lab/src/membership/script.rs
+++ b/lab/src/membership/script.rs
@@ -1,5 +1,5 @@
-//! `topazpath-lab fleet-script FILE`: a script of faults among real processes, and a timeline of what came of it:
-//! faults, phases, views and log lines as JSON, a line each, on one clock.
+//! `topazpath-lab fleet-script FILE`: runs a script of faults against real processes and writes a timeline of faults,
+//! phases, views and log lines, one JSON object a line, on one clock.
 
 use super::processes::{Breaches, Rig};
 use crate::arguments::Common;
@@ -10,20 +10,21 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Processes that one machine plays well.
+/// Number of processes that one machine can run without disturbing the result.
 const MEMBERS: std::ops::RangeInclusive<usize> = 3..=30;
-const LONGEST: u64 = 600;
-/// How often everybody is asked.
-const SAMPLED: Duration = Duration::from_millis(50);
+/// Max length of a script in seconds.
+const MAX_SECONDS: u64 = 600;
+/// How often each process is queried.
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Options of the command.
 #[derive(clap::Args)]
 pub struct Options {
     #[command(flatten)]
     common: Common,
-    /// The script.
+    /// Path of the script.
     script: PathBuf,
-    /// Where the timeline goes; without it, to standard output.
+    /// File for the timeline; standard output by default.
     #[arg(long)]
     timeline: Option<PathBuf>,
 }
@@ -35,7 +36,7 @@
     seconds: u64,
     #[serde(default)]
     seed: u64,
-    /// Members that may be taken out of a view by what is done.
+    /// Members that the faults may remove from a view.
     #[serde(default)]
     may_go: Vec<usize>,
     #[serde(default)]
@@ -65,19 +66,19 @@
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, serde::Serialize)]
 #[serde(rename_all = "lowercase")]
 enum Kind {
-    /// Stopped, and continued.
+    /// `who` are stopped, and continued at the end.
     Pause,
-    /// Killed, and started again.
+    /// `who` are killed, and started again at the end.
     Kill,
-    /// What `who` say does not reach `to`.
+    /// Datagrams from `who` to `to` are lost.
     Cut,
-    /// `who` and all others do not hear each other.
+    /// Datagrams between `who` and all others are lost.
     Split,
-    /// `who` can say, and hear nothing.
+    /// Datagrams to `who` are lost.
     Deaf,
-    /// `who` hear, and what they say is lost.
+    /// Datagrams from `who` are lost.
     Mute,
-    /// All datagrams are lost, doubled and late by so much.
+    /// Datagrams of all members are lost, duplicated and delayed as stated.
     Network,
 }
 
@@ -92,8 +93,8 @@
         if !MEMBERS.contains(&script.members) {
             return Err(format!("members: {} to {} are allowed", MEMBERS.start(), MEMBERS.end()));
         }
-        if !(1..=LONGEST).contains(&script.seconds) {
-            return Err(format!("seconds: 1 to {LONGEST} are allowed"));
+        if !(1..=MAX_SECONDS).contains(&script.seconds) {
+            return Err(format!("seconds: 1 to {MAX_SECONDS} are allowed"));
         }
         let known = |all: &[usize]| all.iter().all(|who| *who < script.members);
         if !known(&script.may_go) {
@@ -108,17 +109,17 @@
                 return Err(format!("fault {at}: a cut needs `to`"));
             }
             if !(0.0..=1.0).contains(&fault.loss) || !(0.0..=1.0).contains(&fault.duplicated) {
-                return Err(format!("fault {at}: loss and duplicated are parts, 0 to 1"));
+                return Err(format!("fault {at}: loss and duplicated are shares, 0 to 1"));
             }
             if fault.at_ms + fault.for_ms > script.seconds * 1000 {
-                return Err(format!("fault {at}: it is not over within `seconds`"));
+                return Err(format!("fault {at}: it does not end within `seconds`"));
             }
         }
         Ok(script)
     }
 }
 
-/// What is written down, with the time since the epoch.
+/// The output of events, with the Unix time in milliseconds.
 struct Timeline {
     output: Box<dyn Write>,
 }
@@ -131,41 +132,41 @@
     }
 }
 
-/// The ways between members that a fault closes.
-fn closed(fault: &Fault, members: usize) -> Vec<(usize, usize)> {
+/// Returns the links, from and to, that a fault cuts.
+fn cut_links(fault: &Fault, members: usize) -> Vec<(usize, usize)> {
     let pairs = (0..members).flat_map(|a| (0..members).filter(move |b| a != *b).map(move |b| (a, b)));
     let in_who = |who: &usize| fault.who.contains(who);
-    let shuts = |(a, b): &(usize, usize)| match fault.kind {
+    let is_cut = |(a, b): &(usize, usize)| match fault.kind {
         Kind::Cut => in_who(a) && fault.to.contains(b),
         Kind::Split => in_who(a) != in_who(b),
         Kind::Deaf => in_who(b),
         Kind::Mute => in_who(a),
         Kind::Pause | Kind::Kill | Kind::Network => false,
     };
-    pairs.filter(shuts).collect()
+    pairs.filter(is_cut).collect()
 }
 
-/// How all links are while these faults are under way.
-fn set_links(rig: &Rig, members: usize, under_way: &[&Fault]) {
-    let network = under_way.iter().rev().find(|fault| fault.kind == Kind::Network);
-    let usual = network.map_or(Link::default(), |fault| Link {
+/// Sets all links according to the active faults.
+fn set_links(rig: &Rig, members: usize, active: &[&Fault]) {
+    let network = active.iter().rev().find(|fault| fault.kind == Kind::Network);
+    let uncut = network.map_or(Link::default(), |fault| Link {
         cut: false,
         loss: fault.loss,
         duplicated: fault.duplicated,
         delay: Duration::from_millis(fault.delay_ms),
         jitter: Duration::from_millis(fault.jitter_ms),
     });
-    let shut: Vec<(usize, usize)> = under_way.iter().flat_map(|fault| closed(fault, members)).collect();
+    let cut: Vec<(usize, usize)> = active.iter().flat_map(|fault| cut_links(fault, members)).collect();
     for (a, b) in (0..members).flat_map(|a| (0..members).map(move |b| (a, b))).filter(|(a, b)| a != b) {
-        rig.segment.set_link(a, b, Link { cut: shut.contains(&(a, b)), ..usual });
+        rig.segment.set_link(a, b, Link { cut: cut.contains(&(a, b)), ..uncut });
     }
 }
 
-/// Begins or ends what is done to processes.
-fn act(rig: &mut Rig, fault: &Fault, begins: bool) -> Result<(), String> {
+/// Starts or ends the effect of a fault on processes.
+fn apply(rig: &mut Rig, fault: &Fault, begins: bool) -> Result<(), String> {
     match (fault.kind, begins) {
         (Kind::Pause, true) => rig.stop(&fault.who),
-        (Kind::Pause, false) => rig.go_on(&fault.who),
+        (Kind::Pause, false) => rig.resume(&fault.who),
         (Kind::Kill, true) => fault.who.iter().for_each(|who| rig.machines[*who].kill()),
         (Kind::Kill, false) => {
             for who in &fault.who {
@@ -177,8 +178,8 @@
     Ok(())
 }
 
-/// Plays a script; what was broken, and how long it took at the end until all were in one view.
-fn play(
+/// Runs a script; returns the violations, and the time at the end until all were in one view.
+fn run_script(
     program: &Path,
     script: &Script,
     place: u8,
@@ -188,7 +189,7 @@
     let mut rig =
         Rig::start(program, members, place, script.seed, true).map_err(|error| error.to_string())?;
     let all: Vec<usize> = (0..members).collect();
-    rig.together(&all)?;
+    rig.wait_for_common_view(&all)?;
     let start = Instant::now();
     let mut steps: Vec<(Duration, usize, bool)> = Vec::new();
     for (number, fault) in script.fault.iter().enumerate() {
@@ -196,18 +197,18 @@
         steps.push((Duration::from_millis(fault.at_ms + fault.for_ms), number, false));
     }
     steps.sort();
-    let (mut under_way, mut logged): (Vec<usize>, Vec<usize>) = (Vec::new(), vec![0; members]);
+    let (mut active, mut logged): (Vec<usize>, Vec<usize>) = (Vec::new(), vec![0; members]);
     let mut reported: Vec<Option<Value>> = vec![None; members];
     while start.elapsed() < Duration::from_secs(script.seconds) || !steps.is_empty() {
         while steps.first().is_some_and(|(at, ..)| *at <= start.elapsed()) {
             let (_, number, begins) = steps.remove(0);
             let fault = &script.fault[number];
-            under_way.retain(|it| *it != number);
+            active.retain(|it| *it != number);
             if begins {
-                under_way.push(number);
+                active.push(number);
             }
-            act(&mut rig, fault, begins)?;
-            let faults: Vec<&Fault> = under_way.iter().map(|number| &script.fault[*number]).collect();
+            apply(&mut rig, fault, begins)?;
+            let faults: Vec<&Fault> = active.iter().map(|number| &script.fault[*number]).collect();
             set_links(&rig, members, &faults);
             timeline.add(
                 if begins { "fault" } else { "mended" },
@@ -215,10 +216,10 @@
             )?;
         }
         for who in 0..members {
-            let said = rig.ask(who).map(|said| said.summary());
-            if let Some(said) = said.filter(|said| reported[who].as_ref() != Some(said)) {
-                timeline.add("says", json!({ "member": rig.names[who], "of": said }))?;
-                reported[who] = Some(said);
+            let status = rig.ask(who).map(|status| status.summary());
+            if let Some(status) = status.filter(|status| reported[who].as_ref() != Some(status)) {
+                timeline.add("says", json!({ "member": rig.names[who], "of": status }))?;
+                reported[who] = Some(status);
             }
             let log = rig.machines[who].log();
             let lines: Vec<&str> = log.lines().filter(|line| line.contains("fleet")).collect();
@@ -227,16 +228,16 @@
             }
             logged[who] = lines.len();
         }
-        std::thread::sleep(SAMPLED);
+        std::thread::sleep(SAMPLE_INTERVAL);
     }
-    let settled = rig.together(&all)?;
+    let settled = rig.wait_for_common_view(&all)?;
     let mut breaches = rig.check(&script.may_go, &all);
-    breaches.requests_lost = rig.lost(&all);
+    breaches.requests_lost = rig.count_unserved(&all);
     timeline.add("settled", json!({ "ms": settled.as_millis() as u64, "breaches": breaches }))?;
     Ok((breaches, settled))
 }
 
-/// True if no rule broke.
+/// Runs the script of the command line; true if no rule was violated.
 pub fn run(options: &Options) -> Result<bool, String> {
     let shown = options.script.display();
     let script = Script::read(&options.script).map_err(|why| format!("{shown}: {why}"))?;
@@ -247,7 +248,7 @@
         }
         None => Box::new(std::io::stdout()),
     };
-    let (breaches, settled) = play(&program, &script, 90, &mut Timeline { output })?;
+    let (breaches, settled) = run_script(&program, &script, 90, &mut Timeline { output })?;
     println!("{shown}: settled {} ms after the last fault  {breaches:?}", settled.as_millis());
     let mut report = Map::new();
     report.insert("breaches".into(), json!(breaches));
--- a/lab/src/membership/script/tests.rs
+++ b/lab/src/membership/script/tests.rs
@@ -34,7 +34,7 @@
     let file = std::env::temp_dir().join(format!("topazpath-timeline-{}", std::process::id()));
     let (breaches, _) = steady(|| {
         let output = Box::new(std::fs::File::create(&file).unwrap());
-        play(&program, &script, 91, &mut Timeline { output }).unwrap()
+        run_script(&program, &script, 91, &mut Timeline { output }).unwrap()
     });
     let lines = std::fs::read_to_string(&file).unwrap();
     std::fs::remove_file(&file).unwrap();
--- a/lab/src/membership/simulation.rs
+++ b/lab/src/membership/simulation.rs
@@ -1,8 +1,8 @@
-//! `topazpath-lab fleet-sim`: membership in virtual time. Fault schedules drawn by the thousand with every rule
-//! checked, how soon a dead member is known, what loss and pauses do against other ways, what it costs by the size of
-//! the fleet.
+//! `topazpath-lab fleet-sim`: membership in virtual time. Runs thousands of random fault schedules with every rule
+//! checked, and measures the time to detect a crashed member, false detections under loss and pauses compared with
+//! other failure detectors, and the cost by the size of the fleet.
 
-use super::world::{Breaches, Fault, Network, Terms, Timed, World};
+use super::world::{Breaches, Fault, Network, Settings, Simulation, TimedFault};
 use super::{comparison, model};
 use crate::arguments::Parts;
 use crate::vrrp::experiments::spread;
@@ -14,7 +14,7 @@
 const PARTS: [&str; 6] = ["schedules", "detection", "loss", "cost", "model", "replay"];
 const SECOND: Duration = Duration::from_secs(1);
 
-/// True if no rule broke.
+/// Runs the selected parts; true if no rule was violated.
 pub fn run(parts: &Parts) -> Result<bool, String> {
     parts.check(&PARTS)?;
     let (short, seed) = (parts.common.short, parts.common.seed);
@@ -29,7 +29,7 @@
         report.insert("detection".into(), detection(if short { 20 } else { 300 }, seed));
     }
     if parts.want("loss") {
-        report.insert("loss".into(), comparison::weigh(if short { 0.5 } else { 40.0 }, seed));
+        report.insert("loss".into(), comparison::compare(if short { 0.5 } else { 40.0 }, seed));
     }
     if parts.want("cost") {
         let sizes: &[usize] = if short { &[3, 30, 100] } else { &[3, 30, 300, 1000, 3000] };
@@ -51,11 +51,11 @@
     Ok(sound)
 }
 
-/// Plays the schedule of one seed and prints all that was noted, to investigate a broken rule.
+/// Runs the schedule of one seed and prints all recorded notes, to investigate a violation.
 fn replay(seed: u64) -> bool {
-    let (world, faults) = play(seed);
+    let (simulation, faults) = run_schedule(seed);
     faults.iter().for_each(|it| println!("{:?} for {:?}: {:?}", it.at, it.lasts, it.fault));
-    for note in &world.notes {
+    for note in &simulation.notes {
         println!(
             "{:>10.3} n{:04}  {:<8} {}  {}",
             note.at.as_secs_f64(),
@@ -65,31 +65,31 @@
             note.evidence
         );
     }
-    for who in 0..world.size() {
-        let Some(member) = world.member(who) else { continue };
+    for index in 0..simulation.size() {
+        let Some(member) = simulation.member(index) else { continue };
         let view = member.view().map(|view| {
             let generations =
                 view.members.values().map(|line| (&line.name, line.generation.0 % 1_000_000_000));
             (view.id, generations.collect::<Vec<_>>())
         });
         println!(
-            "n{who:04} {} generation {} {view:?}",
+            "n{index:04} {} generation {} {view:?}",
             member.phase().name(),
             member.generation().0 % 1_000_000_000
         );
     }
-    println!("{:?}", world.breaches);
-    world.breaches.sum() == 0
+    println!("{:?}", simulation.breaches);
+    simulation.breaches.sum() == 0
 }
 
-/// A schedule of faults for so many members, from one seed, and when the last of them is over.
-pub fn draw(size: usize, seed: u64) -> (Vec<Timed>, Duration) {
+/// Returns a random schedule of faults for `size` members, and when the last fault is over.
+pub fn random_schedule(size: usize, seed: u64) -> (Vec<TimedFault>, Duration) {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let count = random.random_range(1..=5);
-    let mut over = 10 * SECOND;
+    let mut end = 10 * SECOND;
     let faults = (0..count).map(|_| {
         let at = Duration::from_millis(random.random_range(0..30_000));
-        // From a tenth of a second to a minute, short ones as often as long ones.
+        // From 0.1 s to a minute, log-uniform.
         let lasts = Duration::from_secs_f64(0.1 * 600_f64.powf(random.random()));
         let one = |random: &mut ChaCha8Rng| random.random_range(0..size);
         let some = |random: &mut ChaCha8Rng| -> Vec<usize> {
@@ -117,47 +117,47 @@
                 jitter: Duration::from_millis(random.random_range(0..60)),
             }),
         };
-        over = over.max(at + lasts);
-        Timed { at, lasts, fault }
+        end = end.max(at + lasts);
+        TimedFault { at, lasts, fault }
     });
     let faults = faults.collect();
-    (faults, over)
+    (faults, end)
 }
 
-/// Plays a schedule and looks at the end whether all came together again.
-pub fn play(seed: u64) -> (World, Vec<Timed>) {
+/// Runs the schedule of a seed, and checks at the end that all members are in one view.
+pub fn run_schedule(seed: u64) -> (Simulation, Vec<TimedFault>) {
     let size = 3 + (seed % 5) as usize;
-    let (faults, over) = draw(size, seed);
-    let mut world = World::new(Terms::default(), size, seed);
-    faults.iter().for_each(|fault| world.plan(fault.clone()));
-    world.run(over);
-    // Longer than the longest suspicion, a view and a join take one after another, several times over.
+    let (faults, end) = random_schedule(size, seed);
+    let mut simulation = Simulation::new(Settings::default(), size, seed);
+    faults.iter().for_each(|fault| simulation.schedule(fault.clone()));
+    simulation.run(end);
+    // Several times longer than the longest suspicion, a view change and a join in succession.
     for _ in 0..12 {
-        world.run(world.now + 10 * SECOND);
-        if world.is_settled() {
+        simulation.run(simulation.now + 10 * SECOND);
+        if simulation.is_settled() {
             break;
         }
     }
-    world.settle();
-    (world, faults)
+    simulation.check_settled();
+    (simulation, faults)
 }
 
 fn schedules(count: u64, seed: u64) -> Result<(Value, Breaches), String> {
     let threads = std::thread::available_parallelism().map_or(1, usize::from) as u64;
     let start = Instant::now();
-    let plays = std::thread::scope(|scope| {
+    let results = std::thread::scope(|scope| {
         let running: Vec<_> = (0..threads)
             .map(|thread| {
                 scope.spawn(move || {
                     let (mut all, mut broken, mut faults, mut views) =
                         (Breaches::default(), Vec::new(), 0, 0);
                     for seed in (seed..seed + count).filter(|seed| seed % threads == thread) {
-                        let (world, schedule) = play(seed);
-                        all.add(world.breaches);
+                        let (simulation, schedule) = run_schedule(seed);
+                        all.add(simulation.breaches);
                         faults += schedule.len();
-                        views += world.notes.iter().filter(|note| note.what == "view").count();
-                        if world.breaches.sum() > 0 {
-                            broken.push((seed, world.breaches));
+                        views += simulation.notes.iter().filter(|note| note.what == "view").count();
+                        if simulation.breaches.sum() > 0 {
+                            broken.push((seed, simulation.breaches));
                         }
                     }
                     (all, broken, faults, views)
@@ -166,12 +166,12 @@
             .collect();
         running.into_iter().map(|it| it.join()).collect::<Result<Vec<_>, _>>()
     });
-    let plays = plays.map_err(|_| "a play panicked")?;
+    let results = results.map_err(|_| "a simulation panicked")?;
     let (mut all, mut broken, mut faults, mut views) = (Breaches::default(), Vec::new(), 0, 0);
-    for (breaches, seeds, drawn, entered) in plays {
+    for (breaches, seeds, fault_count, view_count) in results {
         all.add(breaches);
         broken.extend(seeds);
-        (faults, views) = (faults + drawn, views + entered);
+        (faults, views) = (faults + fault_count, views + view_count);
     }
     broken.sort_by_key(|(seed, _)| *seed);
     for (seed, breaches) in broken.iter().take(10) {
@@ -184,72 +184,72 @@
     Ok((json!({ "schedules": count, "faults": faults, "views_entered": views, "breaches": all }), all))
 }
 
-/// A fleet that has come together; nothing if it does not within a stated time.
-fn together(terms: Terms, size: usize, seed: u64) -> Option<World> {
-    let mut world = World::new(terms, size, seed);
+/// Returns a fleet whose members are in one view; none if that takes longer than 600 s.
+fn settled_fleet(settings: Settings, size: usize, seed: u64) -> Option<Simulation> {
+    let mut simulation = Simulation::new(settings, size, seed);
     for _ in 0..600 {
-        world.run(world.now + SECOND);
-        if world.is_settled() {
-            return Some(world);
+        simulation.run(simulation.now + SECOND);
+        if simulation.is_settled() {
+            return Some(simulation);
         }
     }
     None
 }
 
-/// From the death of a member to the first suspicion and to the first view without it; and from that suspicion on
-/// against the least that the settings allow.
+/// Measures the time from the crash of a member to the first suspicion and to its removal, and the time between the two
+/// relative to the min suspicion timeout of the settings.
 fn detection(repeats: u64, seed: u64) -> Value {
-    let terms = Terms::default();
+    let settings = Settings::default();
     println!(
         "a member is killed: first suspicion and gone, in ms; from the first suspicion to gone over the least suspicion"
     );
     let rows = [3, 5, 10, 30].map(|size| {
-        let (mut suspicions, mut gones, mut lasted) = (Vec::new(), Vec::new(), Vec::new());
+        let (mut suspicions, mut removals, mut durations) = (Vec::new(), Vec::new(), Vec::new());
         for repeat in 0..repeats {
-            let Some(mut world) = together(terms, size, seed + repeat) else { continue };
-            world.run(world.now + 10 * SECOND);
-            let (killed, victim) = (world.now, (repeat as usize * 7 + 1) % size);
-            world.plan(Timed { at: killed, lasts: 600 * SECOND, fault: Fault::Kill(vec![victim]) });
-            world.run(killed + 120 * SECOND);
+            let Some(mut simulation) = settled_fleet(settings, size, seed + repeat) else { continue };
+            simulation.run(simulation.now + 10 * SECOND);
+            let (killed, victim) = (simulation.now, (repeat as usize * 7 + 1) % size);
+            simulation.schedule(TimedFault { at: killed, lasts: 600 * SECOND, fault: Fault::Kill(vec![victim]) });
+            simulation.run(killed + 120 * SECOND);
             let name = format!("n{victim:04}");
             let first = |what: &str| {
-                let noted = world.notes.iter().find(|it| it.at >= killed && it.what == what && it.name == name);
-                noted.map(|noted| noted.at - killed)
+                let note = simulation.notes.iter().find(|it| it.at >= killed && it.what == what && it.name == name);
+                note.map(|note| note.at - killed)
             };
             let (suspicion, gone) = (first("suspect"), first("gone"));
             suspicions.extend(suspicion);
-            gones.extend(gone);
-            lasted.extend(gone.zip(suspicion).map(|(gone, suspicion)| gone.saturating_sub(suspicion)));
+            removals.extend(gone);
+            durations.extend(gone.zip(suspicion).map(|(gone, suspicion)| gone.saturating_sub(suspicion)));
         }
-        let (least, _) = topazpath::fleet::suspicion::timeout_bounds(terms.period, terms.suspicion_periods, size);
-        let (suspicion, gone) = (spread(&suspicions), spread(&gones));
-        let over = spread(&lasted).map(|lasted| lasted / (least.as_secs_f64() * 1000.0));
+        let (min_timeout, _) = topazpath::fleet::suspicion::timeout_bounds(settings.period, settings.suspicion_periods, size);
+        let (suspicion, gone) = (spread(&suspicions), spread(&removals));
+        let ratio = spread(&durations).map(|duration| duration / (min_timeout.as_secs_f64() * 1000.0));
         println!(
             "  {size:>3} members  n {:>3}  suspicion p50 {:>6.0} p99 {:>6.0}  gone p50 {:>6.0} p99 {:>6.0}  least {:>6.0}  over {:.2} {:.2}",
-            gones.len(), suspicion[0], suspicion[1], gone[0], gone[1], least.as_secs_f64() * 1000.0, over[0], over[1]
+            removals.len(), suspicion[0], suspicion[1], gone[0], gone[1], min_timeout.as_secs_f64() * 1000.0, ratio[0], ratio[1]
         );
-        json!({ "members": size, "n": gones.len(), "doubt_ms": suspicion, "gone_ms": gone, "over_least": over })
+        json!({ "members": size, "n": removals.len(), "doubt_ms": suspicion, "gone_ms": gone, "over_least": ratio })
     });
     json!(rows)
 }
 
-/// Datagrams, bytes and processor time a member and second, by size.
+/// Measures datagrams, bytes and processor time per member and second in a fleet of `size`.
 fn cost(size: usize, seed: u64) -> Value {
-    let Some(mut world) = together(Terms::default(), size, seed) else {
+    let Some(mut simulation) = settled_fleet(Settings::default(), size, seed) else {
         println!("  {size:>5} members did not come together");
         return json!({ "members": size });
     };
-    let joined = world.now;
-    world.run(world.now + 10 * SECOND);
-    (world.datagrams, world.bytes, world.counts_bytes) = (0, 0, true);
+    let joined = simulation.now;
+    simulation.run(simulation.now + 10 * SECOND);
+    (simulation.datagrams, simulation.bytes, simulation.counts_bytes) = (0, 0, true);
     let time = 20 * SECOND;
-    world.run(world.now + time);
-    world.counts_bytes = false;
+    simulation.run(simulation.now + time);
+    simulation.counts_bytes = false;
     let start = Instant::now();
-    world.run(world.now + time);
+    simulation.run(simulation.now + time);
     let cpu = start.elapsed().as_secs_f64() / size as f64 / time.as_secs_f64();
     let of = |count: u64| count as f64 / size as f64 / time.as_secs_f64();
-    let (datagrams, bytes) = (of(world.datagrams) / 2.0, of(world.bytes));
+    let (datagrams, bytes) = (of(simulation.datagrams) / 2.0, of(simulation.bytes));
     println!(
         "  {size:>5} members  together after {:>4.0} s  {datagrams:.1} datagrams  {bytes:.0} bytes  {:.1} us of processor a member and second",
         joined.as_secs_f64(), cpu * 1e6
--- a/lab/src/membership/simulation/tests.rs
+++ b/lab/src/membership/simulation/tests.rs
@@ -1,15 +1,15 @@
 use super::*;
 
 #[test]
-fn schedules_of_faults_break_no_rule_and_play_the_same_again() {
+fn fault_schedules_violate_no_rule_and_a_seed_repeats_its_run() {
     let _processor = crate::sync::processor::shared();
     for seed in 1..=120 {
-        let (world, faults) = play(seed);
-        assert_eq!(world.breaches, Breaches::default(), "seed {seed}: {faults:?}");
+        let (simulation, faults) = run_schedule(seed);
+        assert_eq!(simulation.breaches, Breaches::default(), "seed {seed}: {faults:?}");
     }
     let seen = [3, 3].map(|seed| {
-        let (world, _) = play(seed);
-        (world.datagrams, world.notes.len(), world.now)
+        let (simulation, _) = run_schedule(seed);
+        (simulation.datagrams, simulation.notes.len(), simulation.now)
     });
     assert_eq!(seen[0], seen[1]);
 }
--- a/lab/src/membership/world.rs
+++ b/lab/src/membership/world.rs
@@ -1,5 +1,6 @@
-//! Members of a fleet in virtual time: the real pure code of each, a network between them that loses, delays, doubles
-//! and is cut, processes that are stopped, killed and started again, clocks that drift. All of it from one seed.
+//! Simulates the members of a fleet in virtual time: the real protocol code of each, a network that loses, delays,
+//! duplicates and cuts off datagrams, processes that are stopped, killed and restarted, and clocks that drift. One seed
+//! determines everything.
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -13,27 +14,27 @@
 use topazpath::fleet::update::Generation;
 use topazpath::fleet::view::{View, ViewId};
 
-/// Unix time at which each play begins, in milliseconds.
+/// Unix time at which each simulation starts, in milliseconds.
 const EPOCH_MS: u64 = 1_700_000_000_000;
-/// Clocks run so much faster or slower at most.
+/// Max relative error of the rate of a clock.
 const DRIFT: f64 = 0.01;
 
-/// What each member is set up with.
+/// The settings of all members.
 #[derive(Clone, Copy, Debug)]
-pub struct Terms {
+pub struct Settings {
     pub period: Duration,
-    pub answer: Duration,
+    pub ack_timeout: Duration,
     pub helpers: usize,
     pub suspicion_periods: f64,
-    /// How many of the members are seeds.
+    /// Number of members that are seeds.
     pub seeds: usize,
 }
 
-impl Default for Terms {
+impl Default for Settings {
     fn default() -> Self {
-        Terms {
+        Settings {
             period: Duration::from_millis(500),
-            answer: Duration::from_millis(150),
+            ack_timeout: Duration::from_millis(150),
             helpers: 3,
             suspicion_periods: 6.0,
             seeds: 3,
@@ -41,13 +42,13 @@
     }
 }
 
-/// What happens to what is said.
+/// Properties of the network.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Network {
-    /// Part that is lost, and part that comes twice.
+    /// Shares of datagrams that are lost and duplicated.
     pub loss: f64,
     pub doubled: f64,
-    /// Every datagram takes as long, and up to as much longer.
+    /// Delay of every datagram, and the max additional random delay.
     pub delay: Duration,
     pub jitter: Duration,
 }
@@ -63,63 +64,63 @@
     }
 }
 
-/// What is done to the fleet, and undone after a while.
+/// A fault, which ends after a while.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
-    /// Processes are stopped.
+    /// Processes are stopped, and continued at the end.
     Pause(Vec<usize>),
-    /// Processes are killed, and started again.
+    /// Processes are killed, and restarted at the end.
     Kill(Vec<usize>),
-    /// Nothing passes from one to the other.
+    /// Datagrams from the first to the second are lost.
     Cut(usize, usize),
-    /// The members are in two halves that do not hear each other.
+    /// Datagrams between these members and all others are lost.
     Split(Vec<usize>),
-    /// A member can say, and hears nothing.
+    /// Datagrams to a member are lost.
     Deaf(usize),
-    /// A member hears, and what it says is lost.
+    /// Datagrams from a member are lost.
     Mute(usize),
-    /// A link is up and down by half seconds.
+    /// A link alternates between up and down every half second.
     Flap(usize, usize),
-    /// All datagrams are lost, doubled and late by so much.
+    /// The network loses, duplicates and delays as stated.
     Bad(Network),
 }
 
-/// A fault with its time.
+/// A fault with its start and duration.
 #[derive(Clone, Debug)]
-pub struct Timed {
+pub struct TimedFault {
     pub at: Duration,
     pub lasts: Duration,
     pub fault: Fault,
 }
 
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Happening {
-    Begins(usize),
-    Ends(usize),
-    Arrives { to: usize, from: usize, frame: usize },
-    Wakes { who: usize, number: u64 },
+enum Scheduled {
+    FaultBegins(usize),
+    FaultEnds(usize),
+    Arrival { to: usize, from: usize, frame: usize },
+    Wake { index: usize, number: u64 },
 }
 
-struct Machine {
+struct Process {
     name: String,
     address: SocketAddr,
     member: Option<Member>,
-    /// When its process began, and how fast its clock runs.
+    /// Start of its process, and the rate of its clock.
     origin: Duration,
     drift: f64,
     generations: u64,
     paused: Option<Duration>,
     inbox: Vec<(Frame, SocketAddr)>,
-    /// Numbers its wake-ups: an older one is void.
-    wakes: u64,
-    wakes_at: Option<Duration>,
-    /// Since when nothing keeps it from most of the others.
-    well_since: Duration,
+    /// Number of its newest wake-up; older ones are ignored.
+    wake_number: u64,
+    wake_at: Option<Duration>,
+    /// Since when it has run and been connected to most of the members; `Duration::MAX` if it is not now.
+    healthy_since: Duration,
 }
 
-/// Something that was seen, with its time.
+/// An event noted by a member, with its time.
 #[derive(Clone, Debug)]
-pub struct Noted {
+pub struct Note {
     pub at: Duration,
     pub by: usize,
     pub name: String,
@@ -127,16 +128,16 @@
     pub evidence: String,
 }
 
-/// What broke.
+/// Number of violations of each rule.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize)]
 pub struct Breaches {
-    /// Two views of one number that differ.
+    /// Different views with the same number.
     pub split_views: usize,
-    /// A generation that was out of a view and is in a later one.
+    /// Generations that were removed from a view and are in a later one.
     pub revived: usize,
-    /// A member was taken out though nothing had kept it from most of the view for as long as a suspicion lasts.
+    /// Members removed although they had been connected to most of the members for longer than a suspicion lasts.
     pub false_gone: usize,
-    /// Members that are not where they belong once all has been well for a while.
+    /// Running members that are not in the common view some time after the last fault.
     pub unsettled: usize,
 }
 
@@ -153,38 +154,39 @@
     }
 }
 
-/// The world.
-pub struct World {
+/// The members, the network between them and what was recorded.
+pub struct Simulation {
     pub now: Duration,
-    terms: Terms,
-    queue: BinaryHeap<Reverse<(Duration, u64, Happening)>>,
+    settings: Settings,
+    queue: BinaryHeap<Reverse<(Duration, u64, Scheduled)>>,
     order: u64,
-    machines: Vec<Machine>,
+    processes: Vec<Process>,
     by_address: HashMap<SocketAddr, usize>,
     frames: HashMap<usize, Frame>,
     last_frame: usize,
     network: Network,
-    faults: Vec<Timed>,
-    under_way: Vec<usize>,
+    faults: Vec<TimedFault>,
+    active_faults: Vec<usize>,
     random: ChaCha8Rng,
     views: BTreeMap<ViewId, View>,
-    pub notes: Vec<Noted>,
+    pub notes: Vec<Note>,
     pub breaches: Breaches,
     pub datagrams: u64,
     pub bytes: u64,
-    /// Whether bytes are counted, which takes time.
+    /// Whether bytes are counted, which costs processor time.
     pub counts_bytes: bool,
-    /// Whether a process that was stopped is told by its clock; without it is another way that is weighed.
-    pub tells_lateness: bool,
+    /// Whether a process that was stopped learns how long, as from its clock. Without it the comparison measures the
+    /// effect.
+    pub reports_delays: bool,
 }
 
-impl World {
-    /// A fleet of so many, all of which start within a second.
-    pub fn new(terms: Terms, size: usize, seed: u64) -> World {
+impl Simulation {
+    /// Creates a fleet of `size` members, which start at once.
+    pub fn new(settings: Settings, size: usize, seed: u64) -> Simulation {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
-        let machines = (0..size).map(|at| {
+        let processes = (0..size).map(|at| {
             let address = SocketAddr::from((Ipv4Addr::from(0x7f01_0000 + at as u32), 7200));
-            Machine {
+            Process {
                 name: format!("n{at:04}"),
                 address,
                 member: None,
@@ -193,25 +195,25 @@
                 generations: 0,
                 paused: None,
                 inbox: Vec::new(),
-                wakes: 0,
-                wakes_at: None,
-                well_since: Duration::ZERO,
+                wake_number: 0,
+                wake_at: None,
+                healthy_since: Duration::ZERO,
             }
         });
-        let machines: Vec<Machine> = machines.collect();
-        let by_address = machines.iter().enumerate().map(|(at, it)| (it.address, at)).collect();
-        let mut world = World {
+        let processes: Vec<Process> = processes.collect();
+        let by_address = processes.iter().enumerate().map(|(at, it)| (it.address, at)).collect();
+        let mut simulation = Simulation {
             now: Duration::ZERO,
-            terms,
+            settings,
             queue: BinaryHeap::new(),
             order: 0,
-            machines,
+            processes,
             by_address,
             frames: HashMap::new(),
             last_frame: 0,
             network: Network::default(),
             faults: Vec::new(),
-            under_way: Vec::new(),
+            active_faults: Vec::new(),
             random,
             views: BTreeMap::new(),
             notes: Vec::new(),
@@ -219,86 +221,87 @@
             datagrams: 0,
             bytes: 0,
             counts_bytes: false,
-            tells_lateness: true,
+            reports_delays: true,
         };
-        (0..size).for_each(|who| world.start(who));
-        world
+        (0..size).for_each(|index| simulation.start(index));
+        simulation
     }
 
-    pub fn plan(&mut self, timed: Timed) {
+    pub fn schedule(&mut self, timed: TimedFault) {
         let (at, number) = (timed.at, self.faults.len());
-        self.push(at, Happening::Begins(number));
-        self.push(at + timed.lasts, Happening::Ends(number));
+        self.push(at, Scheduled::FaultBegins(number));
+        self.push(at + timed.lasts, Scheduled::FaultEnds(number));
         self.faults.push(timed);
     }
 
-    fn push(&mut self, at: Duration, what: Happening) {
+    fn push(&mut self, at: Duration, what: Scheduled) {
         self.order += 1;
         self.queue.push(Reverse((at, self.order, what)));
     }
 
-    fn start(&mut self, who: usize) {
-        let seeds = self.machines.iter().take(self.terms.seeds);
+    fn start(&mut self, index: usize) {
+        let seeds = self.processes.iter().take(self.settings.seeds);
         let seeds = seeds.map(|it| (it.name.clone(), it.address)).collect();
         let seed = self.random.random();
-        let machine = &mut self.machines[who];
-        // Two starts within a millisecond would be one generation: a process takes longer to start.
-        machine.generations += 1;
-        let generation = Generation(EPOCH_MS + self.now.as_millis() as u64 + machine.generations);
+        let process = &mut self.processes[index];
+        // Without this, two starts within a millisecond would have the same generation; a real process takes longer to
+        // start.
+        process.generations += 1;
+        let generation = Generation(EPOCH_MS + self.now.as_millis() as u64 + process.generations);
         let own = Parameters {
-            name: machine.name.clone(),
-            address: machine.address,
+            name: process.name.clone(),
+            address: process.address,
             generation,
             seeds,
-            period: self.terms.period,
-            ack_timeout: self.terms.answer,
-            helpers: self.terms.helpers,
-            suspicion_periods: self.terms.suspicion_periods,
+            period: self.settings.period,
+            ack_timeout: self.settings.ack_timeout,
+            helpers: self.settings.helpers,
+            suspicion_periods: self.settings.suspicion_periods,
             seed,
         };
-        machine.origin = self.now;
-        machine.member = Some(Member::new(own, Duration::ZERO));
-        machine.well_since = self.now;
-        self.act(who, vec![Event::Wake]);
+        process.origin = self.now;
+        process.member = Some(Member::new(own, Duration::ZERO));
+        process.healthy_since = self.now;
+        self.handle_events(index, vec![Event::Wake]);
     }
 
-    fn local(&self, who: usize) -> Duration {
-        let machine = &self.machines[who];
-        (self.now - machine.origin).mul_f64(machine.drift)
+    fn local_time(&self, index: usize) -> Duration {
+        let process = &self.processes[index];
+        (self.now - process.origin).mul_f64(process.drift)
     }
 
-    /// Hands events to a member and carries out what comes back.
-    fn act(&mut self, who: usize, events: Vec<Event>) {
-        let local = self.local(who);
-        let machine = &mut self.machines[who];
-        if machine.paused.is_some() {
+    /// Hands events to a member and carries out the resulting actions.
+    fn handle_events(&mut self, index: usize, events: Vec<Event>) {
+        let local_time = self.local_time(index);
+        let process = &mut self.processes[index];
+        if process.paused.is_some() {
             return;
         }
-        let Some(member) = &mut machine.member else { return };
+        let Some(member) = &mut process.member else { return };
         let before = member.view().map(|view| view.id);
         let mut actions = Vec::new();
-        events.into_iter().for_each(|event| member.handle(local, event, &mut actions));
+        events.into_iter().for_each(|event| member.handle(local_time, event, &mut actions));
         let next = member.next_timer();
-        let entered = member.view().filter(|view| Some(view.id) != before).cloned();
-        if let Some(view) = entered {
-            self.entered(view);
+        let new_view = member.view().filter(|view| Some(view.id) != before).cloned();
+        if let Some(view) = new_view {
+            self.check_view(view);
         }
-        let machine = &mut self.machines[who];
-        let at = next.map(|at| (machine.origin + at.div_f64(machine.drift)).max(self.now));
-        if at != machine.wakes_at || at.is_some_and(|at| at <= self.now) {
-            machine.wakes += 1;
-            machine.wakes_at = at;
-            let number = machine.wakes;
+        let process = &mut self.processes[index];
+        let at = next.map(|at| (process.origin + at.div_f64(process.drift)).max(self.now));
+        if at != process.wake_at || at.is_some_and(|at| at <= self.now) {
+            process.wake_number += 1;
+            process.wake_at = at;
+            let number = process.wake_number;
             if let Some(at) = at {
-                // A clock that runs fast or slow is not met to the nanosecond.
-                self.push(at + Duration::from_micros(10), Happening::Wakes { who, number });
+                // Compensates for rounding in the conversion between clocks.
+                self.push(at + Duration::from_micros(10), Scheduled::Wake { index, number });
             }
         }
         for action in actions {
             match action {
-                Action::Send(to, frame) => self.send(who, to, frame),
+                Action::Send(to, frame) => self.send(index, to, frame),
                 Action::Note { name, what, evidence } => {
-                    self.notes.push(Noted { at: self.now, by: who, name, what, evidence });
+                    self.notes.push(Note { at: self.now, by: index, name, what, evidence });
                 }
             }
         }
@@ -315,20 +318,20 @@
         }
         let copies = 1 + usize::from(self.random.random::<f64>() < self.network.doubled);
         for _ in 0..copies {
-            let takes = self.network.delay + self.network.jitter.mul_f64(self.random.random());
+            let latency = self.network.delay + self.network.jitter.mul_f64(self.random.random());
             self.last_frame += 1;
             self.frames.insert(self.last_frame, frame.clone());
-            self.push(self.now + takes, Happening::Arrives { to, from, frame: self.last_frame });
+            self.push(self.now + latency, Scheduled::Arrival { to, from, frame: self.last_frame });
         }
     }
 
-    /// Whether nothing passes this way now.
+    /// Whether the link is cut in this direction now.
     fn is_cut(&self, from: usize, to: usize) -> bool {
-        self.under_way.iter().any(|number| match &self.faults[*number].fault {
+        self.active_faults.iter().any(|number| match &self.faults[*number].fault {
             Fault::Cut(a, b) => (*a, *b) == (from, to),
             Fault::Split(side) => side.contains(&from) != side.contains(&to),
-            Fault::Deaf(who) => *who == to,
-            Fault::Mute(who) => *who == from,
+            Fault::Deaf(index) => *index == to,
+            Fault::Mute(index) => *index == from,
             Fault::Flap(a, b) => {
                 let on = (self.now.as_millis() / 500).is_multiple_of(2);
                 on && [(*a, *b), (*b, *a)].contains(&(from, to))
@@ -337,7 +340,7 @@
         })
     }
 
-    /// Plays on until then.
+    /// Runs the simulation until then.
     pub fn run(&mut self, until: Duration) {
         while let Some(Reverse((at, ..))) = self.queue.peek() {
             if *at > until {
@@ -346,21 +349,21 @@
             let Some(Reverse((at, _, what))) = self.queue.pop() else { break };
             self.now = at;
             match what {
-                Happening::Begins(number) => self.begins(number),
-                Happening::Ends(number) => self.ends(number),
-                Happening::Arrives { to, from, frame } => {
+                Scheduled::FaultBegins(number) => self.begin_fault(number),
+                Scheduled::FaultEnds(number) => self.end_fault(number),
+                Scheduled::Arrival { to, from, frame } => {
                     let Some(frame) = self.frames.remove(&frame) else { continue };
-                    let source = self.machines[from].address;
-                    if self.machines[to].paused.is_some() {
-                        self.machines[to].inbox.push((frame, source));
+                    let source = self.processes[from].address;
+                    if self.processes[to].paused.is_some() {
+                        self.processes[to].inbox.push((frame, source));
                     } else {
-                        self.act(to, vec![Event::Frame(Box::new(frame), source)]);
+                        self.handle_events(to, vec![Event::Frame(Box::new(frame), source)]);
                     }
                 }
-                Happening::Wakes { who, number } => {
-                    if self.machines[who].wakes == number {
-                        self.machines[who].wakes_at = None;
-                        self.act(who, vec![Event::Wake]);
+                Scheduled::Wake { index, number } => {
+                    if self.processes[index].wake_number == number {
+                        self.processes[index].wake_at = None;
+                        self.handle_events(index, vec![Event::Wake]);
                     }
                 }
             }
@@ -368,75 +371,76 @@
         self.now = until;
     }
 
-    fn begins(&mut self, number: usize) {
-        self.under_way.push(number);
+    fn begin_fault(&mut self, number: usize) {
+        self.active_faults.push(number);
         match self.faults[number].fault.clone() {
-            Fault::Pause(who) => who.into_iter().for_each(|who| {
+            Fault::Pause(index) => index.into_iter().for_each(|index| {
                 let now = self.now;
-                self.machines[who].paused.get_or_insert(now);
+                self.processes[index].paused.get_or_insert(now);
             }),
-            Fault::Kill(who) => who.into_iter().for_each(|who| {
-                let machine = &mut self.machines[who];
-                (machine.member, machine.paused, machine.wakes_at) = (None, None, None);
-                machine.wakes += 1;
-                machine.inbox.clear();
+            Fault::Kill(index) => index.into_iter().for_each(|index| {
+                let process = &mut self.processes[index];
+                (process.member, process.paused, process.wake_at) = (None, None, None);
+                process.wake_number += 1;
+                process.inbox.clear();
             }),
             Fault::Bad(network) => self.network = network,
             _ => {}
         }
-        self.look_who_is_well();
+        self.update_health();
     }
 
-    fn ends(&mut self, number: usize) {
-        self.under_way.retain(|it| *it != number);
+    fn end_fault(&mut self, number: usize) {
+        self.active_faults.retain(|it| *it != number);
         match self.faults[number].fault.clone() {
-            Fault::Pause(who) => who.into_iter().for_each(|who| self.go_on(who)),
-            Fault::Kill(who) => who.into_iter().for_each(|who| {
-                if self.machines[who].member.is_none() {
-                    self.start(who);
+            Fault::Pause(index) => index.into_iter().for_each(|index| self.resume(index)),
+            Fault::Kill(index) => index.into_iter().for_each(|index| {
+                if self.processes[index].member.is_none() {
+                    self.start(index);
                 }
             }),
             Fault::Bad(_) => self.network = Network::default(),
             _ => {}
         }
-        self.look_who_is_well();
+        self.update_health();
     }
 
-    /// A process goes on: it learns how late it is, and then what came meanwhile.
-    fn go_on(&mut self, who: usize) {
-        let Some(since) = self.machines[who].paused.take() else { return };
-        let late = self.tells_lateness.then_some(Event::Delayed(self.now - since));
-        let mut events: Vec<Event> = late.into_iter().collect();
-        let inbox = std::mem::take(&mut self.machines[who].inbox);
-        // The kernel keeps so many datagrams of a socket.
+    /// Continues a stopped process: it learns how long it was stopped, and then receives what arrived meanwhile.
+    fn resume(&mut self, index: usize) {
+        let Some(since) = self.processes[index].paused.take() else { return };
+        let delay = self.reports_delays.then_some(Event::Delayed(self.now - since));
+        let mut events: Vec<Event> = delay.into_iter().collect();
+        let inbox = std::mem::take(&mut self.processes[index].inbox);
+        // A socket's receive buffer holds a limited number of datagrams.
         events.extend(inbox.into_iter().take(256).map(|(frame, from)| Event::Frame(Box::new(frame), from)));
-        self.act(who, events);
+        self.handle_events(index, events);
     }
 
-    /// Whether a machine runs, and hears and is heard by most of all.
-    fn is_well(&self, who: usize) -> bool {
-        let runs = |who: usize| self.machines[who].member.is_some() && self.machines[who].paused.is_none();
-        let both = |other: usize| !self.is_cut(who, other) && !self.is_cut(other, who);
+    /// Whether a process runs and has links both ways to most of the members.
+    fn is_healthy(&self, index: usize) -> bool {
+        let runs =
+            |index: usize| self.processes[index].member.is_some() && self.processes[index].paused.is_none();
+        let linked = |other: usize| !self.is_cut(index, other) && !self.is_cut(other, index);
         let flaps = |number: &usize| match self.faults[*number].fault {
-            Fault::Flap(a, b) => [a, b].contains(&who),
+            Fault::Flap(a, b) => [a, b].contains(&index),
             _ => false,
         };
-        let others = (0..self.machines.len()).filter(|it| *it == who || (runs(*it) && both(*it)));
-        runs(who) && others.count() > self.machines.len() / 2 && !self.under_way.iter().any(flaps)
+        let others = (0..self.processes.len()).filter(|it| *it == index || (runs(*it) && linked(*it)));
+        runs(index) && others.count() > self.processes.len() / 2 && !self.active_faults.iter().any(flaps)
     }
 
-    fn look_who_is_well(&mut self) {
-        for who in 0..self.machines.len() {
-            if !self.is_well(who) {
-                self.machines[who].well_since = Duration::MAX;
-            } else if self.machines[who].well_since == Duration::MAX {
-                self.machines[who].well_since = self.now;
+    fn update_health(&mut self) {
+        for index in 0..self.processes.len() {
+            if !self.is_healthy(index) {
+                self.processes[index].healthy_since = Duration::MAX;
+            } else if self.processes[index].healthy_since == Duration::MAX {
+                self.processes[index].healthy_since = self.now;
             }
         }
     }
 
-    /// Somebody goes by a view: is it the one that all others have of this number?
-    fn entered(&mut self, view: View) {
+    /// Checks a view that a member has entered against the earlier ones.
+    fn check_view(&mut self, view: View) {
         if let Some(known) = self.views.get(&view.id) {
             self.breaches.split_views += usize::from(*known != view);
             return;
@@ -446,38 +450,38 @@
         };
         let own = self.views.range(..view.id).filter(|(id, _)| id.bootstrap == view.id.bootstrap);
         let own: Vec<&View> = own.map(|(_, view)| view).collect();
-        // Once out, a generation stays out.
+        // A generation that was removed must not return.
         let last = own.last().map(|view| generations(view)).unwrap_or_default();
         let was_in =
             |generation: &(String, Generation)| own.iter().any(|view| generations(view).contains(generation));
         self.breaches.revived +=
             generations(&view).iter().filter(|it| !last.contains(it) && was_in(it)).count();
         let (_, longest) =
-            timeout_bounds(self.terms.period, self.terms.suspicion_periods, view.members.len() + 1);
+            timeout_bounds(self.settings.period, self.settings.suspicion_periods, view.members.len() + 1);
         for (name, generation) in last.iter().filter(|it| !generations(&view).contains(it)) {
-            let gone = self.machines.iter().find(|machine| machine.name == *name);
-            let there = gone.filter(|machine| {
-                let same = machine.member.as_ref().is_some_and(|member| {
+            let removed = self.processes.iter().find(|process| process.name == *name);
+            let still_connected = removed.filter(|process| {
+                let same = process.member.as_ref().is_some_and(|member| {
                     member.generation() == *generation
                         && !matches!(member.phase(), Phase::Leaving | Phase::Left)
                 });
-                let since = machine.well_since;
+                let since = process.healthy_since;
                 same && since != Duration::MAX && self.now.saturating_sub(since) > longest
             });
-            self.breaches.false_gone += usize::from(there.is_some());
+            self.breaches.false_gone += usize::from(still_connected.is_some());
         }
         self.views.insert(view.id, view);
     }
 
-    /// Once all has been well for a while, everybody that runs is in one view, with everybody else, and nobody else is.
-    pub fn settle(&mut self) {
-        let running: Vec<&Machine> = self.machines.iter().filter(|it| it.member.is_some()).collect();
+    /// Counts the running members that are not in a view of exactly the running members.
+    pub fn check_settled(&mut self) {
+        let running: Vec<&Process> = self.processes.iter().filter(|it| it.member.is_some()).collect();
         let wanted: Vec<(String, Generation)> = running
             .iter()
             .filter_map(|it| it.member.as_ref().map(|member| (it.name.clone(), member.generation())))
             .collect();
-        let settled = |machine: &&&Machine| {
-            let Some(member) = &machine.member else { return false };
+        let settled = |process: &&&Process| {
+            let Some(member) = &process.member else { return false };
             let generations = member.view().map(|view| {
                 view.members.values().map(|line| (line.name.clone(), line.generation)).collect::<Vec<_>>()
             });
@@ -486,21 +490,21 @@
         self.breaches.unsettled += running.len() - running.iter().filter(settled).count();
     }
 
-    /// Whether everybody that runs is in the same view with everybody else.
+    /// Whether all running members are in one view of exactly these.
     pub fn is_settled(&mut self) -> bool {
         let before = self.breaches;
-        self.settle();
+        self.check_settled();
         let settled = self.breaches == before;
         self.breaches = before;
         settled
     }
 
-    pub fn member(&self, who: usize) -> Option<&Member> {
-        self.machines[who].member.as_ref()
+    pub fn member(&self, index: usize) -> Option<&Member> {
+        self.processes[index].member.as_ref()
     }
 
     pub fn size(&self) -> usize {
-        self.machines.len()
+        self.processes.len()
     }
 }
 
