--- a/lab/src/planners/mod.rs
+++ b/lab/src/planners/mod.rs
@@ -1,4 +1,4 @@
-//! Experiments on forwarders and planners: real processes, and shares in virtual time.
+//! Experiments on forwarders and planners, with real processes and in virtual time.
 
 pub mod processes;
 pub mod simulation;
--- a/lab/src/planners/processes.rs
+++ b/lab/src/planners/processes.rs
@@ -1,5 +1,5 @@
-//! `topazpath-lab planners`: four forwarders and three planners as real processes under skewed load. The planners are
-//! killed in the middle of a surge, a node drains while none is there, and they come back in one wave.
+//! `topazpath-lab planners`: four forwarders and three planners as real processes under skewed load. All planners are
+//! killed during a surge, a node drains while none runs, and they are restarted together.
 
 use crate::arguments::Common;
 use crate::check::{check, Breaches, Drain, Terms};
@@ -17,31 +17,32 @@
 
 const FORWARDERS: usize = 4;
 const PLANNERS: usize = 3;
-/// Units a second that a volume of `base` may take; the reserve and the size of one, as the machines are set up.
+/// Limit of a volume of plan `base` in units a second, and the prices of its units; they match the machines' settings.
 const LIMIT: f64 = 80.0;
 const PRICES: Prices = Prices { reserve: 20.0, share: 40.0 };
-/// Requests a second of a forwarder that leads, which wants three times its even part; the others send a sixteenth, so
-/// that all together want about the limit.
-const LEADS: f64 = 24.0;
-/// The lead moves this often.
-const LEAD: Duration = Duration::from_secs(6);
-/// A forwarder that has just started does not use its whole part for five seconds.
-const YOUNG: Duration = Duration::from_secs(7);
-/// Time with planners before and after.
-const WITH: Duration = Duration::from_secs(18);
+/// Requests a second of the forwarder with most of the load, which wants three times its even share. The others send an
+/// eighth of it, so that all together want about the limit.
+const LEADER_RATE: f64 = 24.0;
+/// How long one forwarder has most of the load before another takes over.
+const LEAD_DURATION: Duration = Duration::from_secs(6);
+/// Time after the start that is not measured: a new forwarder does not use its whole share for five seconds.
+const START_UP: Duration = Duration::from_secs(7);
+/// Measured time with planners, before the outage and after it.
+const PLANNED_TIME: Duration = Duration::from_secs(18);
 
-/// What one play came to.
-struct Played {
+/// The result of one run.
+struct Outcome {
     breaches: Breaches,
-    /// Requests that failed or were cut off within half a second after the planners were killed.
+    /// Requests that failed or lost their connection within half a second after the planners were killed.
     ended: usize,
-    /// Worth of limited volumes a second, before the outage, in it and after it.
+    /// Worth a second of the limited volumes before, during and after the outage.
     worth: [f64; 3],
     sent: usize,
     served: usize,
 }
 
-/// True if no rule broke and no request was ended by the loss.
+/// Runs with planners and with an even split at the same time; true if no rule was violated and the loss of the
+/// planners ended no request.
 pub fn run(arguments: &Common) -> Result<bool, String> {
     let program = crate::vrrp::experiments::program()?;
     let outage = Duration::from_secs(if arguments.short { 12 } else { 60 });
@@ -49,7 +50,7 @@
     let [planned, even] = std::thread::scope(|scope| {
         both.map(|(planned, place, program)| {
             scope.spawn(move || {
-                play(program, planned, place, outage, arguments.seed).map_err(|error| error.to_string())
+                run_once(program, planned, place, outage, arguments.seed).map_err(|error| error.to_string())
             })
         })
         .map(|it| it.join().unwrap_or_else(|_| Err("a run panicked".into())))
@@ -71,22 +72,28 @@
         planned.worth[0], planned.worth[1], planned.worth[2], even.worth[0], even.worth[1], even.worth[2]
     );
     let mut report = Map::new();
-    let mut tell = |name: &str, value: Value| report.insert(name.into(), value);
-    tell("outage_s", json!(outage.as_secs()));
-    tell("breaches", json!(planned.breaches));
-    tell("lost", json!(planned.breaches.orphans));
-    tell("ended_by_planner_loss", json!(planned.ended));
-    tell("sent", json!(planned.sent));
-    tell("served", json!(planned.served));
-    tell("worth", json!({ "planned": planned.worth, "even": even.worth }));
-    tell("outage_over_with_planners", json!(over_with));
-    tell("outage_over_even", json!(over_even));
+    let mut insert = |name: &str, value: Value| report.insert(name.into(), value);
+    insert("outage_s", json!(outage.as_secs()));
+    insert("breaches", json!(planned.breaches));
+    insert("lost", json!(planned.breaches.orphans));
+    insert("ended_by_planner_loss", json!(planned.ended));
+    insert("sent", json!(planned.sent));
+    insert("served", json!(planned.served));
+    insert("worth", json!({ "planned": planned.worth, "even": even.worth }));
+    insert("outage_over_with_planners", json!(over_with));
+    insert("outage_over_even", json!(over_even));
     arguments.finish(report);
     Ok(sound)
 }
 
-fn play(program: &Path, planned: bool, place: u8, outage: Duration, seed: u64) -> std::io::Result<Played> {
-    // Addresses of this run's own, so that no other can be given a port on them.
+fn run_once(
+    program: &Path,
+    planned: bool,
+    place: u8,
+    outage: Duration,
+    seed: u64,
+) -> std::io::Result<Outcome> {
+    // IP addresses that no other run uses, so that none of the ports chosen on them is taken.
     let ip = |last| Ipv4Addr::new(127, place, std::process::id() as u8, last);
     let attempts = Attempts::default();
     let nodes: Vec<SocketAddr> = (0..3)
@@ -94,7 +101,7 @@
         .collect::<Result<_, _>>()?;
     let registry = Registry::start(ip(21), list(&nodes, "active"))?;
     let folder = std::env::temp_dir().join(format!("topazpath-lab-{}-{place}", std::process::id()));
-    let mut planners = Fleet::prepare(program, &folder, ip(30))?;
+    let mut planners = Planners::prepare(program, &folder, ip(30))?;
     if planned {
         planners.start()?;
     }
@@ -118,21 +125,21 @@
     }
     std::thread::sleep(Duration::from_millis(500));
     let start = Instant::now();
-    let load = Load { rate: LEADS, initiators: FORWARDERS, limited: 0.8, volumes: 1, shards: 2 };
+    let load = Load { rate: LEADER_RATE, initiators: FORWARDERS, limited: 0.8, volumes: 1, shards: 2 };
     let clients: Vec<Clients> = (0..FORWARDERS)
         .map(|at| {
-            let part: LoadShare = Arc::new(move |since| {
-                let lead = (since.as_secs() / LEAD.as_secs()) as usize * 3 % FORWARDERS;
-                if lead == at {
+            let share: LoadShare = Arc::new(move |since| {
+                let leader = (since.as_secs() / LEAD_DURATION.as_secs()) as usize * 3 % FORWARDERS;
+                if leader == at {
                     1.0
                 } else {
                     0.125
                 }
             });
-            Clients::start(Destination::Direct(listens[at], at), load, part, seed * 100 + at as u64)
+            Clients::start(Destination::Direct(listens[at], at), load, share, seed * 100 + at as u64)
         })
         .collect();
-    std::thread::sleep(YOUNG + WITH);
+    std::thread::sleep(START_UP + PLANNED_TIME);
     let killed = Instant::now();
     planners.kill();
     registry.set_list(list(&nodes, "leaving"));
@@ -142,29 +149,30 @@
     if planned {
         planners.start()?;
     }
-    std::thread::sleep(WITH);
+    std::thread::sleep(PLANNED_TIME);
     let end = Instant::now();
-    let items: Vec<SentRequest> = clients.into_iter().flat_map(Clients::end).collect();
+    let requests: Vec<SentRequest> = clients.into_iter().flat_map(Clients::end).collect();
     let attempts = attempts.lock().map_err(|_| std::io::Error::other("a node's thread panicked"))?;
     let terms = Terms { limit: (LIMIT, BURST + OVERDRAFT), drains, troubles: Vec::new() };
-    // The moves that were in force run out in the first second, and new ones take as long.
+    // The grants in force expire within the first second of the outage, and new ones take as long after it.
     let pause = Duration::from_secs(2);
     let between = |from, to| worth(&attempts, from, to);
-    Ok(Played {
-        breaches: check(&items, &attempts, &terms),
-        ended: items.iter().filter(|item| is_ended_by(item, killed)).count(),
-        worth: [between(start + YOUNG, killed), between(killed, back), between(back + pause, end)],
-        sent: items.len(),
-        served: items.iter().filter(|item| item.end == RequestEnd::Served).count(),
+    Ok(Outcome {
+        breaches: check(&requests, &attempts, &terms),
+        ended: requests.iter().filter(|request| is_ended_by(request, killed)).count(),
+        worth: [between(start + START_UP, killed), between(killed, back), between(back + pause, end)],
+        sent: requests.len(),
+        served: requests.iter().filter(|request| request.end == RequestEnd::Served).count(),
     })
 }
 
-fn is_ended_by(item: &SentRequest, killed: Instant) -> bool {
-    let after = item.ended >= killed && item.ended < killed + Duration::from_millis(500);
-    after && item.sent < killed && matches!(item.end, RequestEnd::Failed | RequestEnd::Closed)
+fn is_ended_by(request: &SentRequest, killed: Instant) -> bool {
+    let after = request.ended >= killed && request.ended < killed + Duration::from_millis(500);
+    after && request.sent < killed && matches!(request.end, RequestEnd::Failed | RequestEnd::Closed)
 }
 
-/// Worth a second of what was sent for volumes with a limit: the reserve counts most.
+/// Returns the worth a second of the units sent for volumes with a limit; units within the reserve have the highest
+/// price.
 fn worth(attempts: &[Attempt], from: Instant, to: Instant) -> f64 {
     let mut seconds: BTreeMap<(&str, u64), f64> = BTreeMap::new();
     for attempt in attempts.iter().filter(|it| it.plan == "base" && it.at >= from && it.at < to) {
@@ -184,42 +192,46 @@
     nodes.iter().enumerate().map(listed).collect()
 }
 
-/// The planners, as processes that are killed and started together.
-struct Fleet {
+/// The planner processes, which are killed and started together.
+struct Planners {
     program: PathBuf,
     folder: PathBuf,
     addresses: Vec<SocketAddr>,
     running: Vec<Child>,
 }
 
-impl Drop for Fleet {
+impl Drop for Planners {
     fn drop(&mut self) {
         self.kill();
-        // What is left of a folder is the system's to clean.
+        // A folder that cannot be removed is left to the system's cleaning of temporary files.
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
-impl Fleet {
-    fn prepare(program: &Path, folder: &Path, ip: Ipv4Addr) -> std::io::Result<Fleet> {
+impl Planners {
+    fn prepare(program: &Path, folder: &Path, ip: Ipv4Addr) -> std::io::Result<Planners> {
         std::fs::create_dir_all(folder)?;
         let tcp: Vec<_> = (0..PLANNERS).map(|_| TcpListener::bind((ip, 0))).collect::<Result<_, _>>()?;
         let udp: Vec<_> = (0..PLANNERS).map(|_| UdpSocket::bind((ip, 0))).collect::<Result<_, _>>()?;
         let addresses: Vec<SocketAddr> = tcp.iter().map(TcpListener::local_addr).collect::<Result<_, _>>()?;
-        let hears: Vec<SocketAddr> = udp.iter().map(UdpSocket::local_addr).collect::<Result<_, _>>()?;
+        let vrrp_addresses: Vec<SocketAddr> =
+            udp.iter().map(UdpSocket::local_addr).collect::<Result<_, _>>()?;
         let names: Vec<String> = (0..PLANNERS).map(|at| format!("p-{at}")).collect();
         for at in 0..PLANNERS {
-            let peers: Vec<String> =
-                hears.iter().filter(|it| **it != hears[at]).map(SocketAddr::to_string).collect();
+            let peers: Vec<String> = vrrp_addresses
+                .iter()
+                .filter(|it| **it != vrrp_addresses[at])
+                .map(SocketAddr::to_string)
+                .collect();
             let text = format!(
                 "listen = \"{}\"\nname = \"{}\"\nplanners = {names:?}\n[vrrp]\nvrid = 1\ninterval_ms = 100\n\
                  address = \"{}\"\npeers = {peers:?}\n",
-                addresses[at], names[at], hears[at]
+                addresses[at], names[at], vrrp_addresses[at]
             );
             std::fs::write(folder.join(format!("{at}.toml")), text)?;
         }
         let program = program.with_file_name("topazpath-planner");
-        Ok(Fleet { program, folder: folder.to_path_buf(), addresses, running: Vec::new() })
+        Ok(Planners { program, folder: folder.to_path_buf(), addresses, running: Vec::new() })
     }
 
     fn start(&mut self) -> std::io::Result<()> {
@@ -233,7 +245,7 @@
 
     fn kill(&mut self) {
         for mut child in self.running.drain(..) {
-            // It may have ended already.
+            // The process may have ended already.
             let _ = child.kill();
             let _ = child.wait();
         }
--- a/lab/src/planners/simulation.rs
+++ b/lab/src/planners/simulation.rs
@@ -1,6 +1,7 @@
-//! `topazpath-lab planners-sim`: shares in virtual time, under faults, at scale.
+//! `topazpath-lab planners-sim`: the division of limits by planners in virtual time: under faults, under skewed load,
+//! in an outage of the planners, and at scale.
 
-use super::world::{play, Division, Planted, Play, Played};
+use super::world::{simulate, Division, Outcome, Planted, Scenario};
 use crate::arguments::{Common, Parts};
 use crate::sync::lock;
 use serde_json::{json, Map, Value};
@@ -11,10 +12,10 @@
 use topazpath::shares::store::Store;
 use topazpath::shares::{deal, Demand, ForwarderId, Part, PlannerId, Probed, Resource, LONGEST};
 
-/// Its parts.
+/// The parts of this command.
 const PARTS: [&str; 4] = ["faults", "skew", "outage", "scale"];
 
-/// True if no limit was exceeded and the planted faults were found.
+/// Runs the selected parts; true if no limit was exceeded and the planted faults were found.
 pub fn run(parts: &Parts) -> Result<bool, String> {
     parts.check(&PARTS)?;
     let arguments = &parts.common;
@@ -39,14 +40,14 @@
     Ok(sound)
 }
 
-fn base(seed: u64) -> Play {
-    Play {
+fn base(seed: u64) -> Scenario {
+    Scenario {
         forwarders: 4,
         planners: 3,
         volumes: 2,
         time: Duration::from_secs(60),
         faults: false,
-        lead: (6.0, 24.0),
+        lead_duration: (6.0, 24.0),
         load: 0.9,
         division: Division::Planned,
         planted: Planted::Nothing,
@@ -55,9 +56,9 @@
     }
 }
 
-/// Plays many seeds on all processors; what they came to together.
-fn many(count: u64, of: impl Fn(u64) -> Play + Sync) -> Played {
-    let (next, sum) = (AtomicU64::new(0), Mutex::new(Played::default()));
+/// Simulates many seeds on all processors, and returns the sum of the outcomes, with the greatest excess.
+fn simulate_many(count: u64, of: impl Fn(u64) -> Scenario + Sync) -> Outcome {
+    let (next, sum) = (AtomicU64::new(0), Mutex::new(Outcome::default()));
     let threads = std::thread::available_parallelism().map_or(1, usize::from);
     std::thread::scope(|scope| {
         for _ in 0..threads {
@@ -66,16 +67,16 @@
                 if seed >= count {
                     return;
                 }
-                let played = play(of(seed));
+                let outcome = simulate(of(seed));
                 let mut sum = lock(&sum);
-                sum.oversummed += played.oversummed;
-                sum.excess = sum.excess.max(played.excess);
-                sum.asked += played.asked;
-                sum.sent += played.sent;
-                sum.worth += played.worth;
-                sum.outage_worth += played.outage_worth;
-                sum.faults += played.faults;
-                sum.plans += played.plans;
+                sum.oversubscribed += outcome.oversubscribed;
+                sum.excess = sum.excess.max(outcome.excess);
+                sum.demanded += outcome.demanded;
+                sum.sent += outcome.sent;
+                sum.worth += outcome.worth;
+                sum.outage_worth += outcome.outage_worth;
+                sum.faults += outcome.faults;
+                sum.plans += outcome.plans;
             });
         }
     });
@@ -87,36 +88,36 @@
     let faulty = |planted| {
         move |seed| {
             let seed = arguments.seed.wrapping_mul(1_000_000_007) + seed;
-            // Every third schedule has more machines, so that parts move from several to several.
+            // Every third schedule has seven forwarders, so that shares move from several to several.
             let forwarders = [2, 4, 7][seed as usize % 3];
-            Play { forwarders, faults: true, lead: (2.0, 8.0), load: 1.5, planted, ..base(seed) }
+            Scenario { forwarders, faults: true, lead_duration: (2.0, 8.0), load: 1.5, planted, ..base(seed) }
         }
     };
     let start = Instant::now();
-    let played = many(minutes, faulty(Planted::Nothing));
-    let kept = played.oversummed == 0 && played.excess <= 1e-6;
+    let outcome = simulate_many(minutes, faulty(Planted::Nothing));
+    let kept = outcome.oversubscribed == 0 && outcome.excess <= 1e-6;
     println!(
         "faults: {minutes} schedules of a virtual minute, {} faults, {} plans taken, {:.0} s: parts over the whole {} times, excess {:.3} units",
-        played.faults,
-        played.plans,
+        outcome.faults,
+        outcome.plans,
         start.elapsed().as_secs_f64(),
-        played.oversummed,
-        played.excess
+        outcome.oversubscribed,
+        outcome.excess
     );
     let mut found = true;
     let mut planted = Map::new();
     for (name, fault) in [("reclaims early", Planted::ReclaimsEarly), ("not young", Planted::NotYoung)] {
-        let played = many(200, faulty(fault));
-        println!("  planted, {name}: found {} times in 200 schedules", played.oversummed);
-        found &= played.oversummed > 0;
-        planted.insert(name.replace(' ', "_"), json!(played.oversummed));
+        let outcome = simulate_many(200, faulty(fault));
+        println!("  planted, {name}: found {} times in 200 schedules", outcome.oversubscribed);
+        found &= outcome.oversubscribed > 0;
+        planted.insert(name.replace(' ', "_"), json!(outcome.oversubscribed));
     }
     let part = json!({
         "virtual_minutes": minutes,
-        "faults": played.faults,
-        "plans": played.plans,
-        "oversummed": played.oversummed,
-        "excess_units": played.excess,
+        "faults": outcome.faults,
+        "plans": outcome.plans,
+        "oversummed": outcome.oversubscribed,
+        "excess_units": outcome.excess,
         "planted_found": planted,
     });
     (part, kept && found)
@@ -129,22 +130,22 @@
         .into_iter()
         .map(|load| {
             let of = |division| {
-                many(runs, |seed| Play { division, load, time: Duration::from_secs(120), ..base(arguments.seed * 7919 + seed) })
+                simulate_many(runs, |seed| Scenario { division, load, time: Duration::from_secs(120), ..base(arguments.seed * 7919 + seed) })
             };
             let [even, planned, oracle] = [Division::Even, Division::Planned, Division::Oracle].map(of);
-            let way = |of: fn(&Played) -> f64| (of(&planned) - of(&even)) / (of(&oracle) - of(&even));
-            let (units, worth) = (way(|it| it.sent), way(|it| it.worth));
+            let gain = |of: fn(&Outcome) -> f64| (of(&planned) - of(&even)) / (of(&oracle) - of(&even));
+            let (units, worth) = (gain(|it| it.sent), gain(|it| it.worth));
             println!(
                 "  load {load}: units even {:.4} planned {:.4} oracle {:.4}; worth even {:.4} planned {:.4}; of the way: units {units:.3} worth {worth:.3}",
-                even.sent / even.asked,
-                planned.sent / planned.asked,
-                oracle.sent / oracle.asked,
+                even.sent / even.demanded,
+                planned.sent / planned.demanded,
+                oracle.sent / oracle.demanded,
                 even.worth / oracle.worth,
                 planned.worth / oracle.worth,
             );
             json!({
                 "load": load,
-                "sent": { "even": even.sent / even.asked, "planned": planned.sent / planned.asked, "oracle": oracle.sent / oracle.asked },
+                "sent": { "even": even.sent / even.demanded, "planned": planned.sent / planned.demanded, "oracle": oracle.sent / oracle.demanded },
                 "worth": { "even": even.worth / oracle.worth, "planned": planned.worth / oracle.worth },
                 "of_the_way_units": units,
                 "of_the_way_worth": worth,
@@ -158,7 +159,7 @@
     let runs = if arguments.short { 8 } else { 200 };
     let away = (Duration::from_secs(30), Duration::from_secs(90));
     let of = |division, outage| {
-        many(runs, |seed| Play {
+        simulate_many(runs, |seed| Scenario {
             division,
             outage,
             load: 0.9,
@@ -167,10 +168,10 @@
         })
     };
     let planned = of(Division::Planned, Some(away));
-    // The same minute with planners that are there: an outage of nobody.
-    let with = {
-        let inside = |division| {
-            many(runs, |seed| Play {
+    // The same load with running planners, without an outage.
+    let with_planners = {
+        let running = |division| {
+            simulate_many(runs, |seed| Scenario {
                 division,
                 planners: if division == Division::Planned { 3 } else { 0 },
                 outage: None,
@@ -179,15 +180,15 @@
                 ..base(arguments.seed * 104_729 + seed)
             })
         };
-        inside(Division::Planned).worth / 2.0
+        running(Division::Planned).worth / 2.0
     };
     let even = of(Division::Even, Some(away)).outage_worth;
-    let (over_with, over_even) = (planned.outage_worth / with, planned.outage_worth / even);
+    let (over_with, over_even) = (planned.outage_worth / with_planners, planned.outage_worth / even);
     println!("planners away for 60 s: worth {over_with:.4} of that with planners, {over_even:.4} of the even split; excess {:.3}", planned.excess);
     json!({ "over_with_planners": over_with, "over_even": over_even, "excess_units": planned.excess })
 }
 
-/// What one round of reports costs the planners of a fleet.
+/// Measures the cost of one round of reports for the planners, by the size of the fleet.
 fn scale(arguments: &Common) -> Result<Value, String> {
     let sizes: &[(usize, usize)] =
         if arguments.short { &[(10, 20), (100, 200)] } else { &[(10, 20), (100, 200), (1000, 1000)] };
@@ -197,12 +198,12 @@
         let round = rounds(*forwarders, *nodes, 10_000, 3);
         println!(
             "  {forwarders:>5} forwarders {nodes:>5} nodes: plan p50 {:>7.1} p99 {:>8.1} max {:>8.1} us; round {:>7.1} ms; {:>6.0} B/forwarder; probes {:.2} a node and interval (all: {forwarders}); {:>6.1} MB",
-            round.p50, round.p99, round.most, round.round, round.bytes, round.probes, round.memory
+            round.p50, round.p99, round.max, round.round, round.bytes, round.probes, round.memory
         );
         part.push(json!({
             "forwarders": forwarders,
             "nodes": nodes,
-            "plan_us": { "p50": round.p50, "p99": round.p99, "max": round.most },
+            "plan_us": { "p50": round.p50, "p99": round.p99, "max": round.max },
             "round_ms": round.round,
             "bytes_per_forwarder_and_interval": round.bytes,
             "probes_per_node_and_interval": round.probes,
@@ -213,23 +214,23 @@
     Ok(json!(part))
 }
 
-/// What a round of reports cost, on the mean.
+/// Mean cost of a round of reports.
 pub struct Round {
     /// Time of one plan, in microseconds.
     pub p50: f64,
     pub p99: f64,
-    pub most: f64,
+    pub max: f64,
     /// Time of all plans of all planners, in milliseconds.
     pub round: f64,
-    /// Reports and plans, a forwarder.
+    /// Bytes of reports and plans per forwarder.
     pub bytes: f64,
-    /// Probers a node.
+    /// Number of forwarders that probe a node.
     pub probes: f64,
-    /// Megabytes that both ends came to.
+    /// Megabytes of memory of planners and forwarders' stores together.
     pub memory: f64,
 }
 
-/// Some rounds of reports in virtual time, with leads that move; what the later ones cost.
+/// Simulates rounds of reports with moving load, and measures the cost of those after the warm-up.
 pub fn rounds(forwarders: usize, nodes: usize, volumes: usize, planners: usize) -> Round {
     let names: Vec<u64> = (0..planners).map(|at| deal::hash(&format!("p-{at}"))).collect();
     let node_keys: Vec<u64> = (0..nodes).map(|at| deal::hash(&format!("n-{at}"))).collect();
@@ -244,19 +245,19 @@
     let mut stores: Vec<Store> = (0..forwarders)
         .map(|at| Store::new(ForwarderId(deal::hash(&format!("f-{at}"))), 1, planners, Duration::ZERO))
         .collect();
-    // Each volume comes through three forwarders; one leads, another after some rounds.
-    let hosts = 3.min(forwarders);
+    // Each volume is used through three forwarders. One has most of the load, another after some rounds.
+    let initiators = 3.min(forwarders);
     let keys: Vec<u64> = (0..volumes).map(|at| deal::hash(&format!("v-{at}"))).collect();
     let owners: Vec<usize> = keys.iter().map(|key| deal::pick(*key, &names).unwrap_or(0)).collect();
     let mut by_forwarder: Vec<Vec<usize>> = vec![Vec::new(); forwarders];
     for volume in 0..volumes {
-        for host in 0..hosts {
-            by_forwarder[(volume + host * 7) % forwarders].push(volume);
+        for initiator in 0..initiators {
+            by_forwarder[(volume + initiator * 7) % forwarders].push(volume);
         }
     }
-    let even = Part::even(hosts as f64);
-    let (mut times, mut bytes, mut took) = (Vec::new(), 0, Duration::ZERO);
-    let (count, warm) = (30, 10);
+    let even = Part::even(initiators as f64);
+    let (mut times, mut bytes, mut total_time) = (Vec::new(), 0, Duration::ZERO);
+    let (count, warm_up) = (30, 10);
     let mut now = LONGEST;
     for round in 0..count {
         now += Duration::from_millis(100);
@@ -266,8 +267,8 @@
                     .iter()
                     .filter(|volume| owners[**volume] == partition)
                     .map(|volume| {
-                        let leads = (volume + (round / 7) * 7) % forwarders == at;
-                        let wanted = if leads { 1.0 } else { 0.05 };
+                        let is_leader = (volume + (round / 7) * 7) % forwarders == at;
+                        let wanted = if is_leader { 1.0 } else { 0.05 };
                         Demand { resource: Resource::Limit(keys[*volume]), even, wanted }
                     })
                     .collect();
@@ -283,13 +284,13 @@
                 let start = Instant::now();
                 let plan = planner.take(now, &report);
                 let spent = start.elapsed();
-                if round >= warm {
+                if round >= warm_up {
                     times.push(spent.as_secs_f64() * 1e6);
-                    took += spent;
+                    total_time += spent;
                     bytes += size(&report) + plan.as_ref().map_or(0, size);
                 }
                 if let Some(plan) = plan {
-                    // Each is newer than the one before: nothing is lost here.
+                    // No message is lost here, so that each plan is newer than the one before and is taken.
                     let _ = stores[at].take(now, partition, &plan, |_| Some(even));
                 }
             }
@@ -298,25 +299,25 @@
     times.sort_by(f64::total_cmp);
     let at = |part: f64| times[((times.len() - 1) as f64 * part) as usize];
     let probed: usize = stores.iter().map(|store| store.probes().count()).sum();
-    let measured = (count - warm) as f64;
+    let measured = (count - warm_up) as f64;
     Round {
         p50: at(0.5),
         p99: at(0.99),
-        most: at(1.0),
-        round: took.as_secs_f64() * 1000.0 / measured,
+        max: at(1.0),
+        round: total_time.as_secs_f64() * 1000.0 / measured,
         bytes: bytes as f64 / measured / forwarders as f64,
         probes: probed as f64 / nodes as f64,
         memory: (resident() - before).max(0.0),
     }
 }
 
-/// Bytes on the wire.
+/// Returns the encoded size in bytes.
 fn size(message: &impl serde::Serialize) -> usize {
-    // Only a message with maps of unknown length has no such form, and there is none.
+    // Encoding fails only for sequences of unknown length, which no message has.
     postcard::to_stdvec(message).map_or(0, |bytes| bytes.len())
 }
 
-/// Megabytes that this process uses.
+/// Returns the resident memory of this process in megabytes.
 fn resident() -> f64 {
     topazpath::process::resident_memory(std::process::id()).map_or(0.0, |bytes| bytes as f64 / 1_048_576.0)
 }
--- a/lab/src/planners/world.rs
+++ b/lab/src/planners/world.rs
@@ -1,9 +1,9 @@
-//! Forwarders and planners in virtual time: the program's own `shares` under seeded faults, with checkers of what is in
-//! force and of every window of every limit.
+//! Simulates forwarders and planners in virtual time: the program's own `shares` under seeded faults, with checks of
+//! the sum of the shares in force and of every window of every limit.
 //!
-//! Each machine has a clock of its own that runs up to a hundredth off. Messages are lost, doubled, late and out of
-//! order; machines crash, come back, stop and go on; links between forwarders and planners are cut; planners believe
-//! that they are in charge, none, one or two at a time.
+//! Each machine has its own clock, with a rate error of up to 1 %. Messages are lost, duplicated, delayed and
+//! reordered; machines crash, restart, stop and continue; links between forwarders and planners are cut; none, one or
+//! two planners act as leader at a time.
 
 use crate::worth::BASE;
 use rand::{Rng, SeedableRng};
@@ -15,110 +15,111 @@
 use topazpath::shares::store::Store;
 use topazpath::shares::{Demand, ForwarderId, Part, Plan, PlannerId, Report, Resource};
 
-/// Step of true time.
+/// Step of the simulation in true time.
 const STEP: Duration = Duration::from_millis(10);
-/// How often a forwarder reports.
-const REPORTS: Duration = Duration::from_millis(100);
-/// A forwarder that hears nothing of a planner for so long asks the next.
-const PATIENCE: Duration = Duration::from_millis(300);
-/// A volume's limit: units a second, at once.
+/// Interval of a forwarder's reports.
+const REPORT_INTERVAL: Duration = Duration::from_millis(100);
+/// A forwarder that has received no plan for this long turns to the next planner.
+const PLANNER_TIMEOUT: Duration = Duration::from_millis(300);
+/// Rate of a volume's limit in units a second.
 pub const RATE: f64 = 19.0;
-/// Likewise.
+/// Burst of a volume's limit in units.
 pub const BURST: f64 = 48.0;
-/// The largest request.
+/// The largest request in units.
 const LARGEST: u32 = 8;
-/// How long a request is held for its units before it is refused.
-const HELD: f64 = 1.0;
-/// What a report forgets of demand in a second.
-const MEMORY: f64 = 0.5;
+/// How long a request waits for its units before it is refused, in seconds.
+const MAX_WAIT_S: f64 = 1.0;
+/// Time constant of the smoothed demand in reports, in seconds.
+const SMOOTHING_S: f64 = 0.5;
 
 /// How a limit is divided.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Division {
-    /// Evenly, for good.
+    /// Fixed even shares.
     Even,
-    /// By planners.
+    /// Shares granted by planners.
     Planned,
-    /// One store for all, which no real machines have.
+    /// One token bucket for all forwarders, as the upper bound; real machines cannot have it.
     Oracle,
 }
 
-/// What is wrong on purpose.
+/// A planted fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Planted {
-    /// Nothing.
+    /// None.
     Nothing,
-    /// A reclaim counts from the report, as grants do, and so ends before the planner thinks.
+    /// A reclaim ends in half its time, as if it counted from the report like a grant, and so earlier than the planner
+    /// assumes.
     ReclaimsEarly,
-    /// A forwarder that starts uses its even part at once.
+    /// A restarted forwarder uses its even share at once.
     NotYoung,
 }
 
-/// How a fleet is played.
+/// The parameters of a simulation.
 #[derive(Clone, Copy, Debug)]
-pub struct Play {
-    /// Forwarders, planners and volumes.
+pub struct Scenario {
+    /// Number of forwarders.
     pub forwarders: usize,
-    /// Likewise.
+    /// Number of planners.
     pub planners: usize,
-    /// Likewise.
+    /// Number of volumes.
     pub volumes: usize,
-    /// How long.
+    /// Virtual time.
     pub time: Duration,
-    /// Whether things go wrong.
+    /// Whether faults are injected.
     pub faults: bool,
-    /// A volume's lead moves this often, from and to.
-    pub lead: (f64, f64),
-    /// Units a second asked of a volume, over its limit.
+    /// Min and max time in seconds that one forwarder has most of a volume's load.
+    pub lead_duration: (f64, f64),
+    /// Demand of a volume, relative to its limit.
     pub load: f64,
     /// How the limit is divided.
     pub division: Division,
     /// A deliberate fault.
     pub planted: Planted,
-    /// Seeds all that is drawn.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// All planners are away, from and to.
+    /// Start and end of an outage of all planners.
     pub outage: Option<(Duration, Duration)>,
 }
 
-/// What came of it.
+/// The result of a simulation.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Played {
-    /// Times at which the parts in force summed to more than the whole.
-    pub oversummed: u64,
-    /// Units by which some window exceeded a limit at the worst.
+pub struct Outcome {
+    /// Number of steps at which the shares in force summed to more than the whole.
+    pub oversubscribed: u64,
+    /// Greatest excess of a window over its limit, in units.
     pub excess: f64,
-    /// Units asked for and sent.
-    pub asked: f64,
-    /// Likewise.
+    /// Units demanded.
+    pub demanded: f64,
+    /// Units sent.
     pub sent: f64,
-    /// Worth of what was sent: the reserve counts most.
+    /// Worth of the units sent; units within the reserve have the highest price.
     pub worth: f64,
-    /// The same, while planners were away.
+    /// Worth of the units sent during the outage.
     pub outage_worth: f64,
-    /// Crashes, stops, cuts and changes of charge.
+    /// Number of crashes, stops, cuts and changes of the leading planner.
     pub faults: u64,
-    /// Plans that forwarders took.
+    /// Number of plans that forwarders took.
     pub plans: u64,
 }
 
 struct Clock {
-    /// Parts in a million by which it is fast.
-    fast: f64,
+    /// Rate error in parts per million.
+    rate_error_ppm: f64,
     offset: Duration,
 }
 
 impl Clock {
     fn at(&self, now: Duration) -> Duration {
-        self.offset + now.mul_f64(1.0 + self.fast / 1e6)
+        self.offset + now.mul_f64(1.0 + self.rate_error_ppm / 1e6)
     }
 }
 
 struct Volume {
     level: f64,
-    /// Units asked for that wait, and units a second asked for, smoothed.
+    /// Waiting units, and the smoothed demand in units a second.
     waiting: f64,
-    asked: f64,
+    demanded: f64,
     share: f64,
 }
 
@@ -126,21 +127,21 @@
     clock: Clock,
     store: Store,
     incarnation: u64,
-    /// It does nothing until then; it crashed, or was stopped.
-    away: Option<(Duration, bool)>,
+    /// Until when it does not run; the flag is true after a crash, false if it is stopped.
+    down_until: Option<(Duration, bool)>,
     volumes: Vec<Volume>,
     next_report: Duration,
-    /// The planner it asks, and when it took a plan last.
+    /// The planner it reports to, and when it took the last plan.
     planner: usize,
-    heard: Duration,
+    last_plan_at: Duration,
     inbox: Vec<Plan>,
 }
 
-struct Server {
+struct PlannerProcess {
     clock: Clock,
-    /// Where it is in charge.
+    /// The planner's state while it leads.
     planner: Option<Planner>,
-    away: Option<Duration>,
+    down_until: Option<Duration>,
     started: u64,
 }
 
@@ -150,211 +151,221 @@
 }
 
 struct Fleet {
-    play: Play,
+    scenario: Scenario,
     random: ChaCha8Rng,
     now: Duration,
     forwarders: Vec<Forwarder>,
-    servers: Vec<Server>,
-    /// By arrival and a number that keeps the order.
-    on_way: BinaryHeap<Reverse<(Duration, u64)>>,
+    planner_processes: Vec<PlannerProcess>,
+    /// Messages in transit by arrival time, then by order of sending.
+    in_transit: BinaryHeap<Reverse<(Duration, u64)>>,
     messages: std::collections::HashMap<u64, Message>,
     number: u64,
-    /// Links that are cut, until when: forwarder, planner.
-    cut: Vec<Vec<Duration>>,
-    /// Volumes' leads, and when they move.
-    leads: Vec<(usize, Duration)>,
-    /// Per volume: a bucket that overflows if a window held too much; the oracle's store; units of this second.
+    /// Until when each link is cut, by forwarder and planner.
+    cut_until: Vec<Vec<Duration>>,
+    /// The forwarder with most of the load of each volume, and until when.
+    leaders: Vec<(usize, Duration)>,
+    /// By volume: a bucket that overflows if a window exceeds the limit, the oracle's token bucket, and the units sent in
+    /// this second.
     buckets: Vec<f64>,
     oracle: Vec<f64>,
     second: Vec<f64>,
     next_second: Duration,
-    /// The next request's size, by volume.
+    /// Size of the next request of each volume.
     sizes: Vec<f64>,
-    played: Played,
+    outcome: Outcome,
 }
 
-/// Plays it.
-pub fn play(play: Play) -> Played {
-    let mut fleet = Fleet::new(play);
-    while fleet.now < play.time {
+/// Runs a simulation.
+pub fn simulate(scenario: Scenario) -> Outcome {
+    let mut fleet = Fleet::new(scenario);
+    while fleet.now < scenario.time {
         fleet.step();
     }
-    fleet.played
+    fleet.outcome
 }
 
 impl Fleet {
-    fn new(play: Play) -> Fleet {
-        let mut random = ChaCha8Rng::seed_from_u64(play.seed);
+    fn new(scenario: Scenario) -> Fleet {
+        let mut random = ChaCha8Rng::seed_from_u64(scenario.seed);
         let mut clock = |drifts: bool| Clock {
-            fast: if drifts { random.random_range(-10_000.0..10_000.0) } else { 0.0 },
+            rate_error_ppm: if drifts { random.random_range(-10_000.0..10_000.0) } else { 0.0 },
             offset: Duration::from_millis(random.random_range(0..100_000)),
         };
-        let forwarders = (0..play.forwarders)
+        let forwarders = (0..scenario.forwarders)
             .map(|at| {
-                let clock = clock(play.faults);
+                let clock = clock(scenario.faults);
                 let start = clock.at(Duration::ZERO);
-                // Nobody was there before: the floor of a young process is for those that come back.
+                // The first processes start with their full even share: the restriction after a start is for restarted
+                // processes.
                 let long_ago = start.saturating_sub(topazpath::shares::LONGEST);
                 Forwarder {
                     store: Store::new(ForwarderId(at as u64 + 1), 1, 1, long_ago),
                     clock,
                     incarnation: 1,
-                    away: None,
-                    volumes: (0..play.volumes).map(|_| Volume::new(play.forwarders)).collect(),
+                    down_until: None,
+                    volumes: (0..scenario.volumes).map(|_| Volume::new(scenario.forwarders)).collect(),
                     next_report: Duration::from_millis(at as u64 * 7 % 100),
                     planner: 0,
-                    heard: Duration::ZERO,
+                    last_plan_at: Duration::ZERO,
                     inbox: Vec::new(),
                 }
             })
             .collect();
-        let servers = (0..play.planners)
-            .map(|_| Server { clock: clock(play.faults), planner: None, away: None, started: 0 })
+        let planner_processes = (0..scenario.planners)
+            .map(|_| PlannerProcess {
+                clock: clock(scenario.faults),
+                planner: None,
+                down_until: None,
+                started: 0,
+            })
             .collect();
         let mut fleet = Fleet {
-            play,
+            scenario,
             random,
             now: Duration::ZERO,
             forwarders,
-            servers,
-            on_way: BinaryHeap::new(),
+            planner_processes,
+            in_transit: BinaryHeap::new(),
             messages: Default::default(),
             number: 0,
-            cut: vec![vec![Duration::ZERO; play.planners]; play.forwarders],
-            leads: vec![(0, Duration::ZERO); play.volumes],
-            buckets: vec![0.0; play.volumes],
-            oracle: vec![0.0; play.volumes],
-            second: vec![0.0; play.volumes],
+            cut_until: vec![vec![Duration::ZERO; scenario.planners]; scenario.forwarders],
+            leaders: vec![(0, Duration::ZERO); scenario.volumes],
+            buckets: vec![0.0; scenario.volumes],
+            oracle: vec![0.0; scenario.volumes],
+            second: vec![0.0; scenario.volumes],
             next_second: Duration::from_secs(1),
-            sizes: vec![1.0; play.volumes],
-            played: Played::default(),
+            sizes: vec![1.0; scenario.volumes],
+            outcome: Outcome::default(),
         };
-        if !fleet.servers.is_empty() {
-            fleet.take_charge(0);
+        if !fleet.planner_processes.is_empty() {
+            fleet.start_leading(0);
         }
         fleet
     }
 
     fn step(&mut self) {
         self.now += STEP;
-        if self.play.faults {
-            self.go_wrong();
+        if self.scenario.faults {
+            self.inject_faults();
         }
         self.outage();
-        self.come_back();
+        self.restart();
         self.deliver();
-        self.move_leads();
+        self.move_leaders();
         for at in 0..self.forwarders.len() {
             self.run(at);
         }
         self.check();
-        self.use_units();
+        self.send_units();
     }
 
-    /// A chance of so many times a minute.
+    /// Whether an event with this mean rate happens in this step.
     fn chance(&mut self, per_minute: f64) -> bool {
         self.random.random::<f64>() < per_minute * STEP.as_secs_f64() / 60.0
     }
 
-    fn span(&mut self, from: f64, to: f64) -> Duration {
+    fn random_duration(&mut self, from: f64, to: f64) -> Duration {
         Duration::from_secs_f64(self.random.random_range(from..to))
     }
 
-    fn go_wrong(&mut self) {
+    fn inject_faults(&mut self) {
         for at in 0..self.forwarders.len() {
-            if self.forwarders[at].away.is_none() {
+            if self.forwarders[at].down_until.is_none() {
                 if self.chance(1.0) {
-                    let until = self.now + self.span(0.05, 8.0);
-                    self.forwarders[at].away = Some((until, true));
-                    self.played.faults += 1;
+                    let until = self.now + self.random_duration(0.05, 8.0);
+                    self.forwarders[at].down_until = Some((until, true));
+                    self.outcome.faults += 1;
                 } else if self.chance(1.5) {
-                    let until = self.now + self.span(0.05, 5.0);
-                    self.forwarders[at].away = Some((until, false));
-                    self.played.faults += 1;
+                    let until = self.now + self.random_duration(0.05, 5.0);
+                    self.forwarders[at].down_until = Some((until, false));
+                    self.outcome.faults += 1;
                 }
             }
-            for planner in 0..self.servers.len() {
+            for planner in 0..self.planner_processes.len() {
                 if self.chance(1.0) {
-                    self.cut[at][planner] = self.now + self.span(0.1, 4.0);
-                    self.played.faults += 1;
+                    self.cut_until[at][planner] = self.now + self.random_duration(0.1, 4.0);
+                    self.outcome.faults += 1;
                 }
             }
         }
-        for at in 0..self.servers.len() {
+        for at in 0..self.planner_processes.len() {
             if self.chance(2.0) {
-                self.servers[at].planner = None;
-                self.servers[at].away = Some(self.now + self.span(0.05, 4.0));
-                self.played.faults += 1;
-            } else if self.servers[at].away.is_none() && self.chance(3.0) {
-                // Whoever was in charge may not hear of it, and goes on.
-                self.take_charge(at);
-                self.played.faults += 1;
+                self.planner_processes[at].planner = None;
+                self.planner_processes[at].down_until = Some(self.now + self.random_duration(0.05, 4.0));
+                self.outcome.faults += 1;
+            } else if self.planner_processes[at].down_until.is_none() && self.chance(3.0) {
+                // The previous leader may not learn of it, and continues.
+                self.start_leading(at);
+                self.outcome.faults += 1;
             } else if self.chance(2.0) {
-                self.servers[at].planner = None;
-                self.played.faults += 1;
+                self.planner_processes[at].planner = None;
+                self.outcome.faults += 1;
             }
         }
     }
 
     fn outage(&mut self) {
-        let Some((from, to)) = self.play.outage else { return };
+        let Some((from, to)) = self.scenario.outage else { return };
         if self.now >= from && self.now < to {
-            for server in &mut self.servers {
-                (server.planner, server.away) = (None, Some(to));
+            for process in &mut self.planner_processes {
+                (process.planner, process.down_until) = (None, Some(to));
             }
         }
     }
 
-    fn come_back(&mut self) {
-        for at in 0..self.servers.len() {
-            if self.servers[at].away.is_some_and(|until| until <= self.now) {
-                self.servers[at].away = None;
-                if self.servers.iter().all(|server| server.planner.is_none()) {
-                    self.take_charge(at);
+    fn restart(&mut self) {
+        for at in 0..self.planner_processes.len() {
+            if self.planner_processes[at].down_until.is_some_and(|until| until <= self.now) {
+                self.planner_processes[at].down_until = None;
+                if self.planner_processes.iter().all(|process| process.planner.is_none()) {
+                    self.start_leading(at);
                 }
             }
         }
         for at in 0..self.forwarders.len() {
             let forwarder = &mut self.forwarders[at];
-            let Some((_, crashed)) = forwarder.away.filter(|(until, _)| *until <= self.now) else { continue };
-            forwarder.away = None;
+            let Some((_, crashed)) = forwarder.down_until.filter(|(until, _)| *until <= self.now) else {
+                continue;
+            };
+            forwarder.down_until = None;
             if crashed {
                 forwarder.incarnation += 1;
                 let start = forwarder.clock.at(self.now);
-                let start = match self.play.planted {
+                let start = match self.scenario.planted {
                     Planted::NotYoung => start.saturating_sub(topazpath::shares::LONGEST),
                     _ => start,
                 };
                 let id = ForwarderId(at as u64 + 1);
                 forwarder.store = Store::new(id, forwarder.incarnation, 1, start);
                 forwarder.volumes =
-                    (0..self.play.volumes).map(|_| Volume::new(self.play.forwarders)).collect();
+                    (0..self.scenario.volumes).map(|_| Volume::new(self.scenario.forwarders)).collect();
                 forwarder.inbox.clear();
             }
         }
     }
 
-    fn take_charge(&mut self, at: usize) {
-        let server = &mut self.servers[at];
-        server.started += 1;
+    fn start_leading(&mut self, at: usize) {
+        let process = &mut self.planner_processes[at];
+        process.started += 1;
         let id = PlannerId(at as u64 + 1);
-        // It may not have heard of the terms of others.
-        server.planner = Some(Planner::new(Settings::default(), id, server.started));
+        // It may not know the terms of other planners.
+        process.planner = Some(Planner::new(Settings::default(), id, process.started));
     }
 
     fn send(&mut self, forwarder: usize, planner: usize, message: Message) {
-        if self.cut[forwarder][planner] > self.now {
+        if self.cut_until[forwarder][planner] > self.now {
             return;
         }
         let copies = match self.random.random::<f64>() {
-            lost if self.play.faults && lost < 0.05 => 0,
-            doubled if self.play.faults && doubled > 0.97 => 2,
+            lost if self.scenario.faults && lost < 0.05 => 0,
+            doubled if self.scenario.faults && doubled > 0.97 => 2,
             _ => 1,
         };
         let mut message = Some(message);
         for copy in 0..copies {
-            let late = self.play.faults && self.random.random::<f64>() < 0.02;
-            let wait = if late { self.span(0.1, 2.0) } else { self.span(0.0002, 0.015) };
+            let is_late = self.scenario.faults && self.random.random::<f64>() < 0.02;
+            let wait =
+                if is_late { self.random_duration(0.1, 2.0) } else { self.random_duration(0.0002, 0.015) };
             self.number += 1;
             let copied = match &message {
                 Some(Message::Report(from, to, report)) if copy + 1 < copies => {
@@ -364,7 +375,7 @@
                 _ => message.take(),
             };
             if let Some(copied) = copied {
-                self.on_way.push(Reverse((self.now + wait, self.number)));
+                self.in_transit.push(Reverse((self.now + wait, self.number)));
                 self.messages.insert(self.number, copied);
             }
         }
@@ -372,57 +383,57 @@
 
     fn deliver(&mut self) {
         while let Some(Reverse((_, number))) =
-            self.on_way.peek().filter(|Reverse((at, _))| *at <= self.now).copied()
+            self.in_transit.peek().filter(|Reverse((at, _))| *at <= self.now).copied()
         {
-            self.on_way.pop();
+            self.in_transit.pop();
             match self.messages.remove(&number) {
                 Some(Message::Report(from, to, report)) => {
-                    let server = &mut self.servers[to];
-                    let at = server.clock.at(self.now);
-                    let plan = server.planner.as_mut().and_then(|planner| planner.take(at, &report));
+                    let process = &mut self.planner_processes[to];
+                    let at = process.clock.at(self.now);
+                    let plan = process.planner.as_mut().and_then(|planner| planner.take(at, &report));
                     if let Some(plan) = plan {
                         self.send(from, to, Message::Plan(from, plan));
                     }
                 }
-                // One that is stopped reads it when it goes on.
+                // A stopped forwarder reads it when it continues.
                 Some(Message::Plan(to, plan)) => self.forwarders[to].inbox.push(plan),
                 None => {}
             }
         }
     }
 
-    fn move_leads(&mut self) {
-        for volume in 0..self.leads.len() {
-            if self.leads[volume].1 <= self.now {
-                let lead = self.random.random_range(0..self.forwarders.len());
-                let (from, to) = self.play.lead;
-                self.leads[volume] = (lead, self.now + self.span(from, to));
+    fn move_leaders(&mut self) {
+        for volume in 0..self.leaders.len() {
+            if self.leaders[volume].1 <= self.now {
+                let leader = self.random.random_range(0..self.forwarders.len());
+                let (from, to) = self.scenario.lead_duration;
+                self.leaders[volume] = (leader, self.now + self.random_duration(from, to));
             }
         }
     }
 
-    /// One step of a forwarder: takes plans, asks for units, reports.
+    /// Runs one step of a forwarder: new demand, received plans, report.
     fn run(&mut self, at: usize) {
         let (now, step, count) = (self.now, STEP.as_secs_f64(), self.forwarders.len());
         let even = Part::even(count as f64);
-        let play = self.play;
-        for (volume, (lead, _)) in self.leads.iter().enumerate() {
-            let part = if *lead == at { 0.85 } else { 0.15 / (count - 1).max(1) as f64 };
-            let units = play.load * RATE * part * step;
-            if self.forwarders[at].away.is_none() {
-                self.played.asked += units;
+        let scenario = self.scenario;
+        for (volume, (leader, _)) in self.leaders.iter().enumerate() {
+            let part = if *leader == at { 0.85 } else { 0.15 / (count - 1).max(1) as f64 };
+            let units = scenario.load * RATE * part * step;
+            if self.forwarders[at].down_until.is_none() {
+                self.outcome.demanded += units;
                 let own = &mut self.forwarders[at].volumes[volume];
-                own.waiting = (own.waiting + units).min(units / step * HELD + f64::from(LARGEST));
-                own.asked += (units / step - own.asked) * (step / MEMORY).min(1.0);
+                own.waiting = (own.waiting + units).min(units / step * MAX_WAIT_S + f64::from(LARGEST));
+                own.demanded += (units / step - own.demanded) * (step / SMOOTHING_S).min(1.0);
             }
         }
         let forwarder = &mut self.forwarders[at];
-        if forwarder.away.is_some() {
+        if forwarder.down_until.is_some() {
             return;
         }
         let own = forwarder.clock.at(now);
         for mut plan in std::mem::take(&mut forwarder.inbox) {
-            if play.planted == Planted::ReclaimsEarly {
+            if scenario.planted == Planted::ReclaimsEarly {
                 for (_, moved) in &mut plan.moves {
                     if let topazpath::shares::Move::Reclaim(_, lasts) = moved {
                         *lasts /= 2;
@@ -430,25 +441,25 @@
                 }
             }
             if forwarder.store.take(own, 0, &plan, |_| Some(even)).is_ok() {
-                forwarder.heard = now;
-                self.played.plans += 1;
+                forwarder.last_plan_at = now;
+                self.outcome.plans += 1;
             }
         }
         forwarder.store.forget(own);
-        if forwarder.next_report > now || play.division != Division::Planned || play.planners == 0 {
+        if forwarder.next_report > now || scenario.division != Division::Planned || scenario.planners == 0 {
             return;
         }
-        forwarder.next_report = now + REPORTS;
-        if now.saturating_sub(forwarder.heard) > PATIENCE {
-            // Asks them in turn, with a little of its own in the pause, so that not all come at once.
-            forwarder.planner = (forwarder.planner + 1) % play.planners;
+        forwarder.next_report = now + REPORT_INTERVAL;
+        if now.saturating_sub(forwarder.last_plan_at) > PLANNER_TIMEOUT {
+            // Tries the planners in turn, with jitter so that not all forwarders report at once.
+            forwarder.planner = (forwarder.planner + 1) % scenario.planners;
             let pause = Duration::from_millis(self.random.random_range(0..100));
-            (forwarder.heard, forwarder.next_report) = (now, now + pause);
+            (forwarder.last_plan_at, forwarder.next_report) = (now, now + pause);
         }
         let demand = |(volume, own): (usize, &Volume)| Demand {
             resource: Resource::Limit(volume as u64),
             even,
-            wanted: ((own.asked + own.waiting) / RATE) as f32,
+            wanted: ((own.demanded + own.waiting) / RATE) as f32,
         };
         let demands = forwarder.volumes.iter().enumerate().map(demand).collect();
         let report = forwarder.store.report(own, 0, demands, Vec::new());
@@ -456,47 +467,48 @@
         self.send(at, planner, Message::Report(at, planner, report));
     }
 
-    /// At one moment of true time: what all may use sums to no more than there is.
+    /// Checks that the shares of all running forwarders sum to at most the whole at this time, and refills the token
+    /// buckets.
     fn check(&mut self) {
         let even = Part::even(self.forwarders.len() as f64);
-        for volume in 0..self.play.volumes {
+        for volume in 0..self.scenario.volumes {
             let mut sum = 0_u64;
             for forwarder in &mut self.forwarders {
                 let at = forwarder.clock.at(self.now);
-                let share = match self.play.division {
+                let share = match self.scenario.division {
                     Division::Planned => forwarder.store.share(at, Resource::Limit(volume as u64), even),
                     _ => even,
                 };
                 let own = &mut forwarder.volumes[volume];
-                // Between two looks a part may have grown: what comes in then comes by the lesser.
+                // The share may have grown within the step: the bucket is refilled by the smaller one.
                 let (before, after) = (own.share, share.fraction());
                 own.share = after;
                 own.level = (own.level + RATE * before.min(after) * STEP.as_secs_f64()).min(BURST * after);
-                // A machine that is away uses nothing.
-                if forwarder.away.is_none() {
+                // A machine that does not run uses nothing.
+                if forwarder.down_until.is_none() {
                     sum += u64::from(share.0);
                 }
             }
-            self.played.oversummed += u64::from(sum > u64::from(Part::WHOLE.0));
+            self.outcome.oversubscribed += u64::from(sum > u64::from(Part::WHOLE.0));
             self.oracle[volume] = (self.oracle[volume] + RATE * STEP.as_secs_f64()).min(BURST);
             self.buckets[volume] = (self.buckets[volume] - RATE * STEP.as_secs_f64()).max(0.0);
         }
     }
 
-    /// Sends what has its units.
-    fn use_units(&mut self) {
+    /// Sends the waiting requests for which there are units, and counts their worth each second.
+    fn send_units(&mut self) {
         let count = self.forwarders.len();
-        for volume in 0..self.play.volumes {
+        for volume in 0..self.scenario.volumes {
             let first = self.random.random_range(0..count);
-            for turn in 0..count {
-                let forwarder = &mut self.forwarders[(first + turn) % count];
-                if forwarder.away.is_some() {
+            for offset in 0..count {
+                let forwarder = &mut self.forwarders[(first + offset) % count];
+                if forwarder.down_until.is_some() {
                     continue;
                 }
                 let own = &mut forwarder.volumes[volume];
                 while own.waiting >= self.sizes[volume] {
                     let units = self.sizes[volume];
-                    let level = match self.play.division {
+                    let level = match self.scenario.division {
                         Division::Oracle => &mut self.oracle[volume],
                         _ => &mut own.level,
                     };
@@ -506,8 +518,8 @@
                     *level -= units;
                     own.waiting -= units;
                     self.buckets[volume] += units;
-                    self.played.excess = self.played.excess.max(self.buckets[volume] - BURST);
-                    self.played.sent += units;
+                    self.outcome.excess = self.outcome.excess.max(self.buckets[volume] - BURST);
+                    self.outcome.sent += units;
                     self.second[volume] += units;
                     self.sizes[volume] = f64::from(self.random.random_range(1..=LARGEST));
                 }
@@ -518,9 +530,9 @@
             for units in &mut self.second {
                 let units = std::mem::take(units);
                 let worth = BASE.worth(units);
-                self.played.worth += worth;
-                if self.play.outage.is_some_and(|(from, to)| self.now > from && self.now <= to) {
-                    self.played.outage_worth += worth;
+                self.outcome.worth += worth;
+                if self.scenario.outage.is_some_and(|(from, to)| self.now > from && self.now <= to) {
+                    self.outcome.outage_worth += worth;
                 }
             }
         }
@@ -529,8 +541,8 @@
 
 impl Volume {
     fn new(forwarders: usize) -> Volume {
-        // It begins with nothing at once, as one that may have sent all of it before it crashed.
-        Volume { level: 0.0, waiting: 0.0, asked: 0.0, share: 1.0 / forwarders as f64 }
+        // The bucket starts empty, as all of it may have been used before a crash.
+        Volume { level: 0.0, waiting: 0.0, demanded: 0.0, share: 1.0 / forwarders as f64 }
     }
 }
 
