--- a/lab/src/revisions/checker.rs
+++ b/lab/src/revisions/checker.rs
@@ -1,5 +1,5 @@
-//! What is held against all that replicas and clients were told. It knows proposals, revisions and answers, and nothing of
-//! the protocol that leads from one to the other. A proposal's mark is the name of its author.
+//! Checks the rules on everything that replicas and clients were told. It uses proposals, revisions and outcomes, and
+//! nothing of the agreement protocol. Each proposal has a unique author, whose name identifies it here.
 
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
@@ -8,35 +8,35 @@
 use topazpath::revisions::document::Document;
 use topazpath::revisions::{Revision, RevisionId, RevisionNumber};
 
-/// What broke, by kind.
+/// Number of violations by kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Breaches {
-    /// One number has two contents.
+    /// Two contents with the same number.
     pub two_contents: usize,
-    /// A number was left out.
+    /// Missing numbers.
     pub gaps: usize,
-    /// A revision that nobody proposed, or with another content than was proposed.
+    /// Revisions that were not proposed, or differ in content from their proposal.
     pub unproposed: usize,
-    /// A revision whose author had seen another one than its predecessor.
+    /// Revisions whose author expected another predecessor.
     pub wrong_base: usize,
-    /// A proposal became two revisions.
+    /// Proposals that became two revisions.
     pub accepted_twice: usize,
-    /// A client was told that its proposal was accepted, or a replica had told a revision, and it is not there.
+    /// Accepted revisions, as told to a client or reported by a replica, that are missing later.
     pub lost: usize,
-    /// A client was told that its proposal was refused, and it was accepted; or was told two different outcomes.
+    /// Proposals that were told to be refused and were accepted, or were told two different outcomes.
     pub two_outcomes: usize,
-    /// A conflict was told with a revision that the author had seen, or that never was.
+    /// Conflicts with the revision that the author expected, or with one that does not exist.
     pub false_conflict: usize,
-    /// A replica that went on running never said what became of a proposal.
+    /// Proposals without an outcome, at a replica that kept running.
     pub untold: usize,
-    /// Replicas that did not come to the same newest revision after all faults, or accept no more.
+    /// Schedules after which the replicas do not agree on the newest revision, or accept no new one.
     pub unsettled: usize,
-    /// A replica panicked.
+    /// Panics of replicas.
     pub panics: usize,
 }
 
 impl Breaches {
-    /// The kinds in the order of the fields, with their counts.
+    /// Returns the kinds in the order of the fields, with their counts.
     pub fn kinds(&self) -> [(&'static str, usize); 11] {
         [
             ("two_contents", self.two_contents),
@@ -72,66 +72,66 @@
     }
 }
 
-/// What a client proposed.
-struct Submitted {
+/// A proposal of a client, with the outcomes it was told.
+struct SubmittedProposal {
     expected: RevisionId,
     document: Document,
     times: usize,
     outcomes: Vec<Result<RevisionId, ProposalError>>,
 }
 
-/// All that was seen.
+/// Everything that was recorded.
 #[derive(Default)]
 pub struct Checker {
-    proposals: BTreeMap<String, Submitted>,
+    proposals: BTreeMap<String, SubmittedProposal>,
     history: BTreeMap<RevisionNumber, Revision>,
-    /// Which number a proposal became.
+    /// The number of each accepted proposal, by author.
     numbers: BTreeMap<String, RevisionNumber>,
-    /// The highest number that each replica has told.
-    told: BTreeMap<usize, RevisionNumber>,
-    /// Proposals that a process has not answered yet, and until when it has to.
+    /// The highest number that each replica has reported.
+    highest_reported: BTreeMap<usize, RevisionNumber>,
+    /// Proposals without an outcome, by replica, process and author, and until when one is due.
     waiting: BTreeMap<(usize, u64, String), Duration>,
     pub breaches: Breaches,
 }
 
 impl Checker {
-    /// A client hands a proposal to a process, which has to answer by then.
-    pub fn submitted(&mut self, who: usize, process: u64, proposal: &Proposal, answer_by: Duration) {
-        let mark = proposal.author.clone();
-        let submitted = self.proposals.entry(mark.clone()).or_insert_with(|| Submitted {
+    /// Records that a client submits a proposal to a process, which has to answer until `answer_by`.
+    pub fn submitted(&mut self, replica: usize, process: u64, proposal: &Proposal, answer_by: Duration) {
+        let author = proposal.author.clone();
+        let submitted = self.proposals.entry(author.clone()).or_insert_with(|| SubmittedProposal {
             expected: proposal.expected,
             document: proposal.document.clone(),
             times: 0,
             outcomes: Vec::new(),
         });
         submitted.times += 1;
-        self.waiting.entry((who, process, mark)).or_insert(answer_by);
+        self.waiting.entry((replica, process, author)).or_insert(answer_by);
     }
 
-    /// A process has answered.
+    /// Records the outcome that a process told.
     pub fn decided(
         &mut self,
-        who: usize,
+        replica: usize,
         process: u64,
-        mark: &str,
+        author: &str,
         outcome: Result<RevisionId, ProposalError>,
     ) {
-        self.waiting.remove(&(who, process, mark.to_string()));
-        if let Some(submitted) = self.proposals.get_mut(mark) {
+        self.waiting.remove(&(replica, process, author.to_string()));
+        if let Some(submitted) = self.proposals.get_mut(author) {
             submitted.outcomes.push(outcome);
         }
     }
 
-    /// A process has ended: it answers nothing any more.
-    pub fn ended(&mut self, who: usize, process: u64) {
-        self.waiting.retain(|(at, of, _), _| (*at, *of) != (who, process));
+    /// Records the end of a process, which owes no answers any more.
+    pub fn process_ended(&mut self, replica: usize, process: u64) {
+        self.waiting.retain(|(at, of, _), _| (*at, *of) != (replica, process));
     }
 
-    /// A replica says that this revision is accepted.
-    pub fn saw(&mut self, who: usize, revision: &Revision) {
+    /// Records and checks a revision that a replica reports as accepted.
+    pub fn revision_reported(&mut self, replica: usize, revision: &Revision) {
         let number = revision.id.number;
-        let told = self.told.entry(who).or_default();
-        *told = number.max(*told);
+        let highest = self.highest_reported.entry(replica).or_default();
+        *highest = number.max(*highest);
         match self.history.get(&number) {
             Some(known) if known == revision => return,
             Some(_) => self.breaches.two_contents += 1,
@@ -147,14 +147,14 @@
         }
     }
 
-    /// A replica has started, and its newest revision has this number.
-    pub fn started(&mut self, who: usize, newest: RevisionNumber) {
-        if self.told.get(&who).is_some_and(|told| *told > newest) {
+    /// Checks the newest number of a replica that has started.
+    pub fn replica_started(&mut self, replica: usize, newest: RevisionNumber) {
+        if self.highest_reported.get(&replica).is_some_and(|highest| *highest > newest) {
             self.breaches.lost += 1;
         }
     }
 
-    /// What clients were told is accepted.
+    /// Returns the revisions that clients were told are accepted.
     pub fn accepted(&self) -> Vec<RevisionId> {
         let outcomes = self.proposals.values().flat_map(|proposal| &proposal.outcomes);
         let ids: BTreeSet<_> =
@@ -162,24 +162,24 @@
         ids.into_iter().map(|(number, hash)| RevisionId { number, hash }).collect()
     }
 
-    /// How often clients were told what.
+    /// Counts the outcomes told to clients that match.
     pub fn count(&self, of: fn(&Result<RevisionId, ProposalError>) -> bool) -> usize {
         self.proposals.values().flat_map(|proposal| &proposal.outcomes).filter(|outcome| of(outcome)).count()
     }
 
-    /// The newest number that was told.
+    /// Returns the highest number that was reported.
     pub fn newest(&self) -> RevisionNumber {
         self.history.keys().next_back().copied().unwrap_or_default()
     }
 
-    /// Looks through all that was seen, at the end.
+    /// Runs the checks that need the complete history.
     pub fn finish(&mut self, now: Duration) {
         self.check_history();
         let mut breaches = self.breaches;
-        for (mark, proposal) in &self.proposals {
-            self.check_outcomes(mark, proposal, &mut breaches);
+        for (author, proposal) in &self.proposals {
+            self.check_outcomes(author, proposal, &mut breaches);
         }
-        breaches.untold += self.waiting.values().filter(|by| **by < now).count();
+        breaches.untold += self.waiting.values().filter(|due| **due < now).count();
         self.breaches = breaches;
     }
 
@@ -196,8 +196,8 @@
         }
     }
 
-    fn check_outcomes(&self, mark: &str, proposal: &Submitted, breaches: &mut Breaches) {
-        let became = self.numbers.get(mark).map(|number| self.history[number].id);
+    fn check_outcomes(&self, author: &str, proposal: &SubmittedProposal, breaches: &mut Breaches) {
+        let became = self.numbers.get(author).map(|number| self.history[number].id);
         let mut accepted = false;
         let mut refused = false;
         for outcome in &proposal.outcomes {
@@ -212,7 +212,7 @@
                     breaches.false_conflict += usize::from(known != *newest || *newest == proposal.expected);
                 }
                 Err(ProposalError::Invalid(_)) => refused = true,
-                // It was not passed on, but it may have been when it was submitted another time.
+                // This submission was not passed on, but another one of the same proposal may have been.
                 Err(ProposalError::NoQuorum | ProposalError::Busy) => refused |= proposal.times == 1,
                 Err(ProposalError::Unknown) => {}
             }
--- a/lab/src/revisions/mod.rs
+++ b/lab/src/revisions/mod.rs
@@ -1,5 +1,5 @@
-//! Agreement of planners on revisions, in virtual time: drawn schedules of faults, checkers that know nothing of the
-//! protocol, and planted faults that show what each checker finds.
+//! Simulates the agreement of planners on revisions in virtual time: random schedules of faults, checks that do not
+//! depend on the protocol, and planted faults that show that each check works.
 
 mod checker;
 mod planted;
--- a/lab/src/revisions/planted.rs
+++ b/lab/src/revisions/planted.rs
@@ -1,37 +1,37 @@
-//! Faults that are planted to show that the checkers find them.
+//! Planted faults, which show that the checks find them.
 
 use std::collections::VecDeque;
 use topazpath::revisions::store::{Batch, Identity, MemoryStore, ReplicaStore, StoreError, Stored};
 
-/// A fault of the program that is played.
+/// A fault planted into the simulated planners.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Planted {
     /// None.
     #[default]
     Nothing,
-    /// The store is empty after a restart: a planner that lost its disk and goes on under its old id.
+    /// The store is empty after a restart: a planner lost its disk and continues with its old id.
     Amnesia,
-    /// The store says that a batch is durable before it is: the last few are lost in a crash.
+    /// The store reports batches as durable too early: a crash loses the last few.
     WritesLater,
-    /// What the author saw is not compared.
+    /// The revision that the author expects is not compared.
     NoCompare,
-    /// A proposal that is submitted again counts as a new one.
+    /// A resubmitted proposal counts as a new one.
     NewIds,
-    /// A proposal is told to be accepted as soon as it is submitted.
+    /// Clients are told that a proposal is accepted when it is submitted.
     TellsEarly,
-    /// A number is left out.
+    /// A number is skipped.
     SkipsNumber,
-    /// The content of a revision is changed on the way.
+    /// The content of a revision is changed.
     ChangesContent,
-    /// Proposals that are accepted are told to be refused.
+    /// Clients are told that an accepted proposal was refused.
     TellsRefused,
-    /// A proposal is not answered.
+    /// Clients are told no outcome.
     KeepsSilent,
-    /// A cut that never ends.
+    /// Cuts do not end.
     StaysCut,
 }
 
-/// All of them, with the kinds of breach that are to show each.
+/// All planted faults, with the kinds of violation of which each has to cause at least one.
 pub const ALL: [(Planted, &[&str]); 10] = [
     (Planted::Amnesia, &["two_contents", "lost"]),
     (Planted::WritesLater, &["two_contents", "lost"]),
@@ -45,20 +45,20 @@
     (Planted::StaysCut, &["unsettled"]),
 ];
 
-/// Batches that a store which writes later holds back.
-const HELD_BACK: usize = 6;
+/// Number of batches that `WritesLater` delays.
+const DELAYED_BATCHES: usize = 6;
 
-/// A store in memory, with the planted fault.
+/// An in-memory store with a planted fault.
 #[derive(Clone)]
 pub struct PlantedStore {
     pub disk: MemoryStore,
     planted: Planted,
-    held_back: VecDeque<Batch>,
+    delayed: VecDeque<Batch>,
 }
 
 impl PlantedStore {
     pub fn new(identity: Identity, planted: Planted) -> Self {
-        PlantedStore { disk: MemoryStore::new(identity), planted, held_back: VecDeque::new() }
+        PlantedStore { disk: MemoryStore::new(identity), planted, delayed: VecDeque::new() }
     }
 }
 
@@ -78,9 +78,9 @@
         if self.planted != Planted::WritesLater {
             return self.disk.write(batch);
         }
-        self.held_back.push_back(batch.clone());
-        match self.held_back.len() > HELD_BACK {
-            true => self.disk.write(&self.held_back.pop_front().unwrap_or_default()),
+        self.delayed.push_back(batch.clone());
+        match self.delayed.len() > DELAYED_BATCHES {
+            true => self.disk.write(&self.delayed.pop_front().unwrap_or_default()),
             false => Ok(()),
         }
     }
--- a/lab/src/revisions/schedule.rs
+++ b/lab/src/revisions/schedule.rs
@@ -1,21 +1,21 @@
-//! Schedules drawn from a seed: how many voters, what is done to them and when, who proposes what.
+//! Random schedules from a seed: the number of voters, the faults, and the proposals of clients.
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
 
-/// The faults and most proposals fall into so much of the beginning.
-const BUSY: Duration = Duration::from_secs(25);
-/// One schedule in so many has enough proposals for snapshots.
-const LONG_SCHEDULES: u64 = 8;
+/// Faults start within this time from the beginning.
+const FAULT_PERIOD: Duration = Duration::from_secs(25);
+/// One schedule out of this number has enough proposals for snapshots.
+const LONG_SCHEDULE_INTERVAL: u64 = 8;
 
-/// What happens to what is sent.
+/// Properties of the network.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Network {
-    /// Part that is lost, and part that comes twice.
+    /// Shares of messages that are lost and duplicated.
     pub loss: f64,
     pub doubled: f64,
-    /// Every message takes as long, and up to as much longer: later ones overtake earlier ones.
+    /// Delay of every message, and the max additional random delay, which reorders messages.
     pub delay: Duration,
     pub jitter: Duration,
 }
@@ -27,26 +27,26 @@
     }
 }
 
-/// What is done to the planners, and undone after a while.
+/// A fault, which ends after a while.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
-    /// Processes are killed, and started again at the end.
+    /// Processes are killed, and restarted at the end.
     Kill(Vec<usize>),
-    /// A process dies at a write, before or after it is on disk, and is started again at the end.
+    /// A process crashes at a write, before or after it is durable, and is restarted at the end.
     CrashAtWrite { who: usize, write: u64, after: bool },
-    /// Processes are stopped, and go on at the end.
+    /// Processes are stopped, and continued at the end.
     Pause(Vec<usize>),
-    /// Nothing passes from the first to the second.
+    /// Messages from the first to the second are lost.
     CutOneWay(usize, usize),
-    /// Nothing passes between the two.
+    /// Messages between the two are lost.
     Cut(usize, usize),
-    /// Some don't hear the others, nor the others them.
+    /// Messages between these planners and all others are lost.
     Split(Vec<usize>),
-    /// The network loses, doubles and delays.
+    /// The network loses, duplicates and delays as stated.
     Bad(Network),
 }
 
-/// A fault with its time.
+/// A fault with its start and duration.
 #[derive(Clone, Debug)]
 pub struct Timed {
     pub at: Duration,
@@ -54,62 +54,62 @@
     pub fault: Fault,
 }
 
-/// What a client does.
+/// What a client submits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Submission {
-    /// A new document against what the replica has.
+    /// A new document, expecting the replica's newest revision.
     Current,
-    /// Against an older revision.
+    /// A new document, expecting an older revision.
     Stale,
-    /// Against a revision that never was.
+    /// A new document, expecting a revision that does not exist.
     Forged,
-    /// A proposal that was submitted before, with its id.
+    /// An earlier proposal with the same id.
     Again,
-    /// A document that is no good.
+    /// An invalid document.
     Invalid,
-    /// The content of an older revision against what the replica has.
+    /// The document of an older revision, expecting the replica's newest revision.
     Back,
-    /// New documents at all replicas at once.
+    /// New documents at all replicas at the same time.
     Everywhere,
 }
 
-/// A schedule.
+/// A schedule of faults and submissions.
 #[derive(Clone, Debug)]
 pub struct Schedule {
     pub voters: usize,
     pub faults: Vec<Timed>,
-    /// When the last fault is over.
+    /// When the last fault has ended.
     pub over: Duration,
-    /// Who is asked what, and when.
+    /// Time, replica and kind of each submission.
     pub submissions: Vec<(Duration, usize, Submission)>,
 }
 
-/// Draws the schedule of a seed.
-pub fn draw(seed: u64) -> Schedule {
+/// Returns the schedule of a seed.
+pub fn random_schedule(seed: u64) -> Schedule {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let voters = if seed.is_multiple_of(3) { 5 } else { 3 };
     let mut faults = Vec::new();
-    let mut over = BUSY;
+    let mut over = FAULT_PERIOD;
     for _ in 0..random.random_range(1..=7) {
-        let at = Duration::from_secs_f64(BUSY.as_secs_f64() * random.random::<f64>());
-        // From a tenth of a second to half a minute, short ones as often as long ones.
+        let at = Duration::from_secs_f64(FAULT_PERIOD.as_secs_f64() * random.random::<f64>());
+        // From 0.1 s to 30 s, log-uniform.
         let lasts = Duration::from_secs_f64(0.1 * 300_f64.powf(random.random()));
         over = over.max(at + lasts);
-        faults.push(Timed { at, lasts, fault: draw_fault(&mut random, voters) });
+        faults.push(Timed { at, lasts, fault: random_fault(&mut random, voters) });
     }
-    let long = seed % LONG_SCHEDULES == 1;
+    let long = seed % LONG_SCHEDULE_INTERVAL == 1;
     let count = if long { random.random_range(250..400) } else { random.random_range(5..60) };
     let mut submissions: Vec<_> = (0..count)
         .map(|_| {
             let at = over.as_secs_f64() * random.random::<f64>();
-            (Duration::from_secs_f64(at), random.random_range(0..voters), draw_submission(&mut random))
+            (Duration::from_secs_f64(at), random.random_range(0..voters), random_submission(&mut random))
         })
         .collect();
     submissions.sort_by_key(|(at, _, _)| *at);
     Schedule { voters, faults, over, submissions }
 }
 
-fn draw_fault(random: &mut ChaCha8Rng, voters: usize) -> Fault {
+fn random_fault(random: &mut ChaCha8Rng, voters: usize) -> Fault {
     let one = random.random_range(0..voters);
     let other = (one + random.random_range(1..voters)) % voters;
     let part = [0.0, 0.34, 0.5, 1.0][random.random_range(0..4)];
@@ -133,7 +133,7 @@
     }
 }
 
-fn draw_submission(random: &mut ChaCha8Rng) -> Submission {
+fn random_submission(random: &mut ChaCha8Rng) -> Submission {
     match random.random_range(0..20) {
         0..=9 => Submission::Current,
         10 | 11 => Submission::Stale,
--- a/lab/src/revisions/simulation.rs
+++ b/lab/src/revisions/simulation.rs
@@ -1,19 +1,19 @@
-//! `topazpath-lab revisions-sim`: schedules of faults drawn by the thousand with every rule checked, and planted faults.
+//! `topazpath-lab revisions-sim`: runs thousands of random fault schedules with every rule checked, and planted faults.
 
 use super::checker::Breaches;
 use super::planted::{self, Planted};
 use super::schedule;
-use super::world::{Counts, World};
+use super::world::{Counts, Simulation};
 use crate::arguments::Parts;
 use serde_json::{json, Map, Value};
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::time::Instant;
 
 const PARTS: [&str; 3] = ["schedules", "planted", "replay"];
-/// Schedules that are played until a planted fault has to be found.
+/// Number of schedules within which a planted fault has to be found.
 const PLANTED_SCHEDULES: u64 = 300;
 
-/// True if no rule broke, and each planted fault broke one that is to show it.
+/// Runs the selected parts; true if no rule was violated and each planted fault was found by a check that is meant to.
 pub fn run(parts: &Parts) -> Result<bool, String> {
     parts.check(&PARTS)?;
     let (short, seed) = (parts.common.short, parts.common.seed);
@@ -26,13 +26,13 @@
     }
     if parts.want("planted") {
         let found: Vec<Value> =
-            planted::ALL.iter().map(|(fault, kinds)| look_for(*fault, kinds, seed)).collect();
+            planted::ALL.iter().map(|(fault, kinds)| find_planted_fault(*fault, kinds, seed)).collect();
         sound &= found.iter().all(|found| found["found"] == json!(true));
         report.insert("planted".into(), json!(found));
     }
     if parts.asked_for("replay") {
-        println!("{:#?}", schedule::draw(seed));
-        let (breaches, counts) = play(seed, Planted::Nothing);
+        println!("{:#?}", schedule::random_schedule(seed));
+        let (breaches, counts) = run_schedule(seed, Planted::Nothing);
         println!("{breaches:?}\n{counts:?}");
         sound &= breaches.sum() == 0;
     }
@@ -40,27 +40,27 @@
     Ok(sound)
 }
 
-/// Plays the schedule of a seed to its end.
-pub fn play(seed: u64, planted: Planted) -> (Breaches, Counts) {
-    let played = catch_unwind(AssertUnwindSafe(|| {
-        let mut world = World::new(schedule::draw(seed), planted, seed);
-        world.settle();
-        (world.checker.breaches, world.counts)
+/// Runs the schedule of a seed to its end. A panic counts as a violation.
+pub fn run_schedule(seed: u64, planted: Planted) -> (Breaches, Counts) {
+    let run = catch_unwind(AssertUnwindSafe(|| {
+        let mut simulation = Simulation::new(schedule::random_schedule(seed), planted, seed);
+        simulation.settle();
+        (simulation.checker.breaches, simulation.counts)
     }));
-    played.unwrap_or((Breaches { panics: 1, ..Breaches::default() }, Counts::default()))
+    run.unwrap_or((Breaches { panics: 1, ..Breaches::default() }, Counts::default()))
 }
 
 fn schedules(count: u64, seed: u64) -> Result<(Value, Breaches), String> {
-    // Half the processors: such a run takes minutes, and the machine has other work.
+    // Half of the processors, since such a run takes minutes and the machine may be in use.
     let threads = (std::thread::available_parallelism().map_or(1, usize::from) / 2).max(1) as u64;
     let start = Instant::now();
-    let plays = std::thread::scope(|scope| {
+    let results = std::thread::scope(|scope| {
         let one = |thread: u64| {
             let (mut all, mut counts, mut broken) = (Breaches::default(), Counts::default(), Vec::new());
             for seed in (seed..seed + count).filter(|seed| seed % threads == thread) {
-                let (breaches, played) = play(seed, Planted::Nothing);
+                let (breaches, run) = run_schedule(seed, Planted::Nothing);
                 all.add(&breaches);
-                counts.add(&played);
+                counts.add(&run);
                 if breaches.sum() > 0 {
                     broken.push((seed, breaches));
                 }
@@ -71,9 +71,9 @@
         running.into_iter().map(|it| it.join()).collect::<Result<Vec<_>, _>>()
     });
     let (mut all, mut counts, mut broken) = (Breaches::default(), Counts::default(), Vec::new());
-    for (breaches, played, seeds) in plays.map_err(|_| "a play panicked")? {
+    for (breaches, run, seeds) in results.map_err(|_| "a simulation panicked")? {
         all.add(&breaches);
-        counts.add(&played);
+        counts.add(&run);
         broken.extend(seeds);
     }
     broken.sort_by_key(|(seed, _)| *seed);
@@ -85,16 +85,16 @@
     Ok((json!({ "schedules": count, "broken": broken.len(), "counts": counts, "breaches": all }), all))
 }
 
-/// Plays schedules with a planted fault until a checker that is to show it does.
-pub fn look_for(fault: Planted, kinds: &[&str], seed: u64) -> Value {
-    for (played, seed) in (seed..seed + PLANTED_SCHEDULES).enumerate() {
-        let (breaches, _) = play(seed, fault);
-        let shown: Vec<&str> =
+/// Runs schedules with a planted fault until a check of one of `kinds` finds it.
+pub fn find_planted_fault(fault: Planted, kinds: &[&str], seed: u64) -> Value {
+    for (run, seed) in (seed..seed + PLANTED_SCHEDULES).enumerate() {
+        let (breaches, _) = run_schedule(seed, fault);
+        let found_by: Vec<&str> =
             breaches.kinds().iter().filter(|(_, count)| *count > 0).map(|(kind, _)| *kind).collect();
-        if shown.iter().any(|kind| kinds.contains(kind)) {
-            println!("  {:<16} found by {shown:?} after {} schedules", format!("{fault:?}"), played + 1);
+        if found_by.iter().any(|kind| kinds.contains(kind)) {
+            println!("  {:<16} found by {found_by:?} after {} schedules", format!("{fault:?}"), run + 1);
             let name = format!("{fault:?}");
-            return json!({ "fault": name, "found": true, "schedules": played + 1, "by": shown });
+            return json!({ "fault": name, "found": true, "schedules": run + 1, "by": found_by });
         }
     }
     println!("  {fault:?} not found in {PLANTED_SCHEDULES} schedules");
--- a/lab/src/revisions/tests.rs
+++ b/lab/src/revisions/tests.rs
@@ -1,31 +1,31 @@
-//! The short form of the simulation, and every checker on its planted fault.
+//! Short runs of the simulation, and every check on its planted fault.
 
 use super::checker::Breaches;
 use super::planted::{self, Planted};
-use super::simulation::{look_for, play};
+use super::simulation::{find_planted_fault, run_schedule};
 
 #[test]
-fn drawn_schedules_break_no_rule_and_play_the_same_again() {
+fn random_schedules_violate_no_rule_and_a_seed_repeats_its_run() {
     let _processor = crate::sync::processor::shared();
-    let mut played = Vec::new();
+    let mut runs = Vec::new();
     for seed in 1..=40 {
-        let (breaches, counts) = play(seed, Planted::Nothing);
+        let (breaches, counts) = run_schedule(seed, Planted::Nothing);
         assert_eq!(breaches, Breaches::default(), "seed {seed}: {counts:?}");
-        played.push(counts);
+        runs.push(counts);
     }
-    // The schedules have what they are to be drawn for.
-    let sum = |of: fn(&super::world::Counts) -> usize| played.iter().map(of).sum::<usize>();
-    assert!(sum(|it| it.accepted) > 100 && sum(|it| it.conflicts) > 100, "{played:?}");
-    assert!(sum(|it| it.crashes_at_write) > 5 && sum(|it| it.compactions) > 3, "{played:?}");
-    assert!(sum(|it| it.unknown) > 5 && sum(|it| it.without_quorum) > 5, "{played:?}");
-    assert_eq!(play(9, Planted::Nothing).1, played[8]);
+    // The schedules cover the cases that they are meant to.
+    let sum = |of: fn(&super::world::Counts) -> usize| runs.iter().map(of).sum::<usize>();
+    assert!(sum(|it| it.accepted) > 100 && sum(|it| it.conflicts) > 100, "{runs:?}");
+    assert!(sum(|it| it.crashes_at_write) > 5 && sum(|it| it.compactions) > 3, "{runs:?}");
+    assert!(sum(|it| it.unknown) > 5 && sum(|it| it.without_quorum) > 5, "{runs:?}");
+    assert_eq!(run_schedule(9, Planted::Nothing).1, runs[8]);
 }
 
 #[test]
 fn every_planted_fault_is_found() {
     let _processor = crate::sync::processor::shared();
     for (fault, kinds) in planted::ALL {
-        let found = look_for(fault, kinds, 1);
+        let found = find_planted_fault(fault, kinds, 1);
         assert_eq!(found["found"], true, "{found}");
     }
 }
--- a/lab/src/revisions/world.rs
+++ b/lab/src/revisions/world.rs
@@ -1,5 +1,6 @@
-//! Planners in virtual time: the real replicas on stores in memory, a network that loses, delays, doubles and is cut,
-//! processes that are killed, die at a write, are stopped and started again. All of it from one seed.
+//! Simulates planners in virtual time: the real replicas on in-memory stores, a network that loses, delays, duplicates
+//! and cuts off messages, and processes that are killed, crash at a write, are stopped and restarted. One seed
+//! determines everything.
 
 use super::checker::Checker;
 use super::planted::{Planted, PlantedStore};
@@ -18,37 +19,37 @@
 
 const TICK: Duration = Duration::from_millis(100);
 const PROPOSAL_TIMEOUT: Duration = Duration::from_secs(4);
-/// A process may be as late with an answer.
+/// Allowed lateness of an outcome.
 const ANSWER_SLACK: Duration = Duration::from_secs(1);
-/// A client that does not know what became of its proposal asks again after so long.
-const RETRY: Duration = Duration::from_millis(700);
-/// How often it does.
-const MOST_RETRIES: u32 = 3;
-/// After all faults: elections, of which each takes up to twenty ticks, and a lost snapshot.
-pub const SETTLES_WITHIN: Duration = Duration::from_secs(30);
+/// Base of the random delay after which a client resubmits a proposal.
+const RETRY_DELAY: Duration = Duration::from_millis(700);
+/// Max number of resubmissions of a proposal.
+const MAX_RETRIES: u32 = 3;
+/// Time limit for agreement after all faults. It covers elections of up to twenty ticks each, and a lost snapshot.
+pub const SETTLE_TIMEOUT: Duration = Duration::from_secs(30);
 
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Happening {
-    Begins(usize),
-    Ends(usize),
-    Submits(usize),
-    Retries { who: usize, mark: usize, left: u32 },
-    Arrives { to: usize, message: usize },
-    Wakes { who: usize, number: u64 },
+enum Scheduled {
+    FaultBegins(usize),
+    FaultEnds(usize),
+    Submit(usize),
+    Retry { index: usize, position: usize, retries_left: u32 },
+    Arrival { to: usize, message: usize },
+    Wake { index: usize, number: u64 },
 }
 
 struct Machine {
     store: PlantedStore,
     replica: Option<Replica<PlantedStore>>,
-    /// Counts the machine's processes.
+    /// Number of the present process of this machine.
     process: u64,
     paused: bool,
     inbox: Vec<Vec<u8>>,
-    /// Numbers its wake-ups: an older one is void.
-    wakes: u64,
+    /// Number of its newest wake-up; older ones are ignored.
+    wake_number: u64,
 }
 
-/// What was played, besides what broke.
+/// Counts of what a simulation covered.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize)]
 pub struct Counts {
     pub faults: usize,
@@ -60,7 +61,7 @@
     pub crashes_at_write: usize,
     pub starts: usize,
     pub messages: usize,
-    /// Times that a replica got further by a snapshot, leaving numbers out or not.
+    /// Machines with a snapshot at the end.
     pub compactions: usize,
 }
 
@@ -79,8 +80,8 @@
     }
 }
 
-/// Planners, their network, their clients and the checker.
-pub struct World {
+/// The planners, their network, their clients and the checker.
+pub struct Simulation {
     pub now: Duration,
     pub checker: Checker,
     pub counts: Counts,
@@ -89,26 +90,26 @@
     random: ChaCha8Rng,
     machines: Vec<Machine>,
     network: Network,
-    /// How many faults cut the way from one to the other.
+    /// Number of active faults that cut each link, by sender and receiver.
     cuts: Vec<Vec<usize>>,
-    queue: BinaryHeap<Reverse<(Duration, u64, Happening)>>,
+    queue: BinaryHeap<Reverse<(Duration, u64, Scheduled)>>,
     order: u64,
     messages: Vec<Vec<u8>>,
-    /// All proposals that were made; their marks are their positions.
+    /// All proposals; they are referred to by position.
     proposals: Vec<Proposal>,
     ids: u128,
 }
 
-impl World {
+impl Simulation {
     pub fn new(schedule: Schedule, planted: Planted, seed: u64) -> Self {
         let voters: Vec<VoterId> = (1..=schedule.voters as u64).map(VoterId).collect();
         let machine = |voter: &VoterId| {
             let group = GroupId::of_names(["simulation"]);
             let identity = Identity { group, voter: *voter, voters: voters.clone() };
             let store = PlantedStore::new(identity, planted);
-            Machine { store, replica: None, process: 0, paused: false, inbox: Vec::new(), wakes: 0 }
+            Machine { store, replica: None, process: 0, paused: false, inbox: Vec::new(), wake_number: 0 }
         };
-        let mut world = World {
+        let mut simulation = Simulation {
             now: Duration::ZERO,
             checker: Checker::default(),
             counts: Counts { faults: schedule.faults.len(), ..Counts::default() },
@@ -124,50 +125,56 @@
             ids: 0,
             schedule,
         };
-        (0..world.machines.len()).for_each(|who| world.start(who));
-        for position in 0..world.schedule.faults.len() {
-            let (at, lasts) = (world.schedule.faults[position].at, world.schedule.faults[position].lasts);
-            world.plan(at, Happening::Begins(position));
-            world.plan(at + lasts, Happening::Ends(position));
+        (0..simulation.machines.len()).for_each(|index| simulation.start(index));
+        for position in 0..simulation.schedule.faults.len() {
+            let (at, lasts) =
+                (simulation.schedule.faults[position].at, simulation.schedule.faults[position].lasts);
+            simulation.schedule_event(at, Scheduled::FaultBegins(position));
+            simulation.schedule_event(at + lasts, Scheduled::FaultEnds(position));
         }
-        for position in 0..world.schedule.submissions.len() {
-            world.plan(world.schedule.submissions[position].0, Happening::Submits(position));
+        for position in 0..simulation.schedule.submissions.len() {
+            simulation
+                .schedule_event(simulation.schedule.submissions[position].0, Scheduled::Submit(position));
         }
-        world
+        simulation
     }
 
-    fn plan(&mut self, at: Duration, happening: Happening) {
+    fn schedule_event(&mut self, at: Duration, event: Scheduled) {
         self.order += 1;
-        self.queue.push(Reverse((at, self.order, happening)));
+        self.queue.push(Reverse((at, self.order, event)));
     }
 
-    /// Goes on until a time.
+    /// Runs the simulation until then.
     pub fn run(&mut self, until: Duration) {
         while self.queue.peek().is_some_and(|Reverse((at, _, _))| *at <= until) {
-            let Some(Reverse((at, _, happening))) = self.queue.pop() else { break };
+            let Some(Reverse((at, _, event))) = self.queue.pop() else { break };
             self.now = at;
-            self.happen(happening);
+            self.run_event(event);
         }
         self.now = until;
     }
 
-    fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::Begins(position) => self.begin(self.schedule.faults[position].fault.clone()),
-            Happening::Ends(position) => self.end(self.schedule.faults[position].fault.clone()),
-            Happening::Submits(position) => {
-                let (_, who, submission) = self.schedule.submissions[position];
-                self.submit(who, submission);
+    fn run_event(&mut self, event: Scheduled) {
+        match event {
+            Scheduled::FaultBegins(position) => {
+                self.begin_fault(self.schedule.faults[position].fault.clone())
             }
-            Happening::Retries { who, mark, left } => self.hand_in(who, mark, left),
-            Happening::Arrives { to, message } => {
+            Scheduled::FaultEnds(position) => self.end_fault(self.schedule.faults[position].fault.clone()),
+            Scheduled::Submit(position) => {
+                let (_, index, submission) = self.schedule.submissions[position];
+                self.submit(index, submission);
+            }
+            Scheduled::Retry { index, position, retries_left } => {
+                self.submit_proposal(index, position, retries_left)
+            }
+            Scheduled::Arrival { to, message } => {
                 let bytes = std::mem::take(&mut self.messages[message]);
                 self.arrive(to, bytes);
             }
-            Happening::Wakes { who, number } if self.machines[who].wakes == number => {
-                self.handle(who, Event::Tick);
+            Scheduled::Wake { index, number } if self.machines[index].wake_number == number => {
+                self.handle(index, Event::Tick);
             }
-            Happening::Wakes { .. } => {}
+            Scheduled::Wake { .. } => {}
         }
     }
 
@@ -179,27 +186,27 @@
         }
     }
 
-    fn begin(&mut self, fault: Fault) {
+    fn begin_fault(&mut self, fault: Fault) {
         match fault {
-            Fault::Kill(some) => some.into_iter().for_each(|who| self.kill(who)),
+            Fault::Kill(some) => some.into_iter().for_each(|index| self.kill(index)),
             Fault::CrashAtWrite { who, write, after } => {
                 let failure = if after { Failure::After(write) } else { Failure::Before(write) };
                 self.machines[who].store.disk.fail(Some(failure));
             }
-            Fault::Pause(some) => some.into_iter().for_each(|who| self.machines[who].paused = true),
+            Fault::Pause(some) => some.into_iter().for_each(|index| self.machines[index].paused = true),
             Fault::Bad(network) => self.network = network,
             Fault::CutOneWay(..) | Fault::Cut(..) | Fault::Split(_) => self.change_cuts(&fault, true),
         }
     }
 
-    fn end(&mut self, fault: Fault) {
+    fn end_fault(&mut self, fault: Fault) {
         match fault {
-            Fault::Kill(some) => some.into_iter().for_each(|who| self.start(who)),
+            Fault::Kill(some) => some.into_iter().for_each(|index| self.start(index)),
             Fault::CrashAtWrite { who, .. } => {
                 self.machines[who].store.disk.fail(None);
                 self.start(who);
             }
-            Fault::Pause(some) => some.into_iter().for_each(|who| self.go_on(who)),
+            Fault::Pause(some) => some.into_iter().for_each(|index| self.resume(index)),
             Fault::Bad(_) => self.network = Network::default(),
             Fault::CutOneWay(..) | Fault::Cut(..) | Fault::Split(_) if self.planted == Planted::StaysCut => {}
             Fault::CutOneWay(..) | Fault::Cut(..) | Fault::Split(_) => self.change_cuts(&fault, false),
@@ -224,50 +231,51 @@
         }
     }
 
-    fn kill(&mut self, who: usize) {
-        if self.machines[who].replica.take().is_some() {
-            self.checker.ended(who, self.machines[who].process);
+    fn kill(&mut self, index: usize) {
+        if self.machines[index].replica.take().is_some() {
+            self.checker.process_ended(index, self.machines[index].process);
         }
-        self.machines[who].inbox.clear();
-        self.machines[who].wakes += 1;
+        self.machines[index].inbox.clear();
+        self.machines[index].wake_number += 1;
     }
 
-    /// Starts a process where none runs.
-    fn start(&mut self, who: usize) {
-        if self.machines[who].replica.is_some() {
+    /// Starts a process, unless one runs.
+    fn start(&mut self, index: usize) {
+        if self.machines[index].replica.is_some() {
             return;
         }
         self.counts.starts += 1;
-        let machine = &mut self.machines[who];
+        let machine = &mut self.machines[index];
         machine.process += 1;
         machine.store.disk.restart();
         let voters = (1..=self.cuts.len() as u64).map(VoterId).collect();
-        let id = VoterId(who as u64 + 1);
+        let id = VoterId(index as u64 + 1);
         let parameters = Parameters { id, voters, tick: TICK, proposal_timeout: PROPOSAL_TIMEOUT };
         let started = Replica::start(parameters, machine.store.clone(), self.now);
         let Ok(replica) = started else {
-            // A store that can't be read keeps the planner out; only planted faults lead there.
+            // A planner does not start from a store that cannot be read, which only planted faults cause.
             self.checker.breaches.lost += 1;
             return;
         };
-        self.checker.started(who, replica.newest().map_or(RevisionNumber(0), |newest| newest.id.number));
+        self.checker
+            .replica_started(index, replica.newest().map_or(RevisionNumber(0), |newest| newest.id.number));
         machine.replica = Some(replica);
-        self.show(who);
-        self.wake(who);
+        self.report_kept_revisions(index);
+        self.wake(index);
     }
 
-    /// Shows the checker all that a replica keeps.
-    fn show(&mut self, who: usize) {
-        let Some(replica) = &self.machines[who].replica else { return };
+    /// Reports all revisions that a replica keeps to the checker.
+    fn report_kept_revisions(&mut self, index: usize) {
+        let Some(replica) = &self.machines[index].replica else { return };
         let newest = replica.newest().map_or(0, |newest| newest.id.number.0);
         let kept = (newest.saturating_sub(KEPT_REVISIONS as u64)..=newest).map(RevisionNumber);
         let kept: Vec<Revision> = kept.filter_map(|number| replica.revision(number).cloned()).collect();
         for revision in kept {
-            self.tell(who, revision);
+            self.report_revision(index, revision);
         }
     }
 
-    fn tell(&mut self, who: usize, mut revision: Revision) {
+    fn report_revision(&mut self, index: usize, mut revision: Revision) {
         match self.planted {
             Planted::SkipsNumber if revision.id.number.0 >= 3 => revision.id.number.0 += 1,
             Planted::ChangesContent if revision.id.number.0 == 2 => {
@@ -275,47 +283,47 @@
             }
             _ => {}
         }
-        self.checker.saw(who, &revision);
+        self.checker.revision_reported(index, &revision);
     }
 
-    fn go_on(&mut self, who: usize) {
-        self.machines[who].paused = false;
-        for bytes in std::mem::take(&mut self.machines[who].inbox) {
-            self.handle(who, Event::Message(bytes));
+    fn resume(&mut self, index: usize) {
+        self.machines[index].paused = false;
+        for bytes in std::mem::take(&mut self.machines[index].inbox) {
+            self.handle(index, Event::Message(bytes));
         }
-        self.wake(who);
+        self.wake(index);
     }
 
-    fn wake(&mut self, who: usize) {
-        let machine = &mut self.machines[who];
+    fn wake(&mut self, index: usize) {
+        let machine = &mut self.machines[index];
         let Some(replica) = &machine.replica else { return };
-        machine.wakes += 1;
-        let (at, number) = (replica.next_timer().max(self.now), machine.wakes);
-        self.plan(at, Happening::Wakes { who, number });
+        machine.wake_number += 1;
+        let (at, number) = (replica.next_timer().max(self.now), machine.wake_number);
+        self.schedule_event(at, Scheduled::Wake { index, number });
     }
 
-    fn handle(&mut self, who: usize, event: Event) {
-        let machine = &mut self.machines[who];
+    fn handle(&mut self, index: usize, event: Event) {
+        let machine = &mut self.machines[index];
         if machine.paused {
             return;
         }
         let Some(replica) = &mut machine.replica else { return };
         let mut actions = Vec::new();
         if replica.handle(self.now, event, &mut actions).is_err() {
-            // The process ends, and nothing of what it was about to do is done.
+            // The process ends, and its pending actions are lost.
             self.counts.crashes_at_write += 1;
-            self.kill(who);
+            self.kill(index);
             return;
         }
-        actions.into_iter().for_each(|action| self.act(who, action));
-        self.wake(who);
+        actions.into_iter().for_each(|action| self.run_action(index, action));
+        self.wake(index);
     }
 
-    fn act(&mut self, who: usize, action: Action) {
+    fn run_action(&mut self, index: usize, action: Action) {
         match action {
-            Action::Send { to, message } => self.send(who, to.0 as usize - 1, message),
-            Action::Accepted(revision) => self.tell(who, revision),
-            Action::Decided { id, outcome } => self.decide(who, id, outcome),
+            Action::Send { to, message } => self.send(index, to.0 as usize - 1, message),
+            Action::Accepted(revision) => self.report_revision(index, revision),
+            Action::Decided { id, outcome } => self.decide(index, id, outcome),
             Action::QuorumChanged(_) => {}
         }
     }
@@ -327,34 +335,34 @@
         }
         let copies = 1 + usize::from(self.random.random::<f64>() < self.network.doubled);
         for _ in 0..copies {
-            let late = self.network.jitter.mul_f64(self.random.random());
+            let jitter = self.network.jitter.mul_f64(self.random.random());
             self.messages.push(message.clone());
             let message = self.messages.len() - 1;
-            self.plan(self.now + self.network.delay + late, Happening::Arrives { to, message });
+            self.schedule_event(self.now + self.network.delay + jitter, Scheduled::Arrival { to, message });
         }
     }
 
-    fn decide(&mut self, who: usize, id: ProposalId, outcome: Result<RevisionId, ProposalError>) {
-        let Some(mark) = self.proposals.iter().position(|proposal| proposal.id == id) else { return };
+    fn decide(&mut self, index: usize, id: ProposalId, outcome: Result<RevisionId, ProposalError>) {
+        let Some(position) = self.proposals.iter().position(|proposal| proposal.id == id) else { return };
         let outcome = match (self.planted, outcome) {
             (Planted::KeepsSilent, _) => return,
             (Planted::TellsRefused, Ok(newest)) => Err(ProposalError::Conflict { newest }),
             (_, outcome) => outcome,
         };
-        let process = self.machines[who].process;
-        self.checker.decided(who, process, &self.proposals[mark].author, outcome);
+        let process = self.machines[index].process;
+        self.checker.decided(index, process, &self.proposals[position].author, outcome);
     }
 
-    fn submit(&mut self, who: usize, submission: Submission) {
+    fn submit(&mut self, index: usize, submission: Submission) {
         if submission == Submission::Everywhere {
-            (0..self.machines.len()).for_each(|who| self.submit(who, Submission::Current));
+            (0..self.machines.len()).for_each(|index| self.submit(index, Submission::Current));
             return;
         }
-        let Some(replica) = &self.machines[who].replica else { return };
+        let Some(replica) = &self.machines[index].replica else { return };
         let newest = replica.newest().map_or_else(RevisionId::none, |newest| newest.id);
         let older = RevisionNumber(self.random.random_range(0..=newest.number.0));
         let older = replica.revision(older).cloned();
-        let mark = match submission {
+        let position = match submission {
             Submission::Again if !self.proposals.is_empty() => {
                 self.random.random_range(0..self.proposals.len())
             }
@@ -371,15 +379,15 @@
             Submission::Back => self.propose(newest, older.map(|it| it.document)),
             _ => self.propose(newest, None),
         };
-        self.hand_in(who, mark, MOST_RETRIES);
+        self.submit_proposal(index, position, MAX_RETRIES);
     }
 
-    /// Makes a proposal, with a document of its own where none is given.
+    /// Creates a proposal, with a unique document if none is given.
     fn propose(&mut self, expected: RevisionId, document: Option<Document>) -> usize {
-        let mark = self.proposals.len();
+        let position = self.proposals.len();
         let document = document.unwrap_or_else(|| {
             let mut document = Document::default();
-            document.nodes_out.insert(format!("node-{mark}"));
+            document.nodes_out.insert(format!("node-{position}"));
             document
         });
         self.ids += 1;
@@ -387,46 +395,49 @@
         self.proposals.push(Proposal {
             id,
             expected,
-            author: format!("client-{mark}"),
+            author: format!("client-{position}"),
             submitted_ms: 0,
             document,
         });
         self.counts.proposals += 1;
-        mark
+        position
     }
 
-    /// Hands a proposal in, and again after a while where what became of it is not known.
-    fn hand_in(&mut self, who: usize, mark: usize, left: u32) {
-        let machine = &self.machines[who];
+    /// Submits a proposal to a replica, and schedules a resubmission while any are left.
+    fn submit_proposal(&mut self, index: usize, position: usize, retries_left: u32) {
+        let machine = &self.machines[index];
         let Some(replica) = machine.replica.as_ref().filter(|_| !machine.paused) else { return };
         let process = machine.process;
         let newest = replica.newest().map_or_else(RevisionId::none, |newest| newest.id);
-        let proposal = self.proposals[mark].clone();
-        self.checker.submitted(who, process, &proposal, self.now + PROPOSAL_TIMEOUT + ANSWER_SLACK);
-        let mut handed = proposal.clone();
+        let proposal = self.proposals[position].clone();
+        self.checker.submitted(index, process, &proposal, self.now + PROPOSAL_TIMEOUT + ANSWER_SLACK);
+        let mut submitted = proposal.clone();
         match self.planted {
-            Planted::NoCompare => handed.expected = newest,
-            Planted::NewIds if left < MOST_RETRIES => {
+            Planted::NoCompare => submitted.expected = newest,
+            Planted::NewIds if retries_left < MAX_RETRIES => {
                 self.ids += 1;
-                handed.id = ProposalId(self.ids);
-                handed.expected = newest;
+                submitted.id = ProposalId(self.ids);
+                submitted.expected = newest;
             }
             Planted::TellsEarly => {
-                let id = RevisionId { number: newest.number.next(), hash: handed.document.hash() };
-                self.checker.decided(who, process, &proposal.author, Ok(id));
+                let id = RevisionId { number: newest.number.next(), hash: submitted.document.hash() };
+                self.checker.decided(index, process, &proposal.author, Ok(id));
             }
             _ => {}
         }
-        self.handle(who, Event::Propose(Box::new(handed)));
-        if left > 0 {
+        self.handle(index, Event::Propose(Box::new(submitted)));
+        if retries_left > 0 {
             let next = self.random.random_range(0..self.machines.len());
-            let at = self.now + RETRY.mul_f64(0.5 + 8.0 * self.random.random::<f64>());
-            self.plan(at, Happening::Retries { who: next, mark, left: left - 1 });
+            let at = self.now + RETRY_DELAY.mul_f64(0.5 + 8.0 * self.random.random::<f64>());
+            self.schedule_event(
+                at,
+                Scheduled::Retry { index: next, position, retries_left: retries_left - 1 },
+            );
         }
     }
 
-    /// Whether all run, are in contact and have the same newest revision.
-    fn agree(&self) -> bool {
+    /// Whether all replicas run, have a quorum and the same newest revision.
+    fn has_agreement(&self) -> bool {
         let mut newest = self.machines.iter().map(|machine| {
             machine
                 .replica
@@ -438,15 +449,16 @@
         first.is_some() && newest.all(|it| it == first)
     }
 
-    /// After all faults: all come together, accept something new, and have everything after a restart of all.
+    /// Runs to the end of all faults and checks that the replicas agree and accept a new proposal, both before and
+    /// after a restart of all.
     pub fn settle(&mut self) {
         self.run(self.schedule.over + Duration::from_millis(1));
-        let mut settled = self.come_together() && self.accept_one();
-        for who in 0..self.machines.len() {
-            self.kill(who);
+        let mut settled = self.wait_for_agreement() && self.accepts_proposal();
+        for index in 0..self.machines.len() {
+            self.kill(index);
         }
-        (0..self.machines.len()).for_each(|who| self.start(who));
-        settled = settled && self.come_together() && self.accept_one();
+        (0..self.machines.len()).for_each(|index| self.start(index));
+        settled = settled && self.wait_for_agreement() && self.accepts_proposal();
         self.checker.breaches.unsettled += usize::from(!settled);
         self.run(self.now + PROPOSAL_TIMEOUT + 2 * ANSWER_SLACK);
         self.check_accepted();
@@ -454,27 +466,28 @@
         self.checker.finish(self.now);
     }
 
-    fn come_together(&mut self) -> bool {
-        let end = self.now + SETTLES_WITHIN;
+    fn wait_for_agreement(&mut self) -> bool {
+        let end = self.now + SETTLE_TIMEOUT;
         while self.now < end {
             self.run(self.now + 5 * TICK);
-            if self.agree() {
+            if self.has_agreement() {
                 return true;
             }
         }
         false
     }
 
-    /// Clients of the schedule may still come first: a few are tried.
-    fn accept_one(&mut self) -> bool {
+    /// Whether a new proposal is accepted everywhere. Some attempts may conflict with remaining submissions of the
+    /// schedule.
+    fn accepts_proposal(&mut self) -> bool {
         for _ in 0..10 {
-            let who = self.random.random_range(0..self.machines.len());
-            let Some(replica) = &self.machines[who].replica else { return false };
+            let index = self.random.random_range(0..self.machines.len());
+            let Some(replica) = &self.machines[index].replica else { return false };
             let newest = replica.newest().map_or_else(RevisionId::none, |newest| newest.id);
-            let mark = self.propose(newest, None);
-            self.hand_in(who, mark, 0);
+            let position = self.propose(newest, None);
+            self.submit_proposal(index, position, 0);
             self.run(self.now + 10 * TICK);
-            let author = &self.proposals[mark].author;
+            let author = &self.proposals[position].author;
             let accepted = |machine: &Machine| {
                 let newest = machine.replica.as_ref().and_then(|replica| replica.newest());
                 newest.is_some_and(|newest| newest.author == *author)
@@ -486,7 +499,7 @@
         false
     }
 
-    /// What clients were told is accepted is with every replica, as far back as it keeps revisions.
+    /// Checks that every replica has the revisions that clients were told are accepted, as far as it keeps them.
     fn check_accepted(&mut self) {
         for id in self.checker.accepted() {
             for machine in &self.machines {
