--- a/lab/src/drains.rs
+++ b/lab/src/drains.rs
@@ -4,7 +4,7 @@
 use crate::arguments::Common;
 use crate::load::configuration;
 use crate::stand_ins::service::{node, Attempts, ListedNode, Registry};
-use crate::vrrp::experiments::spread;
+use crate::vrrp::experiments::percentiles_ms;
 use serde_json::{json, Map};
 use std::io::{Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
@@ -157,7 +157,7 @@
         over.store(true, Ordering::Relaxed);
         (others, last, after.0 - calls.0, after.1 - calls.1, time)
     });
-    let (of_others, of_last) = (spread(&others), spread(&last));
+    let (of_others, of_last) = (percentiles_ms(&others), percentiles_ms(&last));
     let (calls, lines) = (asked as f64 / time, lines as f64 / time);
     let attempts = crate::sync::lock(&attempts);
     let seen = attempts.len();
--- a/lab/src/membership/processes.rs
+++ b/lab/src/membership/processes.rs
@@ -603,7 +603,7 @@
     let cpu = (used() - before).as_secs_f64() * 1000.0 / start.elapsed().as_secs_f64() / SIZE as f64;
     let unserved = outcomes.iter().map(|(_, unserved)| unserved).sum();
     let all: Vec<Duration> = outcomes.into_iter().flat_map(|(latencies, _)| latencies).collect();
-    let [p50, p99, _] = crate::vrrp::experiments::spread(&all).map(|millis| millis * 1000.0);
+    let [p50, p99, _] = crate::vrrp::experiments::percentiles_ms(&all).map(|millis| millis * 1000.0);
     Ok((cpu, p50, p99, unserved))
 }
 
--- a/lab/src/membership/simulation.rs
+++ b/lab/src/membership/simulation.rs
@@ -5,7 +5,7 @@
 use super::world::{Breaches, Fault, Network, Settings, Simulation, TimedFault};
 use super::{comparison, model};
 use crate::arguments::Parts;
-use crate::vrrp::experiments::spread;
+use crate::vrrp::experiments::percentiles_ms;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde_json::{json, Map, Value};
@@ -222,8 +222,8 @@
             durations.extend(gone.zip(suspicion).map(|(gone, suspicion)| gone.saturating_sub(suspicion)));
         }
         let (min_timeout, _) = topazpath::fleet::suspicion::timeout_bounds(settings.period, settings.suspicion_periods, size);
-        let (suspicion, gone) = (spread(&suspicions), spread(&removals));
-        let ratio = spread(&durations).map(|duration| duration / (min_timeout.as_secs_f64() * 1000.0));
+        let (suspicion, gone) = (percentiles_ms(&suspicions), percentiles_ms(&removals));
+        let ratio = percentiles_ms(&durations).map(|duration| duration / (min_timeout.as_secs_f64() * 1000.0));
         println!(
             "  {size:>3} members  n {:>3}  suspicion p50 {:>6.0} p99 {:>6.0}  gone p50 {:>6.0} p99 {:>6.0}  least {:>6.0}  over {:.2} {:.2}",
             removals.len(), suspicion[0], suspicion[1], gone[0], gone[1], min_timeout.as_secs_f64() * 1000.0, ratio[0], ratio[1]
--- a/lab/src/vrrp/division.rs
+++ b/lab/src/vrrp/division.rs
@@ -1,37 +1,37 @@
-//! The ways to divide a volume's limit between two machines that cannot ask each other, against the same demand and
-//! the same mishaps, in virtual time: how much worth each way serves, and by how much it exceeds the limit.
+//! Compares ways to divide a volume's limit between two machines that cannot communicate, in virtual time, under the
+//! same demand and failures: the worth that each way serves, and the excess over the limit.
 
 use crate::worth::BASE;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
 
-/// The terms of plan `base` at `palermo-centro`: units a second of the limit, at once, by how much overdrawn.
+/// The limit of plan `base` at `palermo-centro`: rate in units a second, burst and overdraft in units.
 const RATE: f64 = 19.0;
 const BURST: f64 = 48.0;
-const SLACK: f64 = 8.0;
-/// Units a second that a volume is sized for.
+const OVERDRAFT: f64 = 8.0;
+/// The demand that a volume is sized for, in units a second.
 const SIZE: f64 = 4.7;
 /// Step of virtual time.
 const STEP: Duration = Duration::from_millis(20);
-/// What an item may last: for how long a retired machine may still send.
-const FINISH: Duration = Duration::from_secs(3);
+/// Max duration of a request: for how long a retired machine may still send.
+const MAX_REQUEST_TIME: Duration = Duration::from_secs(3);
 
 /// A way to divide a limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Way {
-    /// Each machine takes the whole limit for its own, whatever it heard.
+    /// Each machine applies the whole limit by itself.
     Whole,
-    /// The one that takes over begins with an empty store, at the whole rate.
+    /// The machine that takes over starts with an empty bucket, at the whole rate.
     Empty,
-    /// It begins with an empty store after as long as an item may last.
+    /// The machine that takes over starts with an empty bucket after the max duration of a request.
     Delayed,
-    /// Each machine has a fixed part: of the rate and of what may go at once, for the first.
+    /// Each machine has a fixed share; the values are the first machine's shares of rate and burst.
     Fixed(f64, f64),
 }
 
 impl Way {
-    /// Those that are weighed.
+    /// The ways that are compared.
     pub const ALL: [Way; 8] = [
         Way::Whole,
         Way::Empty,
@@ -43,7 +43,7 @@
         Way::Fixed(0.9, 0.9),
     ];
 
-    /// Its name.
+    /// Returns its name in the report.
     pub fn name(self) -> String {
         match self {
             Way::Whole => "whole".into(),
@@ -53,8 +53,8 @@
         }
     }
 
-    /// A machine's part of the rate, and of what may go at once.
-    fn part(self, machine: usize) -> (f64, f64) {
+    /// Returns a machine's shares of rate and burst.
+    fn share(self, machine: usize) -> (f64, f64) {
         match self {
             Way::Fixed(rate, burst) if machine == 0 => (rate, burst),
             Way::Fixed(rate, burst) => (1.0 - rate, 1.0 - burst),
@@ -63,46 +63,46 @@
     }
 }
 
-/// Who serves, and with what mishap.
+/// Which machines serve.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
     /// The first machine serves.
     First,
-    /// It died; the second serves.
+    /// The first crashed; the second serves.
     Second,
-    /// Neither hears the other, and clients get to both.
+    /// The machines are cut off from each other, and clients reach both.
     Both,
 }
 
-/// What a way came to.
+/// The result of a way.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Weighed {
-    /// Worth served over that of an undivided limit, in each phase.
+pub struct WayResult {
+    /// Worth served in phase `First`, relative to an undivided limit.
     pub first: f64,
-    /// Likewise.
+    /// The same in phase `Second`.
     pub second: f64,
-    /// Likewise.
+    /// The same in phase `Both`.
     pub both: f64,
-    /// The most units by which a window exceeded the limit with its slack; none: it was kept.
+    /// Greatest excess of a window over the limit with its overdraft, in units; 0 if the limit was kept.
     pub excess: f64,
 }
 
 #[derive(Clone, Copy)]
-struct Store {
+struct Bucket {
     level: f64,
-    /// It gives nothing before.
+    /// It grants nothing before this time.
     from: Duration,
 }
 
-/// Weighs a way with this many volumes.
-pub fn weigh(way: Way, volumes: usize, seed: u64) -> Weighed {
-    let mut sum = Weighed::default();
+/// Simulates a way with a number of volumes.
+pub fn evaluate(way: Way, volumes: usize, seed: u64) -> WayResult {
+    let mut sum = WayResult::default();
     let (mut worth, mut whole) = ([0.0; 3], [0.0; 3]);
     for volume in 0..volumes {
         let seed = seed.wrapping_mul(1_000_003) + volume as u64;
-        let (served, excess) = play(way, seed);
-        // What one machine could serve that is alone all the time: the same demand on an undivided limit.
-        let (alone, _) = play(Way::Whole, seed);
+        let (served, excess) = simulate(way, seed);
+        // The reference: the same demand on one machine with an undivided limit.
+        let (alone, _) = simulate(Way::Whole, seed);
         for at in 0..3 {
             worth[at] += served[at];
             whole[at] += if at == 2 { alone[0] } else { alone[at] };
@@ -115,33 +115,33 @@
     sum
 }
 
-/// One volume over phases of a minute each, in turn; worth in each phase a second, and the excess.
-fn play(way: Way, seed: u64) -> ([f64; 3], f64) {
+/// Simulates one volume over phases of a minute each; returns the worth a second in each kind of phase, and the excess.
+fn simulate(way: Way, seed: u64) -> ([f64; 3], f64) {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
-    // A fifth ask for three times their size all day, a quarter for eight times in surges, the rest for little.
+    // 20 % of the volumes demand three times their size all the time, 25 % eight times in surges, the rest 80 %.
     let kind: f64 = random.random();
     let minute = Duration::from_secs(60);
     let phases = [Phase::First, Phase::Second, Phase::First, Phase::Both, Phase::First, Phase::Second];
-    let mut stores = [0, 1].map(|it| Store { level: SLACK * way.part(it).1, from: Duration::ZERO });
+    let mut buckets = [0, 1].map(|it| Bucket { level: OVERDRAFT * way.share(it).1, from: Duration::ZERO });
     let (mut worth, mut time) = ([0.0; 3], [0.0; 3]);
-    let (mut bucket, mut excess) = (0.0_f64, 0.0_f64);
+    let (mut window, mut excess) = (0.0_f64, 0.0_f64);
     let mut now = Duration::ZERO;
-    let mut wanted = 0.0_f64;
+    let mut waiting = 0.0_f64;
     let mut second = 0.0_f64;
     let mut next_second = Duration::from_secs(1);
     let mut size: f64 = f64::from(random.random_range(1..=8_u32));
     for (number, phase) in phases.iter().enumerate() {
-        // Whoever begins to serve takes over from one that is dead, or that it does not hear.
-        let begins: &[usize] = match phase {
+        // The machine that starts to serve takes over from one that crashed or is cut off.
+        let starting: &[usize] = match phase {
             Phase::First => &[0],
             Phase::Second | Phase::Both => &[1],
         };
-        for machine in begins.iter().filter(|_| number > 0) {
-            let store = &mut stores[*machine];
+        for machine in starting.iter().filter(|_| number > 0) {
+            let bucket = &mut buckets[*machine];
             match way {
-                Way::Whole => store.level = BURST.min(store.level.max(SLACK)),
-                Way::Empty => *store = Store { level: 0.0, from: now },
-                Way::Delayed => *store = Store { level: 0.0, from: now + FINISH },
+                Way::Whole => bucket.level = BURST.min(bucket.level.max(OVERDRAFT)),
+                Way::Empty => *bucket = Bucket { level: 0.0, from: now },
+                Way::Delayed => *bucket = Bucket { level: 0.0, from: now + MAX_REQUEST_TIME },
                 Way::Fixed(..) => {}
             }
         }
@@ -154,37 +154,37 @@
         while now < end {
             now += STEP;
             let step = STEP.as_secs_f64();
-            for (machine, store) in stores.iter_mut().enumerate() {
-                if now >= store.from {
-                    let (rate, burst) = way.part(machine);
-                    store.level = (store.level + RATE * rate * step).min(BURST * burst);
+            for (machine, bucket) in buckets.iter_mut().enumerate() {
+                if now >= bucket.from {
+                    let (rate, burst) = way.share(machine);
+                    bucket.level = (bucket.level + RATE * rate * step).min(BURST * burst);
                 }
             }
-            bucket = (bucket - RATE * step).max(0.0);
+            window = (window - RATE * step).max(0.0);
             let surge = now.as_secs() % 30 < 9;
             let rate = match kind {
                 kind if kind < 0.2 => 3.0 * SIZE,
                 kind if kind < 0.45 && surge => 8.0 * SIZE,
                 _ => 0.8 * SIZE,
             };
-            wanted += rate * step;
-            // A request goes when its units are there; what waits for longer than it lasts has gone away.
-            wanted = wanted.min(rate * FINISH.as_secs_f64() + size);
-            while wanted >= size {
+            waiting += rate * step;
+            // A request is sent when there are units for it; one that waits longer than its max duration is dropped.
+            waiting = waiting.min(rate * MAX_REQUEST_TIME.as_secs_f64() + size);
+            while waiting >= size {
                 let machine = match phase {
                     Phase::First => 0,
                     Phase::Second => 1,
                     Phase::Both => usize::from(random.random::<bool>()),
                 };
-                let store = &mut stores[machine];
-                if now < store.from || store.level < size {
+                let bucket = &mut buckets[machine];
+                if now < bucket.from || bucket.level < size {
                     break;
                 }
-                store.level -= size;
-                wanted -= size;
+                bucket.level -= size;
+                waiting -= size;
                 second += size;
-                bucket += size;
-                excess = excess.max(bucket - BURST - SLACK);
+                window += size;
+                excess = excess.max(window - BURST - OVERDRAFT);
                 size = f64::from(random.random_range(1..=8_u32));
             }
             if now >= next_second {
--- a/lab/src/vrrp/experiments.rs
+++ b/lab/src/vrrp/experiments.rs
@@ -1,4 +1,4 @@
-//! `topazpath-lab vrrp`: what the address's move costs and whether a rule breaks.
+//! `topazpath-lab vrrp`: measures takeovers of the virtual address and their cost, and checks the rules.
 
 use super::division::{self, Way};
 use super::takeover::{self, Kind, Outcome, Plan};
@@ -10,13 +10,13 @@
 use std::process::Command;
 use std::time::{Duration, Instant};
 
-/// The interval that `deploy/vrrp.toml` states.
-const DEFAULT: Duration = Duration::from_millis(250);
+/// The interval of advertisements in `deploy/vrrp.toml`.
+const DEFAULT_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Its parts.
+/// The parts of this command.
 const PARTS: [&str; 7] = ["takeover", "intervals", "planted", "loss", "cost", "ways", "model"];
 
-/// True if no rule broke and the planted fault was found.
+/// Runs the selected parts; true if no rule was violated and the planted fault was found.
 pub fn run(parts: &Parts) -> Result<bool, String> {
     parts.check(&PARTS)?;
     let (program, arguments) = (program()?, &parts.common);
@@ -45,7 +45,7 @@
         report.insert("cost".into(), costs(arguments)?);
     }
     if wanted("ways") {
-        report.insert("ways".into(), ways(arguments));
+        report.insert("ways".into(), compare_ways(arguments));
     }
     if wanted("model") {
         let (part, holds) = models(arguments);
@@ -56,11 +56,12 @@
     Ok(sound)
 }
 
-/// The real program, built as this one is. Under cargo it is built first, so that it is the present one.
+/// Returns the path of the real program, in the profile of this one. Under cargo it is built first, so that it is up to
+/// date.
 pub fn program() -> Result<PathBuf, String> {
     let own = std::env::current_exe().map_err(|error| error.to_string())?;
-    let mut folder = own.parent().ok_or("this program lies nowhere")?;
-    // Tests lie one folder further down.
+    let mut folder = own.parent().ok_or("the path of this program has no folder")?;
+    // Test executables are one folder deeper.
     if folder.ends_with("deps") {
         folder = folder.parent().unwrap_or(folder);
     }
@@ -79,8 +80,8 @@
     program.exists().then_some(program).ok_or_else(|| "build the program first: cargo build --release".into())
 }
 
-/// Runs plans at the same time.
-fn together(program: &Path, plans: Vec<Plan>) -> Result<Vec<Outcome>, String> {
+/// Runs plans concurrently.
+fn run_together(program: &Path, plans: Vec<Plan>) -> Result<Vec<Outcome>, String> {
     std::thread::scope(|scope| {
         let running: Vec<_> =
             plans.into_iter().map(|plan| scope.spawn(move || takeover::run(program, plan))).collect();
@@ -95,16 +96,16 @@
     let plan = |(place, kind): (usize, &Kind)| Plan {
         kind: *kind,
         repeats,
-        interval: DEFAULT,
+        interval: DEFAULT_INTERVAL,
         divided: true,
         limited: 0.5,
         seed: arguments.seed + place as u64,
         place: place as u8,
     };
-    let outcomes = together(program, kinds.iter().enumerate().map(plan).collect())?;
+    let outcomes = run_together(program, kinds.iter().enumerate().map(plan).collect())?;
     let mut part = Map::new();
     let mut all = Breaches::default();
-    println!("interval {} ms: gap in ms", DEFAULT.as_millis());
+    println!("interval {} ms: gap in ms", DEFAULT_INTERVAL.as_millis());
     for outcome in &outcomes {
         all = all.and(outcome.breaches);
         for kind in [Kind::Kill, Kind::Freeze, Kind::Term, Kind::Return, Kind::Cut, Kind::Lossy] {
@@ -114,7 +115,7 @@
                 continue;
             }
             let name = format!("{kind:?}").to_lowercase();
-            let gap = spread(&gaps);
+            let gap = percentiles_ms(&gaps);
             println!(
                 "  {name:<7} n {:>3}  p50 {:>6.0}  p99 {:>6.0}  max {:>6.0}   served {} of {}   {:?}",
                 gaps.len(),
@@ -130,7 +131,7 @@
                 json!({
                     "n": gaps.len(),
                     "gap_ms": { "p50": gap[0], "p99": gap[1], "max": gap[2] },
-                    "least_ms": millis(outcome.least),
+                    "least_ms": millis(outcome.min_gap),
                     "skew_ms": millis(outcome.skew),
                     "breaches": outcome.breaches,
                     "sent": outcome.sent,
@@ -139,7 +140,7 @@
             );
         }
     }
-    part.insert("interval_ms".into(), json!(DEFAULT.as_millis() as u64));
+    part.insert("interval_ms".into(), json!(DEFAULT_INTERVAL.as_millis() as u64));
     Ok((Value::Object(part), all))
 }
 
@@ -155,7 +156,7 @@
         seed: arguments.seed + 100 + place as u64,
         place: 10 + place as u8,
     };
-    let outcomes = together(program, intervals.iter().enumerate().map(plan).collect())?;
+    let outcomes = run_together(program, intervals.iter().enumerate().map(plan).collect())?;
     let (mut part, mut all) = (Vec::new(), Breaches::default());
     println!("kill, by interval: gap over Active_Down_Interval");
     for (interval, outcome) in intervals.iter().zip(&outcomes) {
@@ -163,35 +164,36 @@
         let of = |kind: Kind| -> Vec<Duration> {
             outcome.gaps.iter().filter(|(it, _)| *it == kind).map(|(_, gap)| *gap).collect()
         };
-        let (gap, returned, least) =
-            (spread(&of(Kind::Kill)), spread(&of(Kind::Return)), millis(outcome.least));
-        let over = gap.map(|gap| gap / least);
+        let (gap, returned, min_gap) =
+            (percentiles_ms(&of(Kind::Kill)), percentiles_ms(&of(Kind::Return)), millis(outcome.min_gap));
+        let ratio = gap.map(|gap| gap / min_gap);
         println!(
-            "  {:>4} ms  least {least:>6.0} ms  p50 {:.3}  p99 {:.3}  max {:.3}   {:?}",
+            "  {:>4} ms  least {min_gap:>6.0} ms  p50 {:.3}  p99 {:.3}  max {:.3}   {:?}",
             interval.as_millis(),
-            over[0],
-            over[1],
-            over[2],
+            ratio[0],
+            ratio[1],
+            ratio[2],
             outcome.breaches
         );
         part.push(json!({
             "interval_ms": interval.as_millis() as u64,
-            "least_ms": least,
+            "least_ms": min_gap,
             "gap_ms": { "p50": gap[0], "p99": gap[1], "max": gap[2] },
             "return_gap_ms": { "p50": returned[0], "p99": returned[1], "max": returned[2] },
-            "over_least": { "p50": over[0], "p99": over[1], "max": over[2] },
+            "over_least": { "p50": ratio[0], "p99": ratio[1], "max": ratio[2] },
             "breaches": outcome.breaches,
         }));
     }
     Ok((json!(part), all))
 }
 
-/// Two machines that each take the limits for their own while neither hears the other: the checker is to find it.
+/// Runs two machines that each apply the whole limits while they are cut off from each other, which the checker has to
+/// find.
 fn planted(program: &Path, arguments: &Common) -> Result<(Value, bool), String> {
     let plan = Plan {
         kind: Kind::Cut,
         repeats: 2,
-        interval: DEFAULT,
+        interval: DEFAULT_INTERVAL,
         divided: false,
         limited: 1.0,
         seed: arguments.seed + 200,
@@ -208,24 +210,24 @@
     println!(
         "loss, {hours} h: false takeovers an hour, part of the time with two Active (simulated, closed form)"
     );
-    let part = [0.0, 0.05, 0.1, 0.3].map(|lost| {
-        let simulated = loss::simulate(DEFAULT, lost, hours, arguments.seed);
-        let closed = loss::closed(DEFAULT, lost);
+    let part = [0.0, 0.05, 0.1, 0.3].map(|loss_rate| {
+        let simulated = loss::simulate(DEFAULT_INTERVAL, loss_rate, hours, arguments.seed);
+        let closed_form = loss::closed_form(DEFAULT_INTERVAL, loss_rate);
         println!(
             "  {:>3.0} %  takeovers {:>8.3} {:>8.3}   two Active {:.2e} {:.2e}",
-            lost * 100.0,
+            loss_rate * 100.0,
             simulated.takeovers,
-            closed.takeovers,
-            simulated.doubled,
-            closed.doubled
+            closed_form.takeovers,
+            simulated.two_active,
+            closed_form.two_active
         );
         json!({
-            "loss": lost,
+            "loss": loss_rate,
             "hours": hours,
             "false_takeovers_per_hour": simulated.takeovers,
-            "closed_takeovers_per_hour": closed.takeovers,
-            "two_active_share": simulated.doubled,
-            "closed_two_active_share": closed.doubled,
+            "closed_takeovers_per_hour": closed_form.takeovers,
+            "two_active_share": simulated.two_active,
+            "closed_two_active_share": closed_form.two_active,
         })
     });
     json!(part)
@@ -237,9 +239,9 @@
     let mut part = Vec::new();
     for (place, routers) in [1, 16, 255].into_iter().enumerate() {
         let cost = cost::measure(routers, place as u8, time)?;
-        let (made, plain) = cost::timers(routers, 1_000_000, arguments.seed);
+        let (timers, scan) = cost::timers(routers, 1_000_000, arguments.seed);
         println!(
-            "  {routers:>3} routers  processor active {:.4} backup {:.4}  {:>7.0} B/s   timer {made:>5.1} ns, scan {plain:>6.1} ns",
+            "  {routers:>3} routers  processor active {:.4} backup {:.4}  {:>7.0} B/s   timer {timers:>5.1} ns, scan {scan:>6.1} ns",
             cost.active, cost.backup, cost.bytes
         );
         part.push(json!({
@@ -247,14 +249,14 @@
             "processor_active": cost.active,
             "processor_backup": cost.backup,
             "bytes_per_second": cost.bytes,
-            "timers_ns": made,
-            "scan_ns": plain,
+            "timers_ns": timers,
+            "scan_ns": scan,
         }));
     }
     Ok(json!(part))
 }
 
-fn ways(arguments: &Common) -> Value {
+fn compare_ways(arguments: &Common) -> Value {
     let volumes = if arguments.short { 100 } else { 2000 };
     println!(
         "ways to divide a limit, {volumes} volumes: worth over that of one machine alone, excess in units"
@@ -262,21 +264,21 @@
     let part: Vec<Value> = Way::ALL
         .into_iter()
         .map(|way| {
-            let weighed = division::weigh(way, volumes, arguments.seed);
+            let result = division::evaluate(way, volumes, arguments.seed);
             println!(
                 "  {:<14} first {:.4}  second {:.4}  both {:.4}  excess {:>6.1}",
                 way.name(),
-                weighed.first,
-                weighed.second,
-                weighed.both,
-                weighed.excess
+                result.first,
+                result.second,
+                result.both,
+                result.excess
             );
             json!({
                 "way": way.name(),
-                "first": weighed.first,
-                "second": weighed.second,
-                "both": weighed.both,
-                "excess_units": weighed.excess,
+                "first": result.first,
+                "second": result.second,
+                "both": result.both,
+                "excess_units": result.excess,
             })
         })
         .collect();
@@ -301,8 +303,8 @@
     (json!(part), all)
 }
 
-/// Median, 99th percentile and maximum, in milliseconds.
-pub fn spread(spans: &[Duration]) -> [f64; 3] {
+/// Returns median, 99th percentile and maximum in milliseconds.
+pub fn percentiles_ms(spans: &[Duration]) -> [f64; 3] {
     let mut sorted: Vec<f64> = spans.iter().map(|span| millis(*span)).collect();
     sorted.sort_by(f64::total_cmp);
     let at = |part: f64| {
--- a/lab/src/vrrp/mod.rs
+++ b/lab/src/vrrp/mod.rs
@@ -1,4 +1,4 @@
-//! Experiments on VRRP: takeovers of real machines, cost, loss, division of limits, a model checker.
+//! Experiments on VRRP: takeovers between real processes, cost, packet loss, division of limits, and a model checker.
 
 mod cost;
 mod division;
--- a/lab/src/vrrp/model.rs
+++ b/lab/src/vrrp/model.rs
@@ -1,8 +1,8 @@
-//! The program's own state machine and handover under a model checker: two or three routers, advertisements that are
-//! lost, doubled and reordered, machines that crash, come back, stop and go on. Time goes in quarters of an interval;
-//! priorities are multiples of 64, so that every timer falls on one.
+//! Model checking of the program's VRRP state machine and handover: two or three routers, lost, duplicated and
+//! reordered advertisements, and machines that crash, restart, stop and continue. Time advances in quarters of an
+//! interval; priorities are multiples of 64, so that every timer falls on a quarter.
 //!
-//! From each state that is reached the links are then made good, and what must come true is looked for.
+//! From each reached state the links are also restored, and the routers have to recover within a bound.
 
 use stateright::{Checker, Model, Property};
 use std::net::IpAddr;
@@ -10,79 +10,80 @@
 use topazpath::handover::{self, AddressAction, Duty};
 use topazpath::vrrp::machine::{Event, Parameters, Role, StateMachine};
 
-/// A quarter of an interval, and the interval.
+/// The step of time, a quarter of an interval, and the interval.
 const TICK: Duration = Duration::from_millis(64);
 const INTERVAL: Duration = Duration::from_millis(256);
-/// Where now lies: what is three intervals old is as old as can matter.
+/// The present time in the model. Older times than three intervals ago make no difference.
 const NOW: Duration = Duration::from_millis(3 * 256);
-/// An item may last so long: two intervals.
-const FINISH: Duration = Duration::from_millis(2 * 256);
-/// Once links are good, one router is Active within so many quarters: the longest wait of a router that was stopped
-/// (its Active_Down_Interval), then that of the one which takes over, and one interval to hear it.
-pub const BOUND: usize = 36;
+/// Max duration of a request: two intervals.
+const MAX_REQUEST_TIME: Duration = Duration::from_millis(2 * 256);
+/// Max number of quarters from the restoration of the links until exactly one router is Active: the
+/// Active_Down_Interval of a router that was stopped, that of the one which takes over, and one interval to receive its
+/// advertisement.
+pub const RECOVERY_BOUND: usize = 36;
 
-/// What is checked.
+/// The parameters of a model.
 #[derive(Clone, Debug)]
 pub struct Routers {
     /// Priorities, all multiples of 64.
     pub priorities: Vec<u8>,
-    /// Packets that may be lost, and doubled; crashes; stops.
+    /// The number of faults of each kind.
     pub faults: Faults,
-    /// Items that clients send.
-    pub items: u8,
-    /// A deliberate fault.
+    /// Number of requests that clients send.
+    pub requests: u8,
+    /// A planted fault.
     pub planted: Planted,
 }
 
-/// How much may go wrong.
+/// Max number of faults of each kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Faults {
     /// Packets that may be lost.
     pub lost: u8,
-    /// Packets that may come twice.
+    /// Packets that may be duplicated.
     pub doubled: u8,
-    /// Machines that may crash; they may come back.
+    /// Crashes of machines, which may restart.
     pub crashes: u8,
-    /// Machines that may be stopped; they go on.
+    /// Stops of machines, which may continue.
     pub stops: u8,
 }
 
-/// What is wrong on purpose.
+/// A planted fault of the program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Planted {
-    /// Nothing.
+    /// None.
     Nothing,
-    /// A router leaves advertisements of its own priority alone.
+    /// A router ignores advertisements with its own priority.
     TiesIgnored,
-    /// A router that was retired forgets what it took.
-    ItemsForgotten,
-    /// An item's end is told again when its address returns.
+    /// A retired router drops its requests without an answer.
+    RequestsForgotten,
+    /// A request is answered again when the address returns.
     AnsweredAgain,
 }
 
-/// How a machine is.
+/// The state of a machine's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Power {
     /// It runs.
     On,
-    /// It lost all it knew.
+    /// Crashed: it lost its state.
     Off,
-    /// It is stopped, and knows nothing of it.
+    /// Stopped: it keeps its state and does not notice.
     Stopped,
 }
 
-/// An item of a client.
+/// The state of a client's request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Item {
-    /// Not sent.
+pub enum Request {
+    /// Not sent yet.
     Unsent,
-    /// A machine has it.
-    Taken(u8),
-    /// The machine that had it crashed.
+    /// In flight at a machine.
+    InFlight(u8),
+    /// In flight at a machine that crashed.
     Lost,
-    /// A machine took it and let it go without an answer.
+    /// Dropped without an answer by a running machine.
     Orphaned,
-    /// So many answers came.
+    /// Answered this many times.
     Answered(u8),
 }
 
@@ -94,49 +95,49 @@
     duty: Duty,
 }
 
-/// A packet on its way.
+/// A packet in transit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Packet {
     to: u8,
     from: u8,
     priority: u8,
-    /// It was on its way when time went on: it arrives or is lost before time goes on again.
-    old: bool,
+    /// Whether it was sent before the last step of time: it arrives or is lost before the next.
+    is_due: bool,
 }
 
-/// A state of all.
+/// A state of the model.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct World {
+pub struct State {
     nodes: Vec<Node>,
     packets: Vec<Packet>,
-    items: Vec<Item>,
-    /// Who announced last: where clients get to.
+    requests: Vec<Request>,
+    /// The machine that announced last, which clients reach.
     route: Option<u8>,
-    left: Faults,
+    faults_left: Faults,
 }
 
-/// What may happen.
+/// A transition of the model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Time goes on by a quarter of an interval.
+    /// Time advances by a quarter of an interval.
     Tick,
     /// A packet arrives.
     Deliver(usize),
     /// A packet is lost.
     Lose(usize),
-    /// A packet arrives and stays on its way.
-    Double(usize),
-    /// A machine loses power.
+    /// A packet arrives and stays in transit.
+    Duplicate(usize),
+    /// A machine crashes.
     Crash(usize),
-    /// It comes back, knowing nothing.
+    /// A crashed machine restarts with its initial state.
     Restart(usize),
     /// A machine is stopped.
     Stop(usize),
-    /// It goes on.
+    /// A stopped machine continues.
     Continue(usize),
-    /// A client sends an item to where the address leads.
+    /// A client sends a request to the machine that the address is routed to.
     Send(usize),
-    /// The machine that has an item answers it.
+    /// A machine answers its request.
     Answer(usize),
 }
 
@@ -146,157 +147,156 @@
 }
 
 impl Routers {
-    fn step(&self, world: &mut World, at: usize, event: Event) {
+    fn step(&self, state: &mut State, at: usize, event: Event) {
         let own = parameters(at);
         if self.planted == Planted::TiesIgnored {
             if let Event::Advertisement { priority, .. } = event {
-                if priority == world.nodes[at].machine.priority() {
+                if priority == state.nodes[at].machine.priority() {
                     return;
                 }
             }
         }
-        let step = world.nodes[at].machine.step(&own, NOW, event);
+        let step = state.nodes[at].machine.step(&own, NOW, event);
         if let Some(priority) = step.advertise {
-            world.announce(at, priority);
+            state.announce(at, priority);
         }
         let Some(transition) = step.transition else { return };
         match (transition.from, transition.to) {
             (_, Role::Active) => {
-                self.duty(world, at, handover::Event::Granted);
-                // Nothing stands between it and the address here.
-                self.duty(world, at, handover::Event::Opened);
+                self.duty(state, at, handover::Event::Granted);
+                // In the model the address is acquired at once.
+                self.duty(state, at, handover::Event::Opened);
             }
-            (Role::Active, _) => self.duty(world, at, handover::Event::Withdrawn),
+            (Role::Active, _) => self.duty(state, at, handover::Event::Withdrawn),
             _ => {}
         }
     }
 
-    fn duty(&self, world: &mut World, at: usize, event: handover::Event) {
-        let (duty, order) = world.nodes[at].duty.step(NOW, FINISH, event);
-        world.nodes[at].duty = duty;
-        for item in &mut world.items {
-            match (*item, order) {
-                (Item::Taken(by), Some(AddressAction::Abort)) if by as usize == at => {
-                    *item = Item::Answered(1)
+    fn duty(&self, state: &mut State, at: usize, event: handover::Event) {
+        let (duty, action) = state.nodes[at].duty.step(NOW, MAX_REQUEST_TIME, event);
+        state.nodes[at].duty = duty;
+        for request in &mut state.requests {
+            match (*request, action) {
+                (Request::InFlight(by), Some(AddressAction::Abort)) if by as usize == at => {
+                    *request = Request::Answered(1)
                 }
-                (Item::Taken(by), Some(AddressAction::Release))
-                    if by as usize == at && self.planted == Planted::ItemsForgotten =>
+                (Request::InFlight(by), Some(AddressAction::Release))
+                    if by as usize == at && self.planted == Planted::RequestsForgotten =>
                 {
-                    *item = Item::Orphaned;
+                    *request = Request::Orphaned;
                 }
-                (Item::Answered(count), Some(AddressAction::Acquire))
+                (Request::Answered(count), Some(AddressAction::Acquire))
                     if self.planted == Planted::AnsweredAgain =>
                 {
-                    *item = Item::Answered(count + 1);
+                    *request = Request::Answered(count + 1);
                 }
                 _ => {}
             }
         }
     }
 
-    fn deliver(&self, world: &mut World, packet: Packet) {
+    fn deliver(&self, state: &mut State, packet: Packet) {
         let to = packet.to as usize;
         let sender = parameters(packet.from as usize).address;
-        if world.nodes[to].power == Power::On {
+        if state.nodes[to].power == Power::On {
             let (priority, interval) = (packet.priority, INTERVAL);
-            self.step(world, to, Event::Advertisement { priority, interval, sender });
+            self.step(state, to, Event::Advertisement { priority, interval, sender });
         }
     }
 
-    /// Time goes on: all that is due fires, machine by machine, until nothing is.
-    fn tick(&self, world: &mut World) {
-        for node in &mut world.nodes {
+    /// Advances time and fires all timers that are due, machine by machine.
+    fn tick(&self, state: &mut State) {
+        for node in &mut state.nodes {
             node.machine = node.machine.rebased(TICK);
             if let Duty::Retired { until } = &mut node.duty {
                 *until = until.saturating_sub(TICK);
             }
         }
-        for packet in &mut world.packets {
-            packet.old = true;
+        for packet in &mut state.packets {
+            packet.is_due = true;
         }
-        for at in 0..world.nodes.len() {
-            if world.nodes[at].power == Power::On {
-                self.fire(world, at);
+        for at in 0..state.nodes.len() {
+            if state.nodes[at].power == Power::On {
+                self.fire(state, at);
             }
         }
     }
 
-    fn fire(&self, world: &mut World, at: usize) {
-        while world.nodes[at].machine.timer().is_some_and(|due| due <= NOW) {
-            self.step(world, at, Event::Timer);
+    fn fire(&self, state: &mut State, at: usize) {
+        while state.nodes[at].machine.timer().is_some_and(|due| due <= NOW) {
+            self.step(state, at, Event::Timer);
         }
-        let open = world.items.iter().filter(|item| **item == Item::Taken(at as u8)).count();
-        self.duty(world, at, handover::Event::Polled { open });
+        let open = state.requests.iter().filter(|request| **request == Request::InFlight(at as u8)).count();
+        self.duty(state, at, handover::Event::Polled { open });
     }
 
-    fn wake(&self, world: &mut World, at: usize) {
-        world.nodes[at].power = Power::On;
-        // What waits at its socket is read before its timers fire.
-        let (waiting, rest) = world.packets.iter().partition(|packet| packet.to as usize == at);
-        world.packets = rest;
+    fn resume(&self, state: &mut State, at: usize) {
+        state.nodes[at].power = Power::On;
+        // Packets that wait at its socket are read before its timers fire.
+        let (waiting, rest) = state.packets.iter().partition(|packet| packet.to as usize == at);
+        state.packets = rest;
         let waiting: Vec<Packet> = waiting;
-        waiting.into_iter().for_each(|packet| self.deliver(world, packet));
-        self.fire(world, at);
+        waiting.into_iter().for_each(|packet| self.deliver(state, packet));
+        self.fire(state, at);
     }
 
-    /// Makes everything good and lets time go on; true if in the end exactly one machine serves, has the address, and
-    /// every item that a live machine took is answered.
-    fn heals(&self, world: &World) -> bool {
-        let mut world = world.clone();
-        for at in 0..world.nodes.len() {
-            if world.nodes[at].power == Power::Stopped {
-                self.wake(&mut world, at);
+    /// Restores links and stopped machines and advances time; true if within the bound exactly one machine is Active,
+    /// serves and has the address, and all requests at running machines are answered.
+    fn recovers(&self, state: &State) -> bool {
+        let mut state = state.clone();
+        for at in 0..state.nodes.len() {
+            if state.nodes[at].power == Power::Stopped {
+                self.resume(&mut state, at);
             }
         }
-        if world.nodes.iter().all(|node| node.power == Power::Off) {
+        if state.nodes.iter().all(|node| node.power == Power::Off) {
             return true;
         }
         let mut since = None;
-        for now in 0..BOUND + 8 {
-            // Good links deliver at once, and in order.
-            while !world.packets.is_empty() {
-                let packet = world.packets.remove(0);
-                self.deliver(&mut world, packet);
+        for now in 0..RECOVERY_BOUND + 8 {
+            // Restored links deliver at once and in order.
+            while !state.packets.is_empty() {
+                let packet = state.packets.remove(0);
+                self.deliver(&mut state, packet);
             }
-            for item in &mut world.items {
-                if let Item::Taken(by) = *item {
-                    if world.nodes[by as usize].power == Power::On {
-                        *item = Item::Answered(1);
+            for request in &mut state.requests {
+                if let Request::InFlight(by) = *request {
+                    if state.nodes[by as usize].power == Power::On {
+                        *request = Request::Answered(1);
                     }
                 }
             }
-            if !world.is_single() {
+            if !state.is_single() {
                 since = None;
             } else if since.is_none() {
                 since = Some(now);
             }
-            self.tick(&mut world);
+            self.tick(&mut state);
         }
-        let live =
-            |item: &Item| matches!(item, Item::Taken(by) if world.nodes[*by as usize].power == Power::On);
-        since.is_some_and(|since| since <= BOUND) && !world.items.iter().any(live)
+        let live = |request: &Request| matches!(request, Request::InFlight(by) if state.nodes[*by as usize].power == Power::On);
+        since.is_some_and(|since| since <= RECOVERY_BOUND) && !state.requests.iter().any(live)
     }
 }
 
-impl World {
+impl State {
     fn announce(&mut self, from: usize, priority: u8) {
         if priority > 0 {
             self.route = Some(from as u8);
         }
         let nodes = self.nodes.len();
         for to in 0..nodes {
-            // Guards the size of the model: what is too much on its way at once is lost, as at a full queue.
+            // Bounds the size of the model: packets beyond a max number in transit are lost, as at a full queue.
             if to != from
                 && self.nodes[to].power != Power::Off
                 && self.packets.len() < nodes * (nodes - 1) + 2
             {
-                self.packets.push(Packet { to: to as u8, from: from as u8, priority, old: false });
+                self.packets.push(Packet { to: to as u8, from: from as u8, priority, is_due: false });
             }
         }
         self.packets.sort();
     }
 
-    /// Exactly one machine is Active and serves, and the address leads to it.
+    /// Whether exactly one machine is Active and serves, and the address is routed to it.
     fn is_single(&self) -> bool {
         let active =
             |(_, node): &(usize, &Node)| node.power == Power::On && node.machine.role() == Role::Active;
@@ -309,58 +309,58 @@
 }
 
 impl Model for Routers {
-    type State = World;
+    type State = State;
     type Action = Action;
 
-    fn init_states(&self) -> Vec<World> {
+    fn init_states(&self) -> Vec<State> {
         let node = |(at, priority): (usize, &u8)| Node {
             power: Power::On,
             machine: StateMachine::new(&parameters(at), *priority),
             duty: Duty::Standby,
         };
-        let mut world = World {
+        let mut state = State {
             nodes: self.priorities.iter().enumerate().map(node).collect(),
             packets: Vec::new(),
-            items: vec![Item::Unsent; usize::from(self.items)],
+            requests: vec![Request::Unsent; usize::from(self.requests)],
             route: None,
-            left: self.faults,
+            faults_left: self.faults,
         };
-        for at in 0..world.nodes.len() {
-            self.step(&mut world, at, Event::Startup);
+        for at in 0..state.nodes.len() {
+            self.step(&mut state, at, Event::Startup);
         }
-        vec![world]
+        vec![state]
     }
 
-    fn actions(&self, world: &World, actions: &mut Vec<Action>) {
-        if !world
+    fn actions(&self, state: &State, actions: &mut Vec<Action>) {
+        if !state
             .packets
             .iter()
-            .any(|packet| packet.old && world.nodes[packet.to as usize].power == Power::On)
+            .any(|packet| packet.is_due && state.nodes[packet.to as usize].power == Power::On)
         {
             actions.push(Action::Tick);
         }
-        for (at, packet) in world.packets.iter().enumerate() {
-            // Equal packets do the same.
-            if world.packets[..at].contains(packet) {
+        for (at, packet) in state.packets.iter().enumerate() {
+            // Equal packets have the same effect.
+            if state.packets[..at].contains(packet) {
                 continue;
             }
-            if world.nodes[packet.to as usize].power == Power::On {
+            if state.nodes[packet.to as usize].power == Power::On {
                 actions.push(Action::Deliver(at));
-                if world.left.doubled > 0 {
-                    actions.push(Action::Double(at));
+                if state.faults_left.doubled > 0 {
+                    actions.push(Action::Duplicate(at));
                 }
             }
-            if world.left.lost > 0 {
+            if state.faults_left.lost > 0 {
                 actions.push(Action::Lose(at));
             }
         }
-        for (at, node) in world.nodes.iter().enumerate() {
+        for (at, node) in state.nodes.iter().enumerate() {
             match node.power {
                 Power::On => {
-                    if world.left.crashes > 0 {
+                    if state.faults_left.crashes > 0 {
                         actions.push(Action::Crash(at));
                     }
-                    if world.left.stops > 0 {
+                    if state.faults_left.stops > 0 {
                         actions.push(Action::Stop(at));
                     }
                 }
@@ -368,10 +368,10 @@
                 Power::Stopped => actions.push(Action::Continue(at)),
             }
         }
-        for (at, item) in world.items.iter().enumerate() {
-            match item {
-                Item::Unsent if world.route.is_some() => actions.push(Action::Send(at)),
-                Item::Taken(by) if world.nodes[*by as usize].power == Power::On => {
+        for (at, request) in state.requests.iter().enumerate() {
+            match request {
+                Request::Unsent if state.route.is_some() => actions.push(Action::Send(at)),
+                Request::InFlight(by) if state.nodes[*by as usize].power == Power::On => {
                     actions.push(Action::Answer(at));
                 }
                 _ => {}
@@ -379,94 +379,97 @@
         }
     }
 
-    fn next_state(&self, last: &World, action: Action) -> Option<World> {
-        let mut world = last.clone();
+    fn next_state(&self, last: &State, action: Action) -> Option<State> {
+        let mut state = last.clone();
         match action {
-            Action::Tick => self.tick(&mut world),
+            Action::Tick => self.tick(&mut state),
             Action::Deliver(at) => {
-                let packet = world.packets.remove(at);
-                self.deliver(&mut world, packet);
+                let packet = state.packets.remove(at);
+                self.deliver(&mut state, packet);
             }
             Action::Lose(at) => {
-                world.left.lost -= 1;
-                world.packets.remove(at);
+                state.faults_left.lost -= 1;
+                state.packets.remove(at);
             }
-            Action::Double(at) => {
-                world.left.doubled -= 1;
-                let packet = world.packets[at];
-                self.deliver(&mut world, packet);
+            Action::Duplicate(at) => {
+                state.faults_left.doubled -= 1;
+                let packet = state.packets[at];
+                self.deliver(&mut state, packet);
             }
             Action::Crash(at) => {
-                world.left.crashes -= 1;
-                let node = &mut world.nodes[at];
+                state.faults_left.crashes -= 1;
+                let node = &mut state.nodes[at];
                 node.power = Power::Off;
                 node.machine = StateMachine::new(&parameters(at), self.priorities[at]);
                 node.duty = Duty::Standby;
-                world.packets.retain(|packet| packet.to as usize != at);
-                for item in &mut world.items {
-                    if *item == Item::Taken(at as u8) {
-                        *item = Item::Lost;
+                state.packets.retain(|packet| packet.to as usize != at);
+                for request in &mut state.requests {
+                    if *request == Request::InFlight(at as u8) {
+                        *request = Request::Lost;
                     }
                 }
             }
             Action::Restart(at) => {
-                world.nodes[at].power = Power::On;
-                self.step(&mut world, at, Event::Startup);
+                state.nodes[at].power = Power::On;
+                self.step(&mut state, at, Event::Startup);
             }
             Action::Stop(at) => {
-                world.left.stops -= 1;
-                world.nodes[at].power = Power::Stopped;
+                state.faults_left.stops -= 1;
+                state.nodes[at].power = Power::Stopped;
             }
-            Action::Continue(at) => self.wake(&mut world, at),
-            Action::Send(item) => {
-                let to = world.route? as usize;
-                let node = &world.nodes[to];
-                // A machine that does not serve refuses, or nobody is there: the client comes again.
+            Action::Continue(at) => self.resume(&mut state, at),
+            Action::Send(request) => {
+                let to = state.route? as usize;
+                let node = &state.nodes[to];
+                // A machine that does not serve or run refuses the connection, and the client tries again.
                 (node.power == Power::On && node.duty.accepts()).then_some(())?;
-                world.items[item] = Item::Taken(to as u8);
+                state.requests[request] = Request::InFlight(to as u8);
             }
-            Action::Answer(item) => world.items[item] = Item::Answered(1),
+            Action::Answer(request) => state.requests[request] = Request::Answered(1),
         }
-        Some(world)
+        Some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("at most one final answer, and no orphan", |_, world: &World| {
-                world.items.iter().all(|item| !matches!(item, Item::Orphaned | Item::Answered(2..)))
+            Property::always("at most one final answer, and no orphan", |_, state: &State| {
+                state
+                    .requests
+                    .iter()
+                    .all(|request| !matches!(request, Request::Orphaned | Request::Answered(2..)))
             }),
-            Property::always("a router that runs has a way on", |_, world: &World| {
+            Property::always("a router that runs has a way on", |_, state: &State| {
                 let stuck = |node: &Node| node.power == Power::On && node.machine.timer().is_none();
-                !world.nodes.iter().any(stuck)
+                !state.nodes.iter().any(stuck)
             }),
-            Property::always("it takes items only as Active", |_, world: &World| {
-                world.nodes.iter().all(|node| !node.duty.accepts() || node.machine.role() == Role::Active)
+            Property::always("it takes items only as Active", |_, state: &State| {
+                state.nodes.iter().all(|node| !node.duty.accepts() || node.machine.role() == Role::Active)
             }),
             Property::always(
                 "good links leave exactly one Active in time",
-                |model: &Routers, world: &World| model.heals(world),
+                |model: &Routers, state: &State| model.recovers(state),
             ),
-            Property::sometimes("two are Active", |_, world: &World| {
-                world.nodes.iter().filter(|node| node.duty.accepts()).count() > 1
+            Property::sometimes("two are Active", |_, state: &State| {
+                state.nodes.iter().filter(|node| node.duty.accepts()).count() > 1
             }),
-            Property::sometimes("an item is answered by a retired machine", |_, world: &World| {
-                let retired = |at: u8| matches!(world.nodes[at as usize].duty, Duty::Retired { .. });
-                world.items.iter().any(|item| matches!(item, Item::Taken(by) if retired(*by)))
+            Property::sometimes("an item is answered by a retired machine", |_, state: &State| {
+                let retired = |at: u8| matches!(state.nodes[at as usize].duty, Duty::Retired { .. });
+                state.requests.iter().any(|request| matches!(request, Request::InFlight(by) if retired(*by)))
             }),
         ]
     }
 }
 
-/// What a check came to.
+/// The result of a check.
 #[derive(Clone, Debug)]
 pub struct Checked {
-    /// States that were visited.
+    /// Number of visited states.
     pub states: usize,
-    /// Properties that do not hold, or never came true.
+    /// Properties that are violated, or are never reached.
     pub broken: Vec<&'static str>,
 }
 
-/// Visits all states.
+/// Visits all states and checks all properties.
 pub fn check(model: Routers) -> Checked {
     let names: Vec<(&str, bool)> = model
         .properties()
@@ -480,13 +483,13 @@
     Checked { states: checker.unique_state_count(), broken }
 }
 
-/// The checks that the docs record, with the faults that each allows.
+/// Returns the models whose results the docs record; `short` selects the smallest.
 pub fn recorded(short: bool) -> Vec<(&'static str, Routers)> {
     let faults = |lost, doubled, crashes, stops| Faults { lost, doubled, crashes, stops };
-    let model = |priorities: &[u8], faults, items| Routers {
+    let model = |priorities: &[u8], faults, requests| Routers {
         priorities: priorities.to_vec(),
         faults,
-        items,
+        requests,
         planted: Planted::Nothing,
     };
     let mut all = vec![
--- a/lab/src/vrrp/takeover.rs
+++ b/lab/src/vrrp/takeover.rs
@@ -1,4 +1,4 @@
-//! Takeovers between two real machines: how long the virtual address gives no answer, and whether a rule broke.
+//! Takeovers between two real processes: measures how long the virtual address does not answer, and checks the rules.
 
 use crate::check::{check, Breaches, Drain, Terms, Trouble};
 use crate::stand_ins::clients::{Clients, Destination, Load};
@@ -11,77 +11,77 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Longer than anything here takes on a loaded machine.
-const PATIENCE: Duration = Duration::from_secs(30);
-/// Priorities of the two machines: the first serves while it can.
+/// Time limit of every wait; longer than any takes on a loaded machine.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
+/// Priorities of the two machines: the first serves whenever it runs.
 const PRIORITIES: [u8; 2] = [200, 100];
-/// Their parts of every limit, in rate and at once, as `deploy/vrrp.toml` has them.
-const PARTS: [(f64, f64); 2] = [(0.75, 0.5), (0.25, 0.5)];
-/// Units a second that a volume of `base` may take.
+/// Their shares of every limit, of rate and burst, as in `deploy/vrrp.toml`.
+const SHARES: [(f64, f64); 2] = [(0.75, 0.5), (0.25, 0.5)];
+/// Limit of a volume of plan `base`, in units a second.
 const LIMIT: f64 = 80.0;
-/// How long a node drains: its grace of two seconds, and as long again.
-const DRAINS: Duration = Duration::from_secs(4);
-/// How long a node takes for a request.
-const NODE: Duration = Duration::from_millis(5);
-/// Nodes, the last of which drains at each takeover and comes again under another name.
+/// How long a node drains: the grace of two seconds, and two more to observe that it gets no work.
+const DRAIN_TIME: Duration = Duration::from_secs(4);
+/// Service time of a node.
+const SERVICE_TIME: Duration = Duration::from_millis(5);
+/// Number of nodes. The last drains at each takeover and returns under another name.
 const NODES: usize = 3;
 
-/// What is done to the serving machine.
+/// The fault that causes a takeover, at the serving machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Kind {
-    /// It loses power; later it comes back.
+    /// It is killed, and restarted later.
     Kill,
-    /// It stops for a while and goes on past the takeover.
+    /// It is stopped, and continued after the takeover.
     Freeze,
-    /// It is ended in order; later it comes back.
+    /// It is shut down gracefully, and restarted later.
     Term,
-    /// It came back: the other one steps down. Measured after each `Kill`.
+    /// It returns, and the other machine steps down. Measured after each `Kill`.
     Return,
-    /// What it says does not arrive, so that two are Active; then that heals.
+    /// Its advertisements are lost, so that both machines are Active; then the link is restored.
     Cut,
-    /// Half of all packets are lost, some come twice, late and out of order; then that heals.
+    /// 50 % of all packets are lost, some duplicated, delayed and reordered; then the links are restored.
     Lossy,
 }
 
-/// How takeovers are caused.
+/// The parameters of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct Plan {
-    /// What is done.
+    /// The fault.
     pub kind: Kind,
-    /// How often.
+    /// Number of repetitions.
     pub repeats: usize,
     /// The interval of advertisements.
     pub interval: Duration,
-    /// Whether the limits are divided between the machines; else each takes the whole, which is a planted fault.
+    /// Whether the limits are divided between the machines. If not, each applies the whole limit, a planted fault.
     pub divided: bool,
-    /// Part of the requests for volumes with a limit.
+    /// Share of the requests for volumes with a limit.
     pub limited: f64,
-    /// Seeds what clients and segment draw.
+    /// Seed of clients and segment.
     pub seed: u64,
-    /// Tells runs apart that go on at the same time.
+    /// Number that distinguishes concurrent runs.
     pub place: u8,
 }
 
-/// What a plan came to.
+/// The result of a run.
 #[derive(Clone, Debug)]
 pub struct Outcome {
     /// Gaps by kind, in the order they were caused.
     pub gaps: Vec<(Kind, Duration)>,
-    /// Active_Down_Interval of the machine that takes over: the least that a silent death costs after the last
-    /// advertisement.
-    pub least: Duration,
+    /// Active_Down_Interval of the machine that takes over: the min gap after the last advertisement of a machine that
+    /// crashes.
+    pub min_gap: Duration,
     /// Skew_Time of that machine.
     pub skew: Duration,
-    /// Broken rules.
+    /// Violations of the rules.
     pub breaches: Breaches,
-    /// Requests sent, and served.
+    /// Number of requests sent.
     pub sent: usize,
-    /// Likewise.
+    /// Number of requests served.
     pub served: usize,
 }
 
-struct Scene {
+struct Experiment {
     plan: Plan,
     segment: Arc<Segment>,
     machines: Vec<Machine>,
@@ -90,43 +90,46 @@
     attempts: Attempts,
     clients: Clients,
     terms: Terms,
-    /// How often the last node was listed anew.
+    /// How often the last node was listed under a new name.
     renamed: usize,
 }
 
 /// Runs a plan.
 pub fn run(program: &Path, plan: Plan) -> Result<Outcome, String> {
-    let mut scene = Scene::start(program, plan).map_err(|error| error.to_string())?;
-    scene.settle()?;
+    let mut experiment = Experiment::start(program, plan).map_err(|error| error.to_string())?;
+    experiment.settle()?;
     let mut gaps = Vec::new();
     for repeat in 0..plan.repeats {
-        let caused = match plan.kind {
-            Kind::Kill | Kind::Return => scene.kill(),
-            Kind::Freeze => scene.freeze(),
-            Kind::Term => scene.term(),
-            Kind::Cut => scene.cut(repeat % 2 == 1),
-            Kind::Lossy => scene.lossy(),
+        let run = match plan.kind {
+            Kind::Kill | Kind::Return => experiment.kill(),
+            Kind::Freeze => experiment.freeze(),
+            Kind::Term => experiment.term(),
+            Kind::Cut => experiment.cut(repeat % 2 == 1),
+            Kind::Lossy => experiment.lossy(),
         };
-        gaps.extend(caused.map_err(|why| format!("{:?} {repeat}: {why}\n{}", plan.kind, scene.logs()))?);
+        gaps.extend(run.map_err(|why| format!("{:?} {repeat}: {why}\n{}", plan.kind, experiment.logs()))?);
     }
     let skew = plan.interval * (256 - u32::from(PRIORITIES[1])) / 256;
-    let attempts = scene.attempts.clone();
-    let items = scene.clients.end();
+    let attempts = experiment.attempts.clone();
+    let requests = experiment.clients.end();
     let attempts = attempts.lock().map_err(|_| "a node's thread panicked")?;
-    let served =
-        items.iter().filter(|item| item.end == crate::stand_ins::clients::RequestEnd::Served).count();
-    let breaches = check(&items, &attempts, &scene.terms);
-    Ok(Outcome { gaps, least: 3 * plan.interval + skew, skew, breaches, sent: items.len(), served })
+    let served = requests
+        .iter()
+        .filter(|request| request.end == crate::stand_ins::clients::RequestEnd::Served)
+        .count();
+    let breaches = check(&requests, &attempts, &experiment.terms);
+    Ok(Outcome { gaps, min_gap: 3 * plan.interval + skew, skew, breaches, sent: requests.len(), served })
 }
 
-impl Scene {
-    fn start(program: &Path, plan: Plan) -> std::io::Result<Scene> {
-        // Addresses of this run's own, so that no other can be given a port on them.
+impl Experiment {
+    fn start(program: &Path, plan: Plan) -> std::io::Result<Experiment> {
+        // IP addresses that no other run uses, so that none of the ports chosen on them is taken.
         let ip = |last| Ipv4Addr::new(127, 80 + plan.place, std::process::id() as u8, last);
         let segment = Arc::new(Segment::start(&[ip(1), ip(2)], ip(9), plan.seed)?);
         let attempts = Attempts::default();
-        let nodes: Vec<_> =
-            (0..NODES).map(|it| node(ip(20), it, NODE, attempts.clone())).collect::<Result<_, _>>()?;
+        let nodes: Vec<_> = (0..NODES)
+            .map(|it| node(ip(20), it, SERVICE_TIME, attempts.clone()))
+            .collect::<Result<_, _>>()?;
         let registry = Registry::start(ip(21), list(&nodes, 0, "active"))?;
         let mut machines = Vec::new();
         for (at, port) in segment.ports().iter().enumerate() {
@@ -140,7 +143,7 @@
                 peers: vec![segment.ports()[1 - at].relay],
                 priority: PRIORITIES[at],
                 interval: plan.interval,
-                share: if plan.divided { PARTS[at] } else { (1.0, 1.0) },
+                share: if plan.divided { SHARES[at] } else { (1.0, 1.0) },
             };
             let setup = Setup {
                 name: format!("m-{at}"),
@@ -159,14 +162,14 @@
         let clients =
             Clients::start(Destination::Segment(segment.clone()), load, Arc::new(|_| 1.0), plan.seed);
         let terms = Terms { limit: (LIMIT, BURST + OVERDRAFT), ..Terms::default() };
-        Ok(Scene { plan, segment, machines, registry, nodes, attempts, clients, terms, renamed: 0 })
+        Ok(Experiment { plan, segment, machines, registry, nodes, attempts, clients, terms, renamed: 0 })
     }
 
-    /// Until the first machine serves, and has for a while.
+    /// Waits until the first machine has served for a while.
     fn settle(&mut self) -> Result<(), String> {
         let since = Instant::now();
-        self.until_served(0, since)?;
-        // Requests that were sent before any machine served have their ends by then.
+        self.wait_until_served(0, since)?;
+        // By then the requests that were sent before any machine served have ended.
         std::thread::sleep(Duration::from_millis(500).max(4 * self.plan.interval));
         Ok(())
     }
@@ -176,11 +179,11 @@
         self.drain();
         self.terms.troubles.push(Trouble { machine: 0, from: killed, to: None });
         self.machines[0].kill();
-        let gap = self.gap_until_served(1, killed)?;
+        let gap = self.wait_for_gap(1, killed)?;
         let back = Instant::now();
-        self.over(back);
+        self.end_trouble(back);
         self.machines[0].start().map_err(|error| error.to_string())?;
-        let returned = self.gap_until_served(0, back)?;
+        let returned = self.wait_for_gap(0, back)?;
         self.relist();
         Ok(vec![(Kind::Kill, gap), (Kind::Return, returned)])
     }
@@ -190,13 +193,13 @@
         self.drain();
         self.terms.troubles.push(Trouble { machine: 0, from: stopped, to: None });
         self.machines[0].signal("STOP");
-        let gap = self.gap_until_served(1, stopped)?;
-        // Past the takeover by some intervals: it wakes as one that believes it serves.
+        let gap = self.wait_for_gap(1, stopped)?;
+        // When it continues some intervals after the takeover, it still considers itself Active.
         std::thread::sleep(4 * self.plan.interval);
         self.machines[0].signal("CONT");
         let back = Instant::now();
-        self.over(back);
-        self.until_served(0, back)?;
+        self.end_trouble(back);
+        self.wait_until_served(0, back)?;
         self.relist();
         std::thread::sleep(Duration::from_millis(300));
         Ok(vec![(Kind::Freeze, gap)])
@@ -206,13 +209,13 @@
         let terminated = Instant::now();
         self.drain();
         self.machines[0].signal("TERM");
-        let gap = self.gap_until_served(1, terminated)?;
-        if !self.machines[0].wait(PATIENCE) {
-            return Err("the machine did not end in order".into());
+        let gap = self.wait_for_gap(1, terminated)?;
+        if !self.machines[0].wait(WAIT_TIMEOUT) {
+            return Err("the machine did not shut down gracefully".into());
         }
         let back = Instant::now();
         self.machines[0].start().map_err(|error| error.to_string())?;
-        self.until_served(0, back)?;
+        self.wait_until_served(0, back)?;
         self.relist();
         std::thread::sleep(Duration::from_millis(300));
         Ok(vec![(Kind::Term, gap)])
@@ -225,40 +228,41 @@
         if both {
             self.segment.set_link(1, 0, gone);
         }
-        // With a cut one way the first machine hears the second, and announces again right after it each time, so
-        // that clients hardly get to the second.
-        until("the second machine announces", || self.segment.announced(1).filter(|at| *at > cut))?;
+        // With a one-way cut the first machine receives the second's advertisements and announces again right after
+        // each, so that hardly any client reaches the second.
+        wait_until("the second machine announces", || self.segment.announced(1).filter(|at| *at > cut))?;
         std::thread::sleep(Duration::from_secs(2));
-        self.heal()?;
+        self.restore_links()?;
         Ok(vec![(Kind::Cut, self.longest_gap(cut))])
     }
 
     fn lossy(&mut self) -> Result<Vec<(Kind, Duration)>, String> {
-        let began = Instant::now();
+        let started = Instant::now();
         let (delay, jitter) = (self.plan.interval / 50, self.plan.interval / 2);
         let lossy = Link { cut: false, loss: 0.5, duplicated: 0.2, delay, jitter };
         self.segment.set_link(0, 1, lossy);
         self.segment.set_link(1, 0, lossy);
         std::thread::sleep(20 * self.plan.interval);
-        self.heal()?;
-        Ok(vec![(Kind::Lossy, self.longest_gap(began))])
+        self.restore_links()?;
+        Ok(vec![(Kind::Lossy, self.longest_gap(started))])
     }
 
-    /// Makes the links good and waits until the first machine alone announces and serves.
-    fn heal(&mut self) -> Result<(), String> {
+    /// Restores the links and waits until only the first machine announces and serves.
+    fn restore_links(&mut self) -> Result<(), String> {
         self.segment.set_link(0, 1, Link::default());
         self.segment.set_link(1, 0, Link::default());
-        until("the first machine alone announces", || {
+        wait_until("the first machine alone announces", || {
             let route = self.segment.route()?;
             (route.0 == 0 && route.1.elapsed() > 5 * self.plan.interval).then_some(())
         })?;
-        let healed = Instant::now();
-        self.until_served(0, healed)
+        let restored = Instant::now();
+        self.wait_until_served(0, restored)
     }
 
-    /// The longest time without an answer from shortly before a moment until a machine serves, and a little after.
-    fn gap_until_served(&self, machine: usize, since: Instant) -> Result<Duration, String> {
-        self.until_served(machine, since)?;
+    /// Waits until a machine serves; returns the longest time without an answer from shortly before `since` until 300
+    /// ms after that.
+    fn wait_for_gap(&self, machine: usize, since: Instant) -> Result<Duration, String> {
+        self.wait_until_served(machine, since)?;
         std::thread::sleep(Duration::from_millis(300));
         Ok(self.longest_gap(since))
     }
@@ -268,23 +272,23 @@
         served.windows(2).map(|pair| pair[1] - pair[0]).max().unwrap_or_default()
     }
 
-    fn until_served(&self, machine: usize, since: Instant) -> Result<(), String> {
-        until("a machine serves", || {
+    fn wait_until_served(&self, machine: usize, since: Instant) -> Result<(), String> {
+        wait_until("a machine serves", || {
             let routed = self.segment.route().is_some_and(|(to, _)| to == machine);
             (routed && self.clients.served_by(machine, since)).then_some(())
         })
     }
 
-    /// The last node is told to drain.
+    /// Lists the last node as leaving.
     fn drain(&mut self) {
         self.registry.set_list(list(&self.nodes, self.renamed, "leaving"));
         self.terms.drains.push(Drain { node: NODES - 1, since: Instant::now(), until: None });
     }
 
-    /// It comes again under another name, once it has been seen for a while after its grace whether it gets work.
+    /// Lists the last node under a new name, after its drain has been observed for long enough.
     fn relist(&mut self) {
         if let Some(drain) = self.terms.drains.last() {
-            std::thread::sleep(DRAINS.saturating_sub(drain.since.elapsed()));
+            std::thread::sleep(DRAIN_TIME.saturating_sub(drain.since.elapsed()));
         }
         self.renamed += 1;
         if let Some(drain) = self.terms.drains.last_mut() {
@@ -293,8 +297,8 @@
         self.registry.set_list(list(&self.nodes, self.renamed, "active"));
     }
 
-    /// The trouble of the last machine is over.
-    fn over(&mut self, now: Instant) {
+    /// Ends the last recorded trouble.
+    fn end_trouble(&mut self, now: Instant) {
         if let Some(trouble) = self.terms.troubles.last_mut() {
             trouble.to = Some(now);
         }
@@ -310,7 +314,7 @@
     }
 }
 
-/// The list of nodes: a shard for the first, and one that the others hold together.
+/// Returns the node list: the first node has a shard of its own, the others share one.
 fn list(nodes: &[std::net::SocketAddr], renamed: usize, last: &'static str) -> Vec<ListedNode> {
     let listed = |(at, address): (usize, &std::net::SocketAddr)| {
         let is_last = at == nodes.len() - 1;
@@ -325,14 +329,14 @@
     nodes.iter().enumerate().map(listed).collect()
 }
 
-fn until<T>(what: &str, mut found: impl FnMut() -> Option<T>) -> Result<T, String> {
+fn wait_until<T>(what: &str, mut found: impl FnMut() -> Option<T>) -> Result<T, String> {
     let start = Instant::now();
     loop {
         if let Some(found) = found() {
             return Ok(found);
         }
-        if start.elapsed() > PATIENCE {
-            return Err(format!("never came true: {what}"));
+        if start.elapsed() > WAIT_TIMEOUT {
+            return Err(format!("timed out waiting until {what}"));
         }
         std::thread::sleep(Duration::from_millis(2));
     }
