--- a/lab/src/planners/world.rs
+++ b/lab/src/planners/world.rs
@@ -128,7 +128,7 @@
     store: Store,
     incarnation: u64,
     /// Until when it does not run; the flag is true after a crash, false if it is stopped.
-    down_until: Option<(Duration, bool)>,
+    downtime: Option<(Duration, bool)>,
     volumes: Vec<Volume>,
     next_report: Duration,
     /// The planner it reports to, and when it took the last plan.
@@ -141,7 +141,7 @@
     clock: Clock,
     /// The planner's state while it leads.
     planner: Option<Planner>,
-    down_until: Option<Duration>,
+    downtime: Option<Duration>,
     started: u64,
 }
 
@@ -202,7 +202,7 @@
                     store: Store::new(ForwarderId(at as u64 + 1), 1, 1, long_ago),
                     clock,
                     incarnation: 1,
-                    down_until: None,
+                    downtime: None,
                     volumes: (0..scenario.volumes).map(|_| Volume::new(scenario.forwarders)).collect(),
                     next_report: Duration::from_millis(at as u64 * 7 % 100),
                     planner: 0,
@@ -215,7 +215,7 @@
             .map(|_| PlannerProcess {
                 clock: clock(scenario.faults),
                 planner: None,
-                down_until: None,
+                downtime: None,
                 started: 0,
             })
             .collect();
@@ -270,14 +270,14 @@
 
     fn inject_faults(&mut self) {
         for at in 0..self.forwarders.len() {
-            if self.forwarders[at].down_until.is_none() {
+            if self.forwarders[at].downtime.is_none() {
                 if self.chance(1.0) {
                     let until = self.now + self.random_duration(0.05, 8.0);
-                    self.forwarders[at].down_until = Some((until, true));
+                    self.forwarders[at].downtime = Some((until, true));
                     self.outcome.faults += 1;
                 } else if self.chance(1.5) {
                     let until = self.now + self.random_duration(0.05, 5.0);
-                    self.forwarders[at].down_until = Some((until, false));
+                    self.forwarders[at].downtime = Some((until, false));
                     self.outcome.faults += 1;
                 }
             }
@@ -291,9 +291,9 @@
         for at in 0..self.planner_processes.len() {
             if self.chance(2.0) {
                 self.planner_processes[at].planner = None;
-                self.planner_processes[at].down_until = Some(self.now + self.random_duration(0.05, 4.0));
+                self.planner_processes[at].downtime = Some(self.now + self.random_duration(0.05, 4.0));
                 self.outcome.faults += 1;
-            } else if self.planner_processes[at].down_until.is_none() && self.chance(3.0) {
+            } else if self.planner_processes[at].downtime.is_none() && self.chance(3.0) {
                 // The previous leader may not learn of it, and continues.
                 self.start_leading(at);
                 self.outcome.faults += 1;
@@ -308,15 +308,15 @@
         let Some((from, to)) = self.scenario.outage else { return };
         if self.now >= from && self.now < to {
             for process in &mut self.planner_processes {
-                (process.planner, process.down_until) = (None, Some(to));
+                (process.planner, process.downtime) = (None, Some(to));
             }
         }
     }
 
     fn restart(&mut self) {
         for at in 0..self.planner_processes.len() {
-            if self.planner_processes[at].down_until.is_some_and(|until| until <= self.now) {
-                self.planner_processes[at].down_until = None;
+            if self.planner_processes[at].downtime.is_some_and(|until| until <= self.now) {
+                self.planner_processes[at].downtime = None;
                 if self.planner_processes.iter().all(|process| process.planner.is_none()) {
                     self.start_leading(at);
                 }
@@ -324,10 +324,8 @@
         }
         for at in 0..self.forwarders.len() {
             let forwarder = &mut self.forwarders[at];
-            let Some((_, crashed)) = forwarder.down_until.filter(|(until, _)| *until <= self.now) else {
-                continue;
-            };
-            forwarder.down_until = None;
+            let Some((_, crashed)) = forwarder.downtime.filter(|(end, _)| *end <= self.now) else { continue };
+            forwarder.downtime = None;
             if crashed {
                 forwarder.incarnation += 1;
                 let start = forwarder.clock.at(self.now);
@@ -420,7 +418,7 @@
         for (volume, (leader, _)) in self.leaders.iter().enumerate() {
             let part = if *leader == at { 0.85 } else { 0.15 / (count - 1).max(1) as f64 };
             let units = scenario.load * RATE * part * step;
-            if self.forwarders[at].down_until.is_none() {
+            if self.forwarders[at].downtime.is_none() {
                 self.outcome.demanded += units;
                 let own = &mut self.forwarders[at].volumes[volume];
                 own.waiting = (own.waiting + units).min(units / step * MAX_WAIT_S + f64::from(LARGEST));
@@ -428,7 +426,7 @@
             }
         }
         let forwarder = &mut self.forwarders[at];
-        if forwarder.down_until.is_some() {
+        if forwarder.downtime.is_some() {
             return;
         }
         let own = forwarder.clock.at(now);
@@ -485,7 +483,7 @@
                 own.share = after;
                 own.level = (own.level + RATE * before.min(after) * STEP.as_secs_f64()).min(BURST * after);
                 // A machine that does not run uses nothing.
-                if forwarder.down_until.is_none() {
+                if forwarder.downtime.is_none() {
                     sum += u64::from(share.0);
                 }
             }
@@ -502,7 +500,7 @@
             let first = self.random.random_range(0..count);
             for offset in 0..count {
                 let forwarder = &mut self.forwarders[(first + offset) % count];
-                if forwarder.down_until.is_some() {
+                if forwarder.downtime.is_some() {
                     continue;
                 }
                 let own = &mut forwarder.volumes[volume];
