--- a/lab/src/planners/world.rs
+++ b/lab/src/planners/world.rs
@@ -164,8 +164,8 @@
     cut_until: Vec<Vec<Duration>>,
     /// The forwarder with most of the load of each volume, and until when.
     leaders: Vec<(usize, Duration)>,
-    /// By volume: a bucket that overflows if a window exceeds the limit, the oracle's token bucket, and the units sent in
-    /// this second.
+    /// By volume: a bucket that overflows if a window exceeds the limit, the oracle's token bucket, and the units sent
+    /// in this second.
     buckets: Vec<f64>,
     oracle: Vec<f64>,
     second: Vec<f64>,
--- a/lab/src/settings/check.rs
+++ b/lab/src/settings/check.rs
@@ -17,7 +17,7 @@
     pub at: Duration,
     /// The request.
     pub new: NewRequest,
-    /// Where its answer goes.
+    /// The client connection that receives the answer.
     pub origin: Origin,
 }
 
--- a/lab/src/stand_ins/machines.rs
+++ b/lab/src/stand_ins/machines.rs
@@ -30,9 +30,9 @@
     pub name: String,
     /// The seeds, which may bootstrap the fleet, with their relay addresses.
     pub seeds: Vec<(String, SocketAddr)>,
-    /// Interval of probes, and the time limit of their answers.
+    /// Interval of probes.
     pub period: Duration,
-    /// Likewise.
+    /// Time limit of the answer to a probe.
     pub answer: Duration,
 }
 
@@ -55,9 +55,9 @@
     pub limit: f64,
 }
 
-/// Burst of a volume of plan `base` in units, and by how much it may be overdrawn.
+/// Burst of a volume of plan `base`, in units.
 pub const BURST: f64 = 48.0;
-/// Likewise.
+/// By how much a volume of plan `base` may be overdrawn, in units.
 pub const OVERDRAFT: f64 = 8.0;
 
 /// A machine, running or not. Dropping it kills its process.
