--- a/lab/src/capacity/members_adapter.rs
+++ b/lab/src/capacity/members_adapter.rs
@@ -1,6 +1,6 @@
 //! Adapter for the simulation of membership: all uses of it by this subcommand.
 
-use crate::membership::world::{Terms, World};
+use crate::membership::world::{Settings, Simulation};
 use std::time::Duration;
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -9,7 +9,7 @@
 
 /// A simulated fleet whose members share one view.
 pub struct Members {
-    world: World,
+    world: Simulation,
 }
 
 /// Traffic within a period of virtual time, summed over all members.
@@ -24,7 +24,7 @@
 impl Members {
     /// Starts `size` members and runs until all share one view that contains all. Fails after a timeout.
     pub fn start(size: usize, seed: u64) -> Result<Members, String> {
-        let mut world = World::new(Terms::default(), size, seed);
+        let mut world = Simulation::new(Settings::default(), size, seed);
         for _ in 0..TIMEOUT_S {
             world.run(world.now + SECOND);
             if world.is_settled() {
--- a/lab/src/check.rs
+++ b/lab/src/check.rs
@@ -1,7 +1,7 @@
 //! Checks of the rules on the records of clients, nodes and the experiment, independent of the program's
 //! implementation.
 
-use crate::stand_ins::clients::{Item, Told};
+use crate::stand_ins::clients::{RequestEnd, SentRequest};
 use crate::stand_ins::service::Attempt;
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap};
@@ -81,7 +81,7 @@
 }
 
 /// Counts the rules that a run broke.
-pub fn check(items: &[Item], attempts: &[Attempt], conditions: &Conditions) -> Breaches {
+pub fn check(items: &[SentRequest], attempts: &[Attempt], conditions: &Conditions) -> Breaches {
     Breaches {
         duplicates: items.iter().filter(|item| item.answers > 1).count(),
         orphans: items.iter().filter(|item| is_orphan(item, &conditions.outages)).count(),
@@ -92,14 +92,14 @@
 }
 
 /// Whether an item was accepted by an initiator and got no answer although the initiator had no outage meanwhile.
-pub fn is_orphan(item: &Item, outages: &[Outage]) -> bool {
+pub fn is_orphan(item: &SentRequest, outages: &[Outage]) -> bool {
     let Some(initiator) = item.machine else { return false };
     let in_outage = |outage: &Outage| {
         outage.initiator == initiator
             && outage.from <= item.ended
             && outage.to.is_none_or(|to| item.sent <= to)
     };
-    matches!(item.told, Told::Closed | Told::Nothing) && !outages.iter().any(in_outage)
+    matches!(item.end, RequestEnd::Closed | RequestEnd::TimedOut) && !outages.iter().any(in_outage)
 }
 
 fn is_late(attempt: &Attempt, drains: &[Drain]) -> bool {
@@ -118,7 +118,7 @@
     let mut volumes: BTreeMap<&str, Vec<(Instant, f64)>> = BTreeMap::new();
     for attempt in attempts.iter().filter(|attempt| attempt.plan == "base") {
         // Only an item's first attempt consumes units.
-        if first.insert(&attempt.item, attempt.at).is_none() {
+        if first.insert(&attempt.request_id, attempt.at).is_none() {
             volumes.entry(&attempt.volume).or_default().push((attempt.at, attempt.units));
         }
     }
@@ -144,7 +144,7 @@
     attempts
         .iter()
         .filter(|attempt| {
-            let count = sent.entry(&attempt.item).or_default();
+            let count = sent.entry(&attempt.request_id).or_default();
             *count += 1;
             let allowed = if attempt.class == "append" { 1 } else { 4 };
             *count > allowed
--- a/lab/src/drains.rs
+++ b/lab/src/drains.rs
@@ -4,8 +4,8 @@
 
 use crate::arguments::Common;
 use crate::load::configuration;
-use crate::stand_ins::service::{node, Attempts, Listed, Registry};
-use crate::vrrp::experiments::spread;
+use crate::stand_ins::service::{node, Attempts, ListedNode, Registry};
+use crate::vrrp::experiments::percentiles_ms;
 use serde_json::{json, Map};
 use std::io::{Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
@@ -98,13 +98,13 @@
     }
 }
 
-fn list(nodes: &[SocketAddr], generation: usize, leaving: Option<usize>) -> Vec<Listed> {
-    let entry = |(at, address): (usize, &SocketAddr)| Listed {
+fn list(nodes: &[SocketAddr], generation: usize, leaving: Option<usize>) -> Vec<ListedNode> {
+    let entry = |(at, address): (usize, &SocketAddr)| ListedNode {
         name: format!("s-{at}-{generation}"),
         address: *address,
         shard: SHARDS[at],
         status: if leaving == Some(at) { "leaving" } else { "active" },
-        cold: false,
+        in_slow_start: false,
     };
     nodes.iter().enumerate().map(entry).collect()
 }
@@ -148,7 +148,7 @@
         for repeat in 0..repeats {
             for (victim, times) in [(VICTIMS[0], &mut others), (VICTIMS[1], &mut last)] {
                 let announced = Instant::now();
-                discovery.tell(list(&nodes, repeat, Some(victim)));
+                discovery.set_list(list(&nodes, repeat, Some(victim)));
                 thread::sleep(GRACE * 2);
                 let attempts = crate::sync::lock(&attempts);
                 // Nodes record concurrently, so that attempts are not strictly in order of time.
@@ -157,7 +157,7 @@
                 times.push(at.unwrap_or_default());
                 drop(attempts);
                 // The node is listed again under another name.
-                discovery.tell(list(&nodes, repeat + 1, None));
+                discovery.set_list(list(&nodes, repeat + 1, None));
                 thread::sleep(Duration::from_millis(300));
             }
         }
@@ -165,7 +165,7 @@
         stop.store(true, Ordering::Relaxed);
         (others, last, after.0 - calls.0, after.1 - calls.1, time)
     });
-    let (others_spread, last_spread) = (spread(&others), spread(&last));
+    let (others_spread, last_spread) = (percentiles_ms(&others), percentiles_ms(&last));
     let (calls, lines) = (call_count as f64 / time, lines as f64 / time);
     let attempts = crate::sync::lock(&attempts);
     let count = attempts.len();
@@ -174,10 +174,7 @@
         return Err(format!("a node received {min:?} attempts: too few for a result"));
     }
     let late = others.iter().chain(&last).filter(|at| **at > GRACE + TOLERANCE).count();
-    println!(
-        "from the announcement to the last attempt, ms: others hold the shard p50 {:.1} p99 {:.1} max {:.1}; the last of its shard p50 {:.1} p99 {:.1} max {:.1}; beyond the grace {late}",
-        others_spread[0], others_spread[1], others_spread[2], last_spread[0], last_spread[1], last_spread[2]
-    );
+    println!("from the announcement to the last attempt, ms: others hold the shard p50 {:.1} p99 {:.1} max {:.1}; the last of its shard p50 {:.1} p99 {:.1} max {:.1}; beyond the grace {late}", others_spread[0], others_spread[1], others_spread[2], last_spread[0], last_spread[1], last_spread[2]);
     println!("{count} attempts");
     println!("discovery: {calls:.2} calls and {lines:.1} lines a second of {INITIATORS} initiators, {} changes in {time:.0} s", 4 * repeats);
     let mut report = Map::new();
--- a/lab/src/load.rs
+++ b/lab/src/load.rs
@@ -4,7 +4,7 @@
 
 use crate::arguments::Common;
 use crate::stand_ins::nodes::{Nodes, VALUE};
-use crate::stand_ins::service::{Listed, Registry};
+use crate::stand_ins::service::{ListedNode, Registry};
 use hdrhistogram::Histogram;
 use mio::net::TcpStream;
 use mio::{Events, Interest, Poll, Token};
@@ -136,13 +136,7 @@
             for (at, (build, program)) in builds.iter().enumerate() {
                 let outcome = run_workload(program, &workload, time, options.common.seed + repeat as u64)?;
                 let in_time = outcome.in_time as f64 / outcome.sent.max(1) as f64;
-                println!(
-                    "{:12} {build:8} cpu/request {:7.1} us  in time {in_time:.3}  p50 {} us  p99 {} us  {outcome:?}",
-                    workload.name,
-                    outcome.cost(),
-                    outcome.p50,
-                    outcome.p99
-                );
+                println!("{:12} {build:8} cpu/request {:7.1} us  in time {in_time:.3}  p50 {} us  p99 {} us  {outcome:?}", workload.name, outcome.cost(), outcome.p50, outcome.p99);
                 costs[at].push(outcome.cost());
                 report.insert(
                     format!("{}_{build}_{repeat}", workload.name),
@@ -227,12 +221,12 @@
     let error_text = |error: std::io::Error| error.to_string();
     let ip = Ipv4Addr::new(127, 130, std::process::id() as u8, 1);
     let nodes = Nodes::start(ip, workload.nodes, workload.service_time).map_err(error_text)?;
-    let entries = nodes.addresses.iter().enumerate().map(|(number, address)| Listed {
+    let entries = nodes.addresses.iter().enumerate().map(|(number, address)| ListedNode {
         name: format!("s-{number}"),
         address: *address,
         shard: number as u32,
         status: "active",
-        cold: false,
+        in_slow_start: false,
     });
     let discovery = Registry::start(ip, entries.collect()).map_err(error_text)?;
     let listen = TcpListener::bind((ip, 0)).and_then(|free| free.local_addr()).map_err(error_text)?;
