--- a/lab/src/hollow/initiator.rs
+++ b/lab/src/hollow/initiator.rs
@@ -77,8 +77,9 @@
             tokens,
         );
         let scheduler = Planner::new(settings, config.seed, clock);
-        let polling = PollingPolicy::new(&config.settings, config.seed);
-        let discovery = Discovery::new(config.discovery, tokens.next(Kind::Discovery), now, None, polling);
+        let polling_policy = PollingPolicy::new(&config.settings, config.seed);
+        let discovery =
+            Discovery::new(config.discovery, tokens.next(Kind::Discovery), now, None, polling_policy);
         let fleet_token = tokens.next(Kind::Upgrade);
         let fleet_config = config.fleet.as_ref().ok_or("the configuration has no fleet section")?;
         let time_and_seed = (clock.unix(now), config.seed);
--- a/lab/src/hollow/rig.rs
+++ b/lab/src/hollow/rig.rs
@@ -9,7 +9,7 @@
 use super::relay::{Relay, Route};
 use super::switch::Switch;
 use super::{combine_lateness, memory_mb, Cut, Requests, Sizes, REGIONS};
-use crate::stand_ins::clients::{Clients, Destination as ClientRoute, Load, RequestEnd, SentRequest};
+use crate::stand_ins::clients::{Clients, Destination, Load, RequestEnd, SentRequest};
 use crate::stand_ins::service::{node, Attempts};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
@@ -226,7 +226,7 @@
             shards: self.sizes.alive as u64,
         };
         for real in self.real.iter().filter(|real| serving.contains(&real.who)) {
-            let route = ClientRoute::Direct(real.listen, real.who);
+            let route = Destination::Direct(real.listen, real.who);
             self.clients.push(Clients::start(route, load, Arc::new(|_| 1.0), client_seed(real.who)));
         }
     }
--- a/lab/src/planners/processes.rs
+++ b/lab/src/planners/processes.rs
@@ -19,7 +19,7 @@
 const PLANNERS: usize = 3;
 /// Limit of a volume of plan `base` in units a second, and the prices of its units; they match the machines' settings.
 const LIMIT: f64 = 80.0;
-const PRICES: Entitlement = Entitlement { reserve: 20.0, share: 40.0 };
+const ENTITLEMENT: Entitlement = Entitlement { reserve: 20.0, share: 40.0 };
 /// Requests a second of the forwarder with most of the load, which wants three times its even share. The others send an
 /// eighth of it, so that all together want about the limit.
 const LEADER_RATE: f64 = 24.0;
@@ -150,12 +150,12 @@
     let end = Instant::now();
     let requests: Vec<SentRequest> = clients.into_iter().flat_map(Clients::end).collect();
     let attempts = attempts.lock().map_err(|_| std::io::Error::other("a node's thread panicked"))?;
-    let terms = Conditions { limit: (LIMIT, BURST + OVERDRAFT), drains, outages: Vec::new() };
+    let conditions = Conditions { limit: (LIMIT, BURST + OVERDRAFT), drains, outages: Vec::new() };
     // The grants in force expire within the first second of the outage, and new ones take as long after it.
     let pause = Duration::from_secs(2);
     let between = |from, to| worth(&attempts, from, to);
     Ok(Outcome {
-        breaches: check(&requests, &attempts, &terms),
+        breaches: check(&requests, &attempts, &conditions),
         ended: requests.iter().filter(|request| is_ended_by(request, killed)).count(),
         worth: [between(start + START_UP, killed), between(killed, back), between(back + pause, end)],
         sent: requests.len(),
@@ -175,7 +175,7 @@
     for attempt in attempts.iter().filter(|it| it.plan == "base" && it.at >= from && it.at < to) {
         *seconds.entry((&attempt.volume, (attempt.at - from).as_secs())).or_default() += attempt.units;
     }
-    seconds.values().map(|units| PRICES.worth(*units)).sum::<f64>() / (to - from).as_secs_f64()
+    seconds.values().map(|units| ENTITLEMENT.worth(*units)).sum::<f64>() / (to - from).as_secs_f64()
 }
 
 fn list(nodes: &[SocketAddr], last: &'static str) -> Vec<ListedNode> {
--- a/lab/src/vrrp/takeover.rs
+++ b/lab/src/vrrp/takeover.rs
@@ -89,7 +89,7 @@
     nodes: Vec<std::net::SocketAddr>,
     attempts: Attempts,
     clients: Clients,
-    terms: Conditions,
+    conditions: Conditions,
     /// How often the last node was listed under a new name.
     renamed: usize,
 }
@@ -117,7 +117,7 @@
         .iter()
         .filter(|request| request.end == crate::stand_ins::clients::RequestEnd::Served)
         .count();
-    let breaches = check(&requests, &attempts, &experiment.terms);
+    let breaches = check(&requests, &attempts, &experiment.conditions);
     Ok(Outcome { gaps, min_gap: 3 * plan.interval + skew, skew, breaches, sent: requests.len(), served })
 }
 
@@ -161,8 +161,8 @@
         let load = Load { rate: 200.0, initiators: 1, limited: plan.limited, volumes: 2, shards: 2 };
         let clients =
             Clients::start(Destination::Segment(segment.clone()), load, Arc::new(|_| 1.0), plan.seed);
-        let terms = Conditions { limit: (LIMIT, BURST + OVERDRAFT), ..Conditions::default() };
-        Ok(Experiment { plan, segment, machines, registry, nodes, attempts, clients, terms, renamed: 0 })
+        let conditions = Conditions { limit: (LIMIT, BURST + OVERDRAFT), ..Conditions::default() };
+        Ok(Experiment { plan, segment, machines, registry, nodes, attempts, clients, conditions, renamed: 0 })
     }
 
     /// Waits until the first machine has served for a while.
@@ -177,11 +177,11 @@
     fn kill(&mut self) -> Result<Vec<(Kind, Duration)>, String> {
         let killed = Instant::now();
         self.drain();
-        self.terms.outages.push(Outage { initiator: 0, from: killed, to: None });
+        self.conditions.outages.push(Outage { initiator: 0, from: killed, to: None });
         self.machines[0].kill();
         let gap = self.wait_for_gap(1, killed)?;
         let back = Instant::now();
-        self.end_trouble(back);
+        self.end_outage(back);
         self.machines[0].start().map_err(|error| error.to_string())?;
         let returned = self.wait_for_gap(0, back)?;
         self.relist();
@@ -191,14 +191,14 @@
     fn freeze(&mut self) -> Result<Vec<(Kind, Duration)>, String> {
         let stopped = Instant::now();
         self.drain();
-        self.terms.outages.push(Outage { initiator: 0, from: stopped, to: None });
+        self.conditions.outages.push(Outage { initiator: 0, from: stopped, to: None });
         self.machines[0].signal("STOP");
         let gap = self.wait_for_gap(1, stopped)?;
         // When it continues some intervals after the takeover, it still considers itself Active.
         std::thread::sleep(4 * self.plan.interval);
         self.machines[0].signal("CONT");
         let back = Instant::now();
-        self.end_trouble(back);
+        self.end_outage(back);
         self.wait_until_served(0, back)?;
         self.relist();
         std::thread::sleep(Duration::from_millis(300));
@@ -282,25 +282,25 @@
     /// Lists the last node as leaving.
     fn drain(&mut self) {
         self.registry.set_list(list(&self.nodes, self.renamed, "leaving"));
-        self.terms.drains.push(Drain { node: NODES - 1, since: Instant::now(), until: None });
+        self.conditions.drains.push(Drain { node: NODES - 1, since: Instant::now(), until: None });
     }
 
     /// Lists the last node under a new name, after its drain has been observed for long enough.
     fn relist(&mut self) {
-        if let Some(drain) = self.terms.drains.last() {
+        if let Some(drain) = self.conditions.drains.last() {
             std::thread::sleep(DRAIN_TIME.saturating_sub(drain.since.elapsed()));
         }
         self.renamed += 1;
-        if let Some(drain) = self.terms.drains.last_mut() {
+        if let Some(drain) = self.conditions.drains.last_mut() {
             drain.until = Some(Instant::now());
         }
         self.registry.set_list(list(&self.nodes, self.renamed, "active"));
     }
 
-    /// Ends the last recorded trouble.
-    fn end_trouble(&mut self, now: Instant) {
-        if let Some(trouble) = self.terms.outages.last_mut() {
-            trouble.to = Some(now);
+    /// Ends the last recorded outage.
+    fn end_outage(&mut self, now: Instant) {
+        if let Some(outage) = self.conditions.outages.last_mut() {
+            outage.to = Some(now);
         }
     }
 
--- a/src/forwarder/budget.rs
+++ b/src/forwarder/budget.rs
@@ -35,16 +35,16 @@
 ) -> (usize, ClientLimits) {
     let sockets = config.sockets.saturating_sub(descriptors);
     let for_targets = (sockets as f64 * TARGET_DESCRIPTOR_SHARE) as usize;
-    let crowd = (sockets as f64 * REJECTED_CLIENT_DESCRIPTOR_SHARE) as usize;
+    let overflow = (sockets as f64 * REJECTED_CLIENT_DESCRIPTOR_SHARE) as usize;
     let more = OTHER_DESCRIPTORS
         + if config.iscsi.is_some() { MAX_ISCSI_SESSIONS } else { 0 }
         + if config.control.is_some() { endpoint::DESCRIPTORS } else { 0 };
     // With a low limit the capacity for clients gets small, but never zero.
-    let clients = sockets.saturating_sub(for_targets + 2 * crowd + more).max(MAX_ISCSI_SESSIONS / 4);
-    let easy = (sockets as f64 * IDLE_CLIENT_DESCRIPTOR_SHARE) as usize;
+    let clients = sockets.saturating_sub(for_targets + 2 * overflow + more).max(MAX_ISCSI_SESSIONS / 4);
+    let evict_idle_above = (sockets as f64 * IDLE_CLIENT_DESCRIPTOR_SHARE) as usize;
     let bytes = config.memory.saturating_sub(bytes) / CLIENT_MEMORY_DIVISOR;
     (
         for_targets.max(MAX_ISCSI_SESSIONS / 4),
-        ClientLimits { evict_idle_above: easy, clients, overflow: crowd, lingering: crowd, bytes },
+        ClientLimits { evict_idle_above, clients, overflow, lingering: overflow, bytes },
     )
 }
--- a/src/forwarder/effects.rs
+++ b/src/forwarder/effects.rs
@@ -63,10 +63,10 @@
     pub(super) fn relay_transfers(&mut self, now: Instant) {
         for attempt in self.targets.blocked_on_client() {
             let Some(origin) = self.core.stream_origin(attempt) else { continue };
-            let room = self.resp.answer_capacity(origin);
+            let capacity = self.resp.answer_capacity(origin);
             // Avoids many small reads.
-            if room >= WINDOW / 2 {
-                self.targets.grant_credit(now, attempt, room);
+            if capacity >= WINDOW / 2 {
+                self.targets.grant_credit(now, attempt, capacity);
             }
         }
         // Data read with the new credit has to be relayed before the attempts' ends are handled.
--- a/src/forwarder/mod.rs
+++ b/src/forwarder/mod.rs
@@ -110,28 +110,28 @@
     pub fn run(&mut self) -> std::io::Result<()> {
         let mut ready = Readiness::new();
         self.run_planner(Instant::now());
-        let mut pace = LoopTiming::new(self.config.settings.tick, self.config.cores, Instant::now());
+        let mut loop_timing = LoopTiming::new(self.config.settings.tick, self.config.cores, Instant::now());
         loop {
             let now = Instant::now();
             let due = self.next_timer(now);
-            let pause = pace.iteration_done(now);
+            let pause = loop_timing.iteration_done(now);
             if !pause.is_zero() {
                 let begun = Instant::now();
                 std::thread::sleep(pause);
-                pace.paused(begun.elapsed());
+                loop_timing.paused(begun.elapsed());
             }
             let wait = due.saturating_duration_since(Instant::now());
             match ready.wait(&mut self.poll, wait) {
                 Err(error) if error.kind() == std::io::ErrorKind::Interrupted => {
-                    pace.interrupted();
+                    loop_timing.interrupted();
                     continue;
                 }
                 other => other?,
             }
             let now = Instant::now();
             self.loop_stats.begin(now);
-            let late = pace.wait_done(now);
-            let stopped = pace.may_have_been_stopped(now);
+            let late = loop_timing.wait_done(now);
+            let stopped = loop_timing.may_have_been_stopped(now);
             if stopped {
                 // Events may have arrived after the wait: they have to be handled before the timers that are due by
                 // now.
@@ -139,7 +139,7 @@
             }
             self.core.set_lateness(late);
             self.report_loop(now);
-            self.arrived_since = now.checked_sub(pace.max_queued()).unwrap_or(now);
+            self.arrived_since = now.checked_sub(loop_timing.max_queued()).unwrap_or(now);
             self.resp.begin_iteration(self.arrived_since, stopped);
             self.iscsi.iter_mut().for_each(|front| front.begin_iteration(self.arrived_since, stopped));
             self.answer_overdue_requests(now);
@@ -220,7 +220,8 @@
         Ok(())
     }
 
-    /// Runs fleet membership. A process that was suspended or is short of processor time suspects itself first.
+    /// Runs fleet membership. A process that was suspended or is short of processor time lowers its own local health
+    /// before it suspects other members.
     fn run_fleet(&mut self, now: Instant, late: Duration) {
         if self.rejoin_fleet_at.take_if(|at| *at <= now).is_some() {
             if let Err(why) = self.join_fleet(now, None) {
@@ -281,8 +282,8 @@
     /// Passes the service state on to the fronts.
     fn publish_service_state(&mut self) {
         let policy = self.state.client_policy();
-        self.resp.set_service_state(policy);
-        self.iscsi.iter_mut().for_each(|front| front.set_service_state(policy));
+        self.resp.set_client_policy(policy);
+        self.iscsi.iter_mut().for_each(|front| front.set_client_policy(policy));
     }
 
     /// Reads the configuration again and applies what can change without a restart. Nothing changes before all files
--- a/src/forwarder/reports.rs
+++ b/src/forwarder/reports.rs
@@ -18,8 +18,8 @@
     "iscsi_accept_queue_drops",
 ];
 
-fn accept_queue_rows(figures: QueueStats, names: [&'static str; 4]) -> [(&'static str, u64); 4] {
-    let values = [figures.length, figures.limit, figures.longest, figures.drops];
+fn accept_queue_rows(stats: QueueStats, names: [&'static str; 4]) -> [(&'static str, u64); 4] {
+    let values = [stats.length, stats.limit, stats.longest, stats.drops];
     std::array::from_fn(|at| (names[at], u64::from(values[at])))
 }
 
--- a/src/forwarder/start.rs
+++ b/src/forwarder/start.rs
@@ -57,7 +57,7 @@
             registered.map(|()| stream).map_err(|error| format!("signal pipe: {error}"))
         };
         let (signal, reload) = (register(signals.end, SIGNAL)?, register(signals.reload, RELOAD)?);
-        let (for_targets, room) = connection_budget(&config, (0, 0));
+        let (for_targets, client_limits) = connection_budget(&config, (0, 0));
         // Clients hold at most a third of the descriptors, one for each request: queued requests take descriptors
         // from later clients.
         let max_queued = config.sockets / QUEUED_DESCRIPTOR_DIVISOR;
@@ -70,26 +70,26 @@
         let iscsi = config.iscsi.clone().map(|offered| {
             offered.storage.iter().for_each(|storage| nodes.add_iscsi(storage));
             let deadlines = settings.classes.iter().map(|class| class.deadline).collect();
-            let room = ClientLimits {
+            let client_limits = ClientLimits {
                 evict_idle_above: MAX_ISCSI_SESSIONS,
                 clients: MAX_ISCSI_SESSIONS,
                 overflow: 0,
                 lingering: MAX_ISCSI_SESSIONS / 4,
-                ..room
+                ..client_limits
             };
             let address = offered.listen;
             let target = iscsi::Target::new(offered, deadlines, retry_after, config.seed);
             open_listener(ListenerAddress::Iscsi(address), address)
                 .and_then(|listener| {
-                    Front::new(target, listener, ISCSI_LISTENER, poll.registry(), clock, room)
+                    Front::new(target, listener, ISCSI_LISTENER, poll.registry(), clock, client_limits)
                 })
                 .map_err(|error| format!("{address}: {error}"))
         });
         let budget = Budget::new(config.memory / LONG_VALUE_MEMORY_DIVISOR);
-        let most_pending = (max_queued / PIPELINE_DIVISOR).clamp(1, MAX_PIPELINED);
-        let resp = resp::Resp { wire, retry_after, max_pending: most_pending, budget: budget.clone() };
+        let max_pending = (max_queued / PIPELINE_DIVISOR).clamp(1, MAX_PIPELINED);
+        let resp = resp::Resp { wire, retry_after, max_pending, budget: budget.clone() };
         let resp = open_listener(ListenerAddress::Resp(config.listen), config.listen)
-            .and_then(|listener| Front::new(resp, listener, LISTENER, poll.registry(), clock, room))
+            .and_then(|listener| Front::new(resp, listener, LISTENER, poll.registry(), clock, client_limits))
             .map_err(|error| format!("{}: {error}", config.listen))?;
         let admin = config.control.map(|address| {
             let admin = open_listener(ListenerAddress::Control(address), address)
--- a/src/forwarder/succession.rs
+++ b/src/forwarder/succession.rs
@@ -142,11 +142,11 @@
 
     /// Applies what the predecessor leaves of the limits.
     pub(super) fn apply_connection_budget(&mut self) {
-        let (for_targets, room) = connection_budget(&self.config, self.predecessor_usage);
+        let (for_targets, client_limits) = connection_budget(&self.config, self.predecessor_usage);
         self.targets.set_max_connections(for_targets);
         self.budget
             .resize(self.config.memory.saturating_sub(self.predecessor_usage.1) / LONG_VALUE_MEMORY_DIVISOR);
-        self.resp.set_limits(room);
+        self.resp.set_limits(client_limits);
     }
 
     /// Advances the shutdown; true once the process can exit. A client whose connection is closed early has no other
--- a/src/front/answers.rs
+++ b/src/front/answers.rs
@@ -82,7 +82,7 @@
     /// Continues with a client that was paused.
     pub fn resume(&mut self, now: Instant, id: usize, core: &mut Core) {
         // While shedding, only the command that has already begun is read on.
-        let shedding = self.service_state.shed_from.is_some_and(|from| from <= now);
+        let shedding = self.client_policy.shed_from.is_some_and(|from| from <= now);
         let Some(client) = self.clients.get(&id) else { return };
         if client.paused && (!shedding || self.protocol.is_receiving_body(&client.session)) {
             self.process_input(now, id, core);
@@ -112,7 +112,7 @@
         // While shedding, clients are closed as soon as they are idle. A redirected client that keeps sending
         // commands is closed after a timeout.
         let shedding =
-            !self.service_state.hand_over && self.service_state.shed_from.is_some_and(|from| from <= now);
+            !self.client_policy.hand_over && self.client_policy.shed_from.is_some_and(|from| from <= now);
         let closes_when_idle =
             shedding && client.conn.input.is_empty() && self.protocol.has_sent_command(&client.session);
         let redirect_expired = client.redirected_since.is_some_and(|since| now - since > SILENCE_TIMEOUT);
--- a/src/front/iscsi.rs
+++ b/src/front/iscsi.rs
@@ -71,7 +71,7 @@
     max_send_segment: usize,
     max_burst: usize,
     tasks: HashMap<u64, Task>,
-    next_seq: u64,
+    next_sequence: u64,
 }
 
 /// A transfer without a status.
@@ -109,7 +109,7 @@
             max_send_segment: DEFAULT_SEGMENT,
             max_burst: MAX_BURST,
             tasks: HashMap::new(),
-            next_seq: 0,
+            next_sequence: 0,
         }
     }
 
@@ -171,8 +171,8 @@
         Ok(length)
     }
 
-    fn write_answer(&self, session: &mut Session, seq: u64, answer: Answer, output: &mut Vec<u8>) {
-        let Some(task) = session.tasks.remove(&seq) else { return };
+    fn write_answer(&self, session: &mut Session, sequence: u64, answer: Answer, output: &mut Vec<u8>) {
+        let Some(task) = session.tasks.remove(&sequence) else { return };
         match answer {
             Answer::Served(_) if task.transfer.write => {
                 session.write_status(&task, scsi::GOOD, 0, Vec::new(), output)
@@ -355,9 +355,9 @@
                     return session.write_sense(&task, sense, output);
                 }
                 if blocks > 0 {
-                    let seq = session.next_seq;
-                    session.next_seq += 1;
-                    return self.request_data_or_submit(session, seq, task, output, intake);
+                    let sequence = session.next_sequence;
+                    session.next_sequence += 1;
+                    return self.request_data_or_submit(session, sequence, task, output, intake);
                 }
                 Vec::new()
             }
@@ -375,7 +375,7 @@
     fn request_data_or_submit(
         &self,
         session: &mut Session,
-        seq: u64,
+        sequence: u64,
         mut task: Task,
         output: &mut Vec<u8>,
         intake: &mut Intake,
@@ -383,24 +383,24 @@
         if task.transfer.write && task.body.len() < task.expected_length {
             let length = (task.expected_length - task.body.len()).min(session.max_burst) as u32;
             let mut r2t = Pdu::new(Opcode::R2t, task.tag)
-                .with(20, seq as u32)
+                .with(20, sequence as u32)
                 .with(24, session.stat_sn)
                 .with(36, task.r2ts)
                 .with(40, task.body.len() as u32)
                 .with(44, length);
             r2t.header[8..16].copy_from_slice(&task.lun);
             task.r2ts += 1;
-            session.tasks.insert(seq, task);
+            session.tasks.insert(sequence, task);
             return session.write(r2t, output);
         }
         let (new, content) = self.build_request(&mut task);
         let timeout = self.class_timeouts[new.class];
         // An id that is in use belongs to the RESP front; the client's retry gets another one. The time counts
         // from the first byte of the last PDU: units are short, and no client states a deadline.
-        match intake.submit((seq, 1), new, timeout, content) {
+        match intake.submit((sequence, 1), new, timeout, content) {
             Ok(request) => {
                 task.request = Some(request);
-                session.tasks.insert(seq, task);
+                session.tasks.insert(sequence, task);
             }
             Err(reason) => {
                 let retry_after =
@@ -458,13 +458,13 @@
         output: &mut Vec<u8>,
         intake: &mut Intake,
     ) -> Result<(), CloseConnection> {
-        let seq = session.tasks.iter().find(|(_, it)| it.tag == pdu.task_tag() && it.request.is_none());
-        let Some(seq) = seq.map(|(seq, _)| *seq) else {
+        let sequence = session.tasks.iter().find(|(_, it)| it.tag == pdu.task_tag() && it.request.is_none());
+        let Some(sequence) = sequence.map(|(sequence, _)| *sequence) else {
             // Data for a task that has ended meanwhile.
             return Ok(());
         };
-        let Some(mut task) = session.tasks.remove(&seq) else { return Ok(()) };
-        let in_order = pdu.u32(20) == seq as u32 && pdu.u32(40) as usize == task.body.len();
+        let Some(mut task) = session.tasks.remove(&sequence) else { return Ok(()) };
+        let in_order = pdu.u32(20) == sequence as u32 && pdu.u32(40) as usize == task.body.len();
         if !in_order || task.body.len() + pdu.data.len() > task.expected_length {
             session.reject(PROTOCOL_ERROR, pdu.header.to_vec(), output);
             session.write_sense(&task, scsi::INVALID_FIELD, output);
@@ -472,9 +472,9 @@
         }
         task.body.extend_from_slice(&pdu.data);
         if pdu.flags() & FINAL == 0 {
-            session.tasks.insert(seq, task);
+            session.tasks.insert(sequence, task);
         } else {
-            self.request_data_or_submit(session, seq, task, output, intake);
+            self.request_data_or_submit(session, sequence, task, output, intake);
         }
         Ok(())
     }
@@ -568,15 +568,15 @@
 
     /// Drops tasks that the client no longer waits for; returns how many.
     fn abort_tasks(&mut self, intake: &mut Intake, selected: impl Fn(&Task) -> bool) -> usize {
-        let seqs: Vec<u64> =
-            self.tasks.iter().filter(|(_, task)| selected(task)).map(|(seq, _)| *seq).collect();
-        for seq in &seqs {
-            let task = self.tasks.remove(seq);
+        let sequences: Vec<u64> =
+            self.tasks.iter().filter(|(_, task)| selected(task)).map(|(sequence, _)| *sequence).collect();
+        for sequence in &sequences {
+            let task = self.tasks.remove(sequence);
             if let Some(request) = task.and_then(|task| task.request) {
                 intake.core.client_gone(request);
             }
         }
-        seqs.len()
+        sequences.len()
     }
 }
 
--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -59,7 +59,7 @@
     clock: Clock,
     limits: ClientLimits,
     /// How the service state (ready, draining, shutting down) affects clients.
-    service_state: ClientPolicy,
+    client_policy: ClientPolicy,
     /// Whether new connections are accepted at the machine's own address.
     accepting: bool,
     /// Number of clients over the limit, which are connected only to be declined with a retry delay.
@@ -105,7 +105,7 @@
         listener.register(token, registry)?;
         let (clients, backlog) = (FxHashMap::default(), VecDeque::new());
         let endpoints = vec![Endpoint { listener: Some(listener), retired: false }];
-        let service_state = ClientPolicy { ready: true, keep_idle: false, shed_from: None, hand_over: false };
+        let client_policy = ClientPolicy { ready: true, keep_idle: false, shed_from: None, hand_over: false };
         let (accepting, next_timeout_check, buffered_bytes) = (true, Instant::now(), 0);
         Ok(Front {
             protocol,
@@ -113,7 +113,7 @@
             clients,
             clock,
             limits,
-            service_state,
+            client_policy,
             accepting,
             overflow_count: 0,
             idle_order: IdleOrder::default(),
@@ -154,11 +154,11 @@
         self.lingering.next_timer(now).map_or(next, |at| at.min(next))
     }
 
-    /// Applies a new service state. After SIGTERM idle clients are kept: new connections go to another process,
+    /// Applies a new client policy. After SIGTERM idle clients are kept: new connections go to another process,
     /// and those that stay open are still used.
-    pub fn set_service_state(&mut self, service_state: ClientPolicy) {
-        self.service_state = service_state;
-        if service_state.shed_from.is_none() {
+    pub fn set_client_policy(&mut self, client_policy: ClientPolicy) {
+        self.client_policy = client_policy;
+        if client_policy.shed_from.is_none() {
             // No longer shedding: resume the clients that were paused by it and are still connected.
             let paused: Vec<usize> =
                 self.clients.iter().filter(|(_, client)| client.paused).map(|(id, _)| *id).collect();
@@ -316,8 +316,8 @@
             (true, _) => Some(Declined::AddressMoved),
             (false, full) => full.then_some(Declined::AtCapacity),
         };
-        let shedding = self.service_state.shed_from.is_some_and(|from| from <= now);
-        let ready = self.service_state.ready;
+        let shedding = self.client_policy.shed_from.is_some_and(|from| from <= now);
+        let ready = self.client_policy.ready;
         let unix = self.clock.unix(now);
         // One client that sends more than all others together must not starve them.
         let mut left = MAX_COMMANDS_PER_ITERATION;
--- a/src/front/protocol.rs
+++ b/src/front/protocol.rs
@@ -29,17 +29,17 @@
         intake: &mut Intake,
     ) -> Result<usize, CloseConnection>;
 
-    /// Writes the final answer to command number `seq` of the connection.
-    fn write_answer(&self, session: &mut Self::Session, seq: u64, answer: Answer, output: &mut Vec<u8>);
+    /// Writes the final answer to command number `sequence` of the connection.
+    fn write_answer(&self, session: &mut Self::Session, sequence: u64, answer: Answer, output: &mut Vec<u8>);
 
-    /// Begins a streamed answer of `_length` bytes to command number `_seq`.
-    fn begin_answer(&self, _: &mut Self::Session, _seq: u64, _length: usize, _output: &mut Vec<u8>) {}
+    /// Begins a streamed answer of `_length` bytes to command number `_sequence`.
+    fn begin_answer(&self, _: &mut Self::Session, _sequence: u64, _length: usize, _output: &mut Vec<u8>) {}
 
     /// Writes the next piece of a streamed answer.
-    fn write_piece(&self, _: &mut Self::Session, _seq: u64, _piece: &[u8], _output: &mut Vec<u8>) {}
+    fn write_piece(&self, _: &mut Self::Session, _sequence: u64, _piece: &[u8], _output: &mut Vec<u8>) {}
 
     /// Ends a streamed answer.
-    fn finish_answer(&self, _: &mut Self::Session, _seq: u64, _output: &mut Vec<u8>) {}
+    fn finish_answer(&self, _: &mut Self::Session, _sequence: u64, _output: &mut Vec<u8>) {}
 
     /// Bytes of answers that are held back until earlier commands are answered.
     fn buffered_answer_bytes(&self, _: &Self::Session) -> usize {
@@ -129,7 +129,7 @@
     /// Why the request was declined. Nothing of it is kept in that case.
     pub fn submit(
         &mut self,
-        (seq, length): (u64, usize),
+        (sequence, length): (u64, usize),
         mut new: NewRequest,
         timeout: Duration,
         content: Content,
@@ -144,7 +144,7 @@
             return Err(Declined::Late);
         }
         new.deadline = arrival + timeout.saturating_sub(ANSWER_MARGIN).max(Duration::from_millis(1));
-        let origin = Origin { conn: self.conn, sequence: seq };
+        let origin = Origin { conn: self.conn, sequence };
         self.core.accept(origin, new, content).ok_or(Declined::IdInUse)
     }
 
--- a/src/front/resp.rs
+++ b/src/front/resp.rs
@@ -31,7 +31,7 @@
 #[derive(Default)]
 pub struct Session {
     pending: VecDeque<Pending>,
-    next_seq: u64,
+    next_sequence: u64,
     /// Whether any of its commands was a request.
     request_received: bool,
     /// The body that is being received; it belongs to the last command.
@@ -40,7 +40,7 @@
 
 #[derive(Default)]
 struct Pending {
-    seq: u64,
+    sequence: u64,
     request: Option<RequestId>,
     answer: Option<Vec<u8>>,
     /// The answer is being streamed: more of it follows.
@@ -48,10 +48,10 @@
 }
 
 struct Receiving {
-    seq: u64,
+    sequence: u64,
     /// When the head of the command was received.
     head_received_at: Duration,
-    flow: BodyStream,
+    body_stream: BodyStream,
     timeout: Duration,
     /// The request, until it is submitted.
     unsubmitted: Option<Box<(NewRequest, Content)>>,
@@ -77,7 +77,7 @@
         if self.is_blocked(session) {
             return Ok(0);
         }
-        let seq = session.next_seq;
+        let sequence = session.next_sequence;
         let (length, request, answer) = match self.parse(input) {
             Ok(None) => match resp::parse_head(input, PUT_ELEMENTS - 1, MAX_VALUE_BYTES) {
                 Ok(Some(head)) if head.elements == PUT_ELEMENTS => {
@@ -101,7 +101,7 @@
                 }
                 Ok(Command::Request { new, timeout, content }) => {
                     session.request_received = true;
-                    match intake.submit((seq, length), new, timeout, *content) {
+                    match intake.submit((sequence, length), new, timeout, *content) {
                         Ok(request) => (Some(length), Some(request), None),
                         Err(reason) => (Some(length), None, Some(self.decline_answer(reason))),
                     }
@@ -114,18 +114,21 @@
             },
             Err(reason) => (None, None, Some(error_line(&format!("Protocol error: {reason}")))),
         };
-        session.next_seq += 1;
-        session.pending.push_back(Pending { seq, request, answer, unfinished: false });
+        session.next_sequence += 1;
+        session.pending.push_back(Pending { sequence, request, answer, unfinished: false });
         session.write_ready_answers(output);
         length.ok_or(CloseConnection)
     }
 
-    fn write_answer(&self, session: &mut Session, seq: u64, answer: Answer, output: &mut Vec<u8>) {
-        if let Some(receiving) = session.receiving.as_mut().filter(|receiving| receiving.seq == seq) {
+    fn write_answer(&self, session: &mut Session, sequence: u64, answer: Answer, output: &mut Vec<u8>) {
+        if let Some(receiving) = session.receiving.as_mut().filter(|receiving| receiving.sequence == sequence)
+        {
             // The request was answered before its body was complete: the rest is discarded.
-            receiving.flow.discard();
+            receiving.body_stream.discard();
         }
-        let Some(pending) = session.pending.iter_mut().find(|pending| pending.seq == seq) else { return };
+        let Some(pending) = session.pending.iter_mut().find(|pending| pending.sequence == sequence) else {
+            return;
+        };
         pending.answer = Some(match answer {
             Answer::Served(value) => {
                 let mut text = Vec::with_capacity(value.len() + 16);
@@ -143,30 +146,30 @@
     }
 
     fn has_sent_command(&self, session: &Session) -> bool {
-        session.next_seq > 0
+        session.next_sequence > 0
     }
 
     fn has_sent_request(&self, session: &Session) -> bool {
         session.request_received
     }
 
-    fn begin_answer(&self, session: &mut Session, seq: u64, length: usize, output: &mut Vec<u8>) {
-        if let Some(pending) = session.pending.iter_mut().find(|pending| pending.seq == seq) {
+    fn begin_answer(&self, session: &mut Session, sequence: u64, length: usize, output: &mut Vec<u8>) {
+        if let Some(pending) = session.pending.iter_mut().find(|pending| pending.sequence == sequence) {
             pending.answer = Some(format!("${length}\r\n").into_bytes());
             pending.unfinished = true;
         }
         session.write_ready_answers(output);
     }
 
-    fn write_piece(&self, session: &mut Session, seq: u64, piece: &[u8], output: &mut Vec<u8>) {
-        if let Some(pending) = session.pending.iter_mut().find(|pending| pending.seq == seq) {
+    fn write_piece(&self, session: &mut Session, sequence: u64, piece: &[u8], output: &mut Vec<u8>) {
+        if let Some(pending) = session.pending.iter_mut().find(|pending| pending.sequence == sequence) {
             pending.answer.get_or_insert_default().extend_from_slice(piece);
         }
         session.write_ready_answers(output);
     }
 
-    fn finish_answer(&self, session: &mut Session, seq: u64, output: &mut Vec<u8>) {
-        if let Some(pending) = session.pending.iter_mut().find(|pending| pending.seq == seq) {
+    fn finish_answer(&self, session: &mut Session, sequence: u64, output: &mut Vec<u8>) {
+        if let Some(pending) = session.pending.iter_mut().find(|pending| pending.sequence == sequence) {
             pending.answer.get_or_insert_default().extend_from_slice(b"\r\n");
             pending.unfinished = false;
         }
@@ -183,7 +186,9 @@
     }
 
     fn is_blocked(&self, session: &Session) -> bool {
-        let blocked = |receiving: &Receiving| receiving.flow.capacity() == 0 && !receiving.flow.is_complete();
+        let blocked = |receiving: &Receiving| {
+            receiving.body_stream.capacity() == 0 && !receiving.body_stream.is_complete()
+        };
         match &session.receiving {
             Some(receiving) => blocked(receiving),
             None => session.pending.len() >= self.max_pending,
@@ -209,16 +214,16 @@
 
     /// Begins a write command whose head has been received and whose body follows.
     fn begin_body(&self, session: &mut Session, head: resp::Head, output: &mut Vec<u8>, intake: &mut Intake) {
-        let seq = session.next_seq;
+        let sequence = session.next_sequence;
         let mut words: Vec<Value> = head.words.into_iter().map(|word| Value::Bulk(Some(word))).collect();
         words.push(Value::Bulk(Some(Vec::new())));
-        let flow = BodyStream::new(head.length, self.budget.grant(head.length));
-        let mut pending = Pending { seq, ..Pending::default() };
+        let body_stream = BodyStream::new(head.length, self.budget.grant(head.length));
+        let mut pending = Pending { sequence, ..Pending::default() };
         let (mut timeout, mut unsubmitted) = (Duration::ZERO, None);
         match read_command(Value::Array(Some(words)), &self.wire) {
             Ok(Command::Request { new, timeout: client_timeout, mut content }) => {
                 session.request_received = true;
-                content.body_stream = Some(flow.clone());
+                content.body_stream = Some(body_stream.clone());
                 (timeout, unsubmitted) = (client_timeout, Some(Box::new((new, *content))));
                 intake.core.counters.bodies_streamed += u64::from(head.length > STREAM_THRESHOLD);
             }
@@ -233,15 +238,16 @@
             (unsubmitted, pending.answer) = (None, Some(self.decline_answer(reason)));
         }
         if unsubmitted.is_none() {
-            flow.discard();
+            body_stream.discard();
         }
-        session.next_seq += 1;
+        session.next_sequence += 1;
         session.pending.push_back(pending);
-        session.receiving = Some(Receiving { seq, head_received_at: intake.now, flow, timeout, unsubmitted });
+        session.receiving =
+            Some(Receiving { sequence, head_received_at: intake.now, body_stream, timeout, unsubmitted });
         session.write_ready_answers(output);
     }
 
-    /// Receives part of a body. The request is submitted once the body is complete, or once the flow takes no
+    /// Receives part of a body. The request is submitted once the body is complete, or once the body stream takes no
     /// more of it.
     fn receive_body(
         &self,
@@ -251,53 +257,53 @@
         intake: &mut Intake,
     ) -> Result<usize, CloseConnection> {
         let Some(mut receiving) = session.receiving.take() else { return Ok(0) };
-        let flow = &receiving.flow;
+        let body_stream = &receiving.body_stream;
         if intake.now.saturating_sub(receiving.head_received_at) > BODY_TIMEOUT {
             return Err(CloseConnection);
         }
-        let mut count = flow.capacity().min(input.len());
-        flow.push(&input[..count]);
-        let complete = flow.is_complete();
+        let mut count = body_stream.capacity().min(input.len());
+        body_stream.push(&input[..count]);
+        let complete = body_stream.is_complete();
         let mut done = false;
         if complete {
             match input.get(count..count + 2) {
                 Some(b"\r\n") => (count, done) = (count + 2, true),
                 Some(_) => {
                     let answer = Some(error_line("Protocol error: a bulk string ends without CRLF"));
-                    session.set_answer(receiving.seq, answer, output);
+                    session.set_answer(receiving.sequence, answer, output);
                     return Err(CloseConnection);
                 }
                 None => {}
             }
         }
-        if done || (flow.capacity() == 0 && !complete) {
+        if done || (body_stream.capacity() == 0 && !complete) {
             if let Some(command) = receiving.unsubmitted.take() {
                 let (new, mut content) = *command;
-                if done && flow.length() <= STREAM_THRESHOLD {
+                if done && body_stream.length() <= STREAM_THRESHOLD {
                     // From here on it is the same as a command received in one piece.
-                    content.body = flow.copy(0, flow.length());
+                    content.body = body_stream.copy(0, body_stream.length());
                     content.body_stream = None;
                 }
                 // The client's deadline counts from the last byte of the body, which may arrive much later.
                 let timeout = receiving.timeout + if done { Duration::ZERO } else { BODY_TIMEOUT };
-                match intake.submit((receiving.seq, count), new, timeout, content) {
+                match intake.submit((receiving.sequence, count), new, timeout, content) {
                     Ok(request) => {
-                        let pending = session.pending.iter_mut().find(|it| it.seq == receiving.seq);
+                        let pending = session.pending.iter_mut().find(|it| it.sequence == receiving.sequence);
                         pending.into_iter().for_each(|pending| pending.request = Some(request));
                     }
                     Err(reason) => {
-                        flow.discard();
-                        session.set_answer(receiving.seq, Some(self.decline_answer(reason)), output);
+                        body_stream.discard();
+                        session.set_answer(receiving.sequence, Some(self.decline_answer(reason)), output);
                     }
                 }
             } else if done {
-                let request = session.pending.iter().find(|it| it.seq == receiving.seq);
+                let request = session.pending.iter().find(|it| it.sequence == receiving.sequence);
                 if let Some(request) = request.and_then(|pending| pending.request) {
                     intake.body_arrived(request, count, receiving.timeout);
                 }
             }
         }
-        let pending = session.pending.iter().find(|it| it.seq == receiving.seq);
+        let pending = session.pending.iter().find(|it| it.sequence == receiving.sequence);
         if let Some(request) = pending.and_then(|pending| pending.request) {
             intake.core.body_available(request);
         }
@@ -318,8 +324,8 @@
 
 impl Session {
     /// Sets the answer of a command that the core does not answer.
-    fn set_answer(&mut self, seq: u64, answer: Option<Vec<u8>>, output: &mut Vec<u8>) {
-        if let Some(pending) = self.pending.iter_mut().find(|pending| pending.seq == seq) {
+    fn set_answer(&mut self, sequence: u64, answer: Option<Vec<u8>>, output: &mut Vec<u8>) {
+        if let Some(pending) = self.pending.iter_mut().find(|pending| pending.sequence == sequence) {
             pending.answer = answer;
         }
         self.write_ready_answers(output);
--- a/src/front/room.rs
+++ b/src/front/room.rs
@@ -145,7 +145,7 @@
         };
         // After SIGTERM a client cannot reconnect, since new connections go to another process.
         let served =
-            waited(IdleKind::Served, MIN_IDLE_BEFORE_EVICTION).filter(|_| !self.service_state.keep_idle);
+            waited(IdleKind::Served, MIN_IDLE_BEFORE_EVICTION).filter(|_| !self.client_policy.keep_idle);
         let candidate =
             [waited(IdleKind::Probed, MIN_IDLE_BEFORE_EVICTION), served].into_iter().flatten().min();
         if let Some((_, id)) = candidate {
--- a/src/front/sweep.rs
+++ b/src/front/sweep.rs
@@ -22,7 +22,7 @@
 impl<P: Protocol> Front<P> {
     /// Whether connections are closed as soon as they are idle.
     pub(super) fn is_shedding(&self, now: Instant) -> bool {
-        !self.service_state.hand_over && self.service_state.shed_from.is_some_and(|from| from <= now)
+        !self.client_policy.hand_over && self.client_policy.shed_from.is_some_and(|from| from <= now)
     }
 
     /// Closes clients that are silent, stalled, not reading, or idle for too long, so that connections that are
@@ -54,7 +54,7 @@
                     || (shedding
                         && (protocol.has_sent_command(session)
                             || client.connected_at + SILENCE_TIMEOUT_SHEDDING < now))
-                    || (!self.service_state.keep_idle
+                    || (!self.client_policy.keep_idle
                         && protocol.has_sent_command(session)
                         && protocol.is_evictable(session)
                         && now - client.last_active > IDLE_TIMEOUT))
@@ -68,7 +68,7 @@
         }
         // Idle clients are closed above this limit because open connections take up descriptors that the next
         // requests need. An idle client can reconnect.
-        while !self.service_state.keep_idle
+        while !self.client_policy.keep_idle
             && self.served_count() > self.limits.evict_idle_above
             && self.evict_idle_client(now, false)
         {}
--- a/src/planner/client/configuration.rs
+++ b/src/planner/client/configuration.rs
@@ -156,13 +156,13 @@
     }
 
     /// Marks a revision as in force, and notifies all planners.
-    pub fn took_over(&mut self, prepared: &Prepared) -> Vec<Message> {
+    pub fn confirm_applied(&mut self, prepared: &Prepared) -> Vec<Message> {
         let in_force = self.follower.confirm_applied(prepared);
         self.to_all(&in_force)
     }
 
     /// Refuses a prepared revision, and tells all planners why.
-    pub fn could_not_take_over(&mut self, prepared: &Prepared, why: String) -> Vec<Message> {
+    pub fn reject_prepared(&mut self, prepared: &Prepared, why: String) -> Vec<Message> {
         let refused = self.follower.reject_prepared(prepared, why);
         self.to_all(&refused)
     }
--- a/src/planner/client/configuration/tests.rs
+++ b/src/planner/client/configuration/tests.rs
@@ -116,7 +116,7 @@
     assert_eq!(prepared.id, update(2, "base").id, "the newest");
     assert_eq!(it.take_prepared(), None);
     assert_eq!(it.report(now).number, 0);
-    let mut messages = it.took_over(&prepared);
+    let mut messages = it.confirm_applied(&prepared);
     messages.sort_by_key(|(at, _)| *at);
     let connected = (0..3).filter(|at| *at != second);
     let expected: Vec<Message> = connected.map(|at| (at, in_force(prepared.id))).collect();
@@ -159,7 +159,7 @@
     let [first, ..] = preference(&it);
     it.update(first, update(1, "base"));
     let prepared = it.take_prepared().unwrap();
-    let messages = it.could_not_take_over(&prepared, "no".into());
+    let messages = it.reject_prepared(&prepared, "no".into());
     let outcome = AcknowledgementOutcome::Refused("no".into());
     let refused = ToPlanner::Acknowledge(Acknowledgement { id: prepared.id, outcome });
     assert_eq!(messages, (0..3).map(|at| (at, refused.clone())).collect::<Vec<Message>>());
--- a/src/planner/client/mod.rs
+++ b/src/planner/client/mod.rs
@@ -338,13 +338,13 @@
         self.settings = prepared.settings.clone();
         // The revision may have added, removed or changed limits.
         self.next_change = now;
-        self.with_configuration(|configuration| configuration.took_over(prepared));
+        self.with_configuration(|configuration| configuration.confirm_applied(prepared));
     }
 
     /// Refuses a prepared revision for the reason `why`; the revision in force stays, and all planners are notified.
     pub fn configuration_not_taken_over(&mut self, prepared: &Prepared, why: String) {
         tracing::warn!("revision {} is refused: {why}", prepared.id);
-        self.with_configuration(|configuration| configuration.could_not_take_over(prepared, why));
+        self.with_configuration(|configuration| configuration.reject_prepared(prepared, why));
     }
 
     /// Lines for `INFO`, and the whole report as JSON.
--- a/src/planner/configuration.rs
+++ b/src/planner/configuration.rs
@@ -178,10 +178,10 @@
         &mut self,
         now: Instant,
         connection: ConnectionId,
-        holds: RevisionId,
+        current: RevisionId,
         outgoing: &mut Vec<Outgoing>,
     ) {
-        self.distribute(now, distribution::Event::Subscribed { connection, holds }, outgoing);
+        self.distribute(now, distribution::Event::Subscribed { connection, current }, outgoing);
     }
 
     /// Ends the subscription of a connection.
--- a/src/revisions/distribution.rs
+++ b/src/revisions/distribution.rs
@@ -30,7 +30,7 @@
         /// The initiator's connection.
         connection: ConnectionId,
         /// The revision in force at the initiator.
-        holds: RevisionId,
+        current: RevisionId,
     },
     /// An initiator cancels its subscription on this connection.
     Unsubscribed(ConnectionId),
@@ -113,7 +113,7 @@
 struct Subscriber {
     initiator: String,
     subscribed: bool,
-    holds: RevisionId,
+    current: RevisionId,
     /// The last revision that was refused on this connection.
     refused: Option<RevisionId>,
     /// Number of times the newest revision was sent on this connection.
@@ -155,7 +155,7 @@
         match event {
             Event::Connected { connection, initiator } => self.connect(now, connection, initiator),
             Event::Disconnected(connection) => self.disconnect(now, connection),
-            Event::Subscribed { connection, holds } => self.subscribe(connection, holds),
+            Event::Subscribed { connection, current } => self.subscribe(connection, current),
             Event::Unsubscribed(connection) => self.unsubscribe(connection),
             Event::Acknowledged { connection, acknowledgement } => {
                 self.acknowledge(connection, acknowledgement)
@@ -199,7 +199,7 @@
         let subscriber = Subscriber {
             initiator: name,
             subscribed: false,
-            holds: none,
+            current: none,
             refused: None,
             sends: 0,
             needs_full: false,
@@ -237,13 +237,13 @@
         }
     }
 
-    fn subscribe(&mut self, connection: ConnectionId, holds: RevisionId) {
+    fn subscribe(&mut self, connection: ConnectionId, current: RevisionId) {
         let Some(subscriber) = self.connections.get_mut(&connection) else { return };
         subscriber.subscribed = true;
-        (subscriber.holds, subscriber.sends, subscriber.needs_full) = (holds, 0, false);
+        (subscriber.current, subscriber.sends, subscriber.needs_full) = (current, 0, false);
         self.unacknowledged.remove(&connection);
         if let Some(initiator) = self.initiators.get_mut(&subscriber.initiator) {
-            initiator.in_force = holds;
+            initiator.in_force = current;
         }
         self.enqueue(connection);
     }
@@ -262,7 +262,7 @@
         // Acknowledgements of other planners' updates arrive here too, and don't answer an update of this planner.
         let sent = self.unacknowledged.get(&connection).map(|sent| sent.id);
         let has_gap = sent.is_some_and(|sent| sent != id)
-            && subscriber.holds == id
+            && subscriber.current == id
             && outcome == AcknowledgementOutcome::InForce;
         if has_gap || sent == Some(id) {
             self.unacknowledged.remove(&connection);
@@ -270,10 +270,10 @@
         match outcome {
             AcknowledgementOutcome::InForce => {
                 subscriber.needs_full = has_gap;
-                if id.number > subscriber.holds.number {
+                if id.number > subscriber.current.number {
                     subscriber.sends = 0;
                 }
-                subscriber.holds = id;
+                subscriber.current = id;
                 if let Some(initiator) = initiator {
                     initiator.in_force = id;
                     initiator.refused.take_if(|(refused, _)| refused.number <= id.number);
@@ -324,7 +324,7 @@
             return false;
         };
         subscriber.subscribed
-            && subscriber.holds.number < newest.id.number
+            && subscriber.current.number < newest.id.number
             && subscriber.refused != Some(newest.id)
             && subscriber.sends < MAX_SENDS
             && !self.unacknowledged.contains_key(&connection)
@@ -370,7 +370,7 @@
         let subscriber = self.connections.get_mut(&connection)?;
         subscriber.sends += 1;
         let newest = self.recent.back()?;
-        let current = self.recent.iter().find(|revision| revision.id == subscriber.holds);
+        let current = self.recent.iter().find(|revision| revision.id == subscriber.current);
         let base = current.filter(|_| !subscriber.needs_full);
         let key = base.map(|revision| revision.id.number);
         let content = self.contents.entry(key).or_insert_with(|| content_between(base, newest));
--- a/src/revisions/distribution/tests.rs
+++ b/src/revisions/distribution/tests.rs
@@ -53,8 +53,8 @@
         assert!(sent.is_empty());
     }
 
-    fn subscribe(&mut self, connection: usize, holds: u64) -> Vec<(ConnectionId, Update)> {
-        self.handle(Event::Subscribed { connection: ConnectionId(connection), holds: id(holds) })
+    fn subscribe(&mut self, connection: usize, current: u64) -> Vec<(ConnectionId, Update)> {
+        self.handle(Event::Subscribed { connection: ConnectionId(connection), current: id(current) })
     }
 
     fn accept(&mut self, number: u64) -> Vec<(ConnectionId, Update)> {
@@ -125,7 +125,7 @@
     assert!(fixture.handle(Event::Unsubscribed(ConnectionId(1))).is_empty());
     assert!(fixture.accept(2).is_empty());
     assert_eq!(fixture.distributor.next_timer(), None);
-    assert!(fixture.handle(Event::Subscribed { connection: ConnectionId(9), holds: id(0) }).is_empty());
+    assert!(fixture.handle(Event::Subscribed { connection: ConnectionId(9), current: id(0) }).is_empty());
 }
 
 #[test]
@@ -142,7 +142,7 @@
     // A number in range with a content that was never accepted.
     fixture.connect(3, "i-3");
     let foreign = RevisionId { number: RevisionNumber(newest - 1), hash: id(1).hash };
-    let sent = fixture.handle(Event::Subscribed { connection: ConnectionId(3), holds: foreign });
+    let sent = fixture.handle(Event::Subscribed { connection: ConnectionId(3), current: foreign });
     assert_eq!(number_and_base(sent), (newest, None));
 }
 
@@ -402,7 +402,7 @@
     connection: usize,
     connected: bool,
     subscribed: bool,
-    holds: u64,
+    current: u64,
     refused: Option<u64>,
     /// The update in flight to it, and when that was sent.
     in_flight: Option<(Update, Duration)>,
@@ -423,7 +423,7 @@
             connection,
             connected: false,
             subscribed: false,
-            holds: 0,
+            current: 0,
             refused: None,
             in_flight: None,
             is_lost: false,
@@ -442,7 +442,7 @@
         for (connection, update) in self.fixture.handle(event) {
             let model = self.models.iter_mut().find(|model| model.connection == connection.0).unwrap();
             assert!(model.connected && model.subscribed, "only subscribers are sent updates");
-            assert!(model.holds < self.newest, "an initiator with the newest revision is sent nothing");
+            assert!(model.current < self.newest, "an initiator with the newest revision is sent nothing");
             assert_ne!(model.refused, Some(self.newest), "a refused revision is not sent again");
             assert_eq!(update.id, id(self.newest));
             (model.in_flight, model.is_lost) = (Some((update, self.fixture.now)), false);
@@ -474,8 +474,8 @@
         let model = &mut self.models[index];
         if model.connected && !model.subscribed {
             (model.subscribed, model.in_flight) = (true, None);
-            let (connection, holds) = (ConnectionId(model.connection), id(model.holds));
-            self.handle(Event::Subscribed { connection, holds });
+            let (connection, current) = (ConnectionId(model.connection), id(model.current));
+            self.handle(Event::Subscribed { connection, current });
         }
     }
 
@@ -494,7 +494,7 @@
     fn acknowledge_in_force(&mut self, index: usize) {
         let model = &self.models[index];
         let acknowledgement =
-            Acknowledgement { id: id(model.holds), outcome: AcknowledgementOutcome::InForce };
+            Acknowledgement { id: id(model.current), outcome: AcknowledgementOutcome::InForce };
         self.handle(Event::Acknowledged { connection: ConnectionId(model.connection), acknowledgement });
     }
 
@@ -512,12 +512,12 @@
         let document = match update.content {
             UpdateContent::Full(document) => Some(document),
             UpdateContent::Changes { base, delta } => {
-                (base == id(model.holds)).then(|| delta.apply(&revision(model.holds).document))
+                (base == id(model.current)).then(|| delta.apply(&revision(model.current).document))
             }
         };
         if let Some(document) = document {
             assert_eq!(document.hash(), update.id.hash);
-            model.holds = model.holds.max(update.id.number.0);
+            model.current = model.current.max(update.id.number.0);
         }
         self.acknowledge_in_force(index);
     }
@@ -533,11 +533,11 @@
             11 => self.deliver(index, true),
             12 => self.models[index].is_lost = true,
             // It has applied a revision that another planner sent.
-            13 if self.models[index].connected && self.models[index].holds + 1 < self.newest => {
+            13 if self.models[index].connected && self.models[index].current + 1 < self.newest => {
                 let model = &mut self.models[index];
-                model.holds = self.newest - 1;
+                model.current = self.newest - 1;
                 // The same acknowledgement also answers an update to that revision from this planner.
-                model.in_flight.take_if(|(update, _)| update.id == id(model.holds));
+                model.in_flight.take_if(|(update, _)| update.id == id(model.current));
                 self.acknowledge_in_force(index);
             }
             14..=17 => self.handle(Event::Tick),
@@ -570,7 +570,7 @@
         let newest = schedule.newest;
         for model in schedule.models.iter().filter(|model| model.subscribed) {
             if model.refused != Some(newest) {
-                prop_assert_eq!(model.holds, newest);
+                prop_assert_eq!(model.current, newest);
             }
         }
         // Nothing more is sent, however much time passes.
@@ -580,7 +580,7 @@
         for status in schedule.fixture.distributor.status(schedule.fixture.now) {
             let model = &schedule.models[status.initiator[2..].parse::<usize>().unwrap()];
             prop_assert_eq!(status.connected, model.connected);
-            prop_assert_eq!(status.in_force, id(model.holds));
+            prop_assert_eq!(status.in_force, id(model.current));
         }
     }
 }
--- a/src/rules/final_answers.rs
+++ b/src/rules/final_answers.rs
@@ -46,7 +46,7 @@
 
 impl Scheduler {
     /// Denies queued requests that can no longer be served in time, that had no attempt in half of their time
-    /// (issue ieb05fd), or that exceed the queue's limit.
+    /// (incident ieb05fd), or that exceed the queue's limit.
     pub(super) fn shed_requests(&mut self, actions: &mut Vec<Action>) {
         if self.queue.is_empty() {
             return;
@@ -90,7 +90,7 @@
         (*attempts == 0 && half <= self.now + margin).then_some(Reason::HalfOfItsTime)
     }
 
-    /// The queued requests beyond the limit, those with the highest cost (issue r7b0367: clients had no
+    /// The queued requests beyond the limit, those with the highest cost (incident r7b0367: clients had no
     /// connection left).
     fn excess(&self) -> Vec<RequestId> {
         let max_queued = self.settings.limits.max_queued.unwrap_or(usize::MAX);
--- a/src/rules/need.rs
+++ b/src/rules/need.rs
@@ -52,7 +52,7 @@
     }
 
     /// Adjusts the levels to an attempt's latency, against overload by many initiators, by surges and at slow
-    /// nodes (issues iaf9229, i44241e, ifab359).
+    /// nodes (incidents iaf9229, i44241e, ifab359).
     pub(super) fn update_level(&mut self, node: NodeId, end: &AttemptEnd, units: f64) {
         let (top, target) = (top_level(&self.settings), min_latency_target(&self.settings));
         let step = match end.outcome {
--- a/src/rules/overdue.rs
+++ b/src/rules/overdue.rs
@@ -11,7 +11,7 @@
 
 impl Scheduler {
     /// Whether a node may be sent another request. Overtaken and streaming attempts take no slot; overdue
-    /// ones reduce the rate (issue i8370b0).
+    /// ones reduce the rate (incident i8370b0).
     pub(super) fn has_capacity(&self, node: &Node) -> bool {
         let is_streaming = |id: &RequestId| self.requests.get(id).is_some_and(|request| request.streaming);
         let (mut live, mut overdue, mut newest) = (0, 0, Duration::ZERO);
@@ -49,7 +49,7 @@
         node.newest_answered > attempt.sent && self.overdue(node, attempt)
     }
 
-    /// Cancels first attempts that were overtaken, where a retry is allowed (lost answers, issue i8370b0).
+    /// Cancels first attempts that were overtaken, where a retry is allowed (lost answers, incident i8370b0).
     pub(super) fn cancel_overtaken(&mut self, actions: &mut Vec<Action>) {
         let allow_cancel = self.settings.limits.allow_cancel;
         let to_cancel = |(node, (id, attempt)): (&Node, (&RequestId, &InFlight))| {
--- a/src/service/addresses.rs
+++ b/src/service/addresses.rs
@@ -61,7 +61,7 @@
 /// All virtual router addresses that this machine shares with others.
 pub struct Addresses {
     settings: Settings,
-    speaker: Driver,
+    driver: Driver,
     handover: Handover,
     addresses: Vec<ServedAddress>,
     started: Instant,
@@ -101,12 +101,12 @@
             addresses.push(ServedAddress { address, endpoints, pending: false, failing: false });
         }
         let (routers, rules) = (settings.routers(), &settings.tracking.rules);
-        let speaker = Driver::start(&settings.interfaces, routers, rules, interfaces, context.registry, now)?;
+        let driver = Driver::start(&settings.interfaces, routers, rules, interfaces, context.registry, now)?;
         let handover = Handover::new(addresses.len(), finish);
         let (next_check, longest_iteration) = (now, Duration::ZERO);
         Ok(Addresses {
             settings,
-            speaker,
+            driver,
             handover,
             addresses,
             started: now,
@@ -118,19 +118,19 @@
 
     /// Advertisements arrived on an interface, given by its position.
     pub fn ready(&mut self, interface: usize) {
-        self.speaker.set_readable(interface);
+        self.driver.set_readable(interface);
     }
 
     /// When [`Addresses::run`] or [`Addresses::check_conditions`] is due next.
     pub fn next_timer(&self, now: Instant) -> Instant {
-        let next = self.speaker.next_timer(now).map_or(self.next_check, |at| at.min(self.next_check));
+        let next = self.driver.next_timer(now).map_or(self.next_check, |at| at.min(self.next_check));
         self.next_progress.map_or(next, |at| at.min(next))
     }
 
     /// Runs the routers, first in each iteration of the loop: a process that was suspended learns here, before it
     /// receives or sends anything else, that another machine may serve its addresses.
     pub fn run(&mut self, now: Instant, context: &mut LoopContext) {
-        let changes = self.speaker.poll(now);
+        let changes = self.driver.poll(now);
         self.apply_transitions(now, changes, context);
         if self.next_progress.is_some_and(|at| at <= now) {
             self.progress_addresses(now, context);
@@ -169,7 +169,7 @@
                 Condition::File => tracking.file.as_ref().is_some_and(|file| file.exists()),
                 Condition::Address => self.addresses.iter().any(|served| served.failing),
             };
-            let changes = self.speaker.record_check(now, rule.condition, holds);
+            let changes = self.driver.record_check(now, rule.condition, holds);
             self.apply_transitions(now, changes, context);
         }
         self.report(now, context);
@@ -180,7 +180,7 @@
         for what in self.settings.changes_needing_restart(&new) {
             tracing::warn!("a change of {what} in the VRRP file needs a restart");
         }
-        let changes = self.speaker.reconfigure(now, &new.routers(), &new.tracking.rules);
+        let changes = self.driver.reconfigure(now, &new.routers(), &new.tracking.rules);
         for (old, new) in self.settings.services.iter_mut().zip(&new.services) {
             if old.router.vrid == new.router.vrid {
                 old.router.priority = new.router.priority;
@@ -192,7 +192,7 @@
 
     /// Resigns from all routers before the process ends; accepted requests are finished.
     pub fn resign(&mut self, now: Instant, context: &mut LoopContext) {
-        let changes = self.speaker.shut_down(now);
+        let changes = self.driver.shut_down(now);
         self.apply_transitions(now, changes, context);
     }
 
@@ -223,9 +223,9 @@
     }
 
     fn step(&mut self, now: Instant, router: usize, event: Event, context: &mut LoopContext) {
-        let order = self.handover.step(self.speaker.since_start(now), router, event);
+        let action = self.handover.step(self.driver.since_start(now), router, event);
         let served = &mut self.addresses[router];
-        match order {
+        match action {
             None => {}
             Some(AddressAction::Acquire) => {
                 served.address.acquire(now);
@@ -311,7 +311,7 @@
             duty: self.handover.duty(router).name(),
             open_requests: open_requests_at(&self.addresses[router].endpoints, context).len(),
         };
-        let snapshot = Snapshot::take(&self.speaker, now, self.settings.share, served_by);
+        let snapshot = Snapshot::take(&self.driver, now, self.settings.share, served_by);
         context.core.set_report(REPORT, snapshot.lines(), snapshot.json());
     }
 }
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -33,7 +33,7 @@
 
 #[test]
 fn an_attempt_overtaken_by_a_later_one_is_cancelled_and_retried() {
-    // Issue i8370b0: single answers are lost while the node serves the other requests.
+    // Incident i8370b0: single answers are lost while the node serves the other requests.
     let mut initiator = Initiator::new(safe(), &[node(1, 0)]);
     warm_up(&mut initiator);
     let lost = initiator.request(0, 0, 0);
@@ -71,7 +71,7 @@
 
 #[test]
 fn many_initiators_use_a_node_in_slow_start_without_overloading_it() {
-    // Issue i03fe19: with many initiators the equal share of the slow-start units is less than one request.
+    // Incident i03fe19: with many initiators the equal share of the slow-start units is less than one request.
     let mut settings = safe();
     settings.initiators = 200;
     settings.units.slow_start_units = 40.0;
@@ -315,7 +315,7 @@
 
 #[test]
 fn slow_answers_reduce_admission_and_fast_ones_restore_it() {
-    // Issues ieb05fd, i99e5c3, iaf9229: with many initiators, one request of each already keeps a node above the
+    // Incidents ieb05fd, i99e5c3, iaf9229: with many initiators, one request of each already keeps a node above the
     // latency target.
     let mut settings = safe();
     settings.units.base_rates = vec![20.0];
@@ -349,7 +349,7 @@
 
 #[test]
 fn a_request_that_cannot_be_answered_in_time_is_refused_at_once() {
-    // Issue ieb05fd: clients that give up early and retry.
+    // Incident ieb05fd: clients that give up early and retry.
     let mut initiator = Initiator::new(safe(), &[node(1, 0)]);
     for _ in 0..20 {
         let id = initiator.request(0, 0, 0);
@@ -609,7 +609,7 @@
 
 #[test]
 fn the_queue_is_bounded_and_the_least_valuable_requests_are_refused_at_once() {
-    // Issue r7b0367: queued requests occupy the connections that later ones need.
+    // Incident r7b0367: queued requests occupy the connections that later ones need.
     let classes = vec![Class { worth: 0.5, ..class(Effect::Safe) }, class(Effect::Safe)];
     let mut settings = settings(classes);
     settings.limits.max_queued = Some(6);
