--- a/src/lib.rs
+++ b/src/lib.rs
@@ -8,17 +8,17 @@
 //! use topazpath::Scheduler;
 //!
 //! let class = Class {
-//!     aim: Duration::from_millis(300),
+//!     latency_target: Duration::from_millis(300),
 //!     deadline: Duration::from_secs(2),
 //!     worth: 2.0,
 //!     late_worth: 0.2,
 //!     effect: Effect::Safe,
-//!     window: Duration::ZERO,
+//!     dedup_window: Duration::ZERO,
 //!     in_order: false,
 //! };
-//! let plan = Plan { reserve: 5.0, limit: None, weight: 1.0, price: 1.0 };
+//! let plan = Plan { reserve: 5.0, limit: None, weight: 1.0, worth_factor: 1.0 };
 //! let settings = Settings {
-//!     hosts: 1,
+//!     initiators: 1,
 //!     tick: Duration::from_millis(1),
 //!     classes: vec![class],
 //!     plans: vec![plan],
@@ -27,7 +27,8 @@
 //!     ..Default::default()
 //! };
 //! let mut scheduler = Scheduler::new(settings, 7);
-//! let node = NodeEntry { node: NodeId(4), shard: 0, zone: 0, started: None, state: NodeState::Ready, fixed: false };
+//! let state = NodeState::Ready;
+//! let node = NodeEntry { node: NodeId(4), shard: 0, zone: 0, started: None, state, no_new_objects: false };
 //! let request = NewRequest {
 //!     id: RequestId(1),
 //!     class: 0,
@@ -37,7 +38,7 @@
 //!     deadline: Duration::from_millis(2100),
 //!     units: 2.0,
 //!     shard: Some(0),
-//!     volume_hosts: 1.0,
+//!     volume_initiators: 1.0,
 //! };
 //! let events = [Event::List { kind: ListKind::Cached, entries: vec![node] }, Event::Request(request)];
 //! let mut actions = Vec::new();
